--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -12,10 +12,10 @@
 
 from bellrack import model
 from bellrack.chain import Stage, link
-from bellrack.chance import Chance, step
 from bellrack.discovery_retry import Retry
 from bellrack.model import Call, Door, Leg, Result, Server, Settings
 from bellrack.peers.overload import OverloadDetector
+from bellrack.rng import Chance, step
 
 SPILLOVER_RATIO = 0.5  # least healthy share of our zone that keeps new connections in it
 FAILURES, HOLD = 3, 5.0  # in a row mark a server unhealthy; seconds that the mark holds
--- a/bellrack/discovery_retry.py
+++ b/bellrack/discovery_retry.py
@@ -30,8 +30,8 @@
 
 import math
 
-from bellrack.chance import Chance, step
 from bellrack.model import Settings
+from bellrack.rng import Chance, step
 
 TOLD = 6.0  # seconds from when discovery had a change, and could be reached, until it counts as told
 SPARE = 0.5  # seconds of that and of the grace which we leave: looks and what is under way
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from bellrack import chain, chance, choice
+from bellrack import chain, choice, rng
 from bellrack.lab.scenario import ScenarioError
 from bellrack.model import Call, Leg, Server
 
@@ -76,7 +76,7 @@
             self.listed = len(self.rack.fleet)
             self.ring = sorted(
                 (
-                    (chance.step(chance.step(server.mark ^ n * 0x9E3779B97F4A7C15)), server)
+                    (rng.step(rng.step(server.mark ^ n * 0x9E3779B97F4A7C15)), server)
                     for server in self.rack.fleet
                     for n in range(POINTS)
                 ),
@@ -85,7 +85,7 @@
         allowed = set(places)
         most = BOUND * (1 + sum(s.stand.open for s in places)) / len(places)
         start = bisect.bisect_left(
-            self.ring, chance.step(chance.step(call.group or call.key)), key=lambda point: point[0]
+            self.ring, rng.step(rng.step(call.group or call.key)), key=lambda point: point[0]
         )
         for at in range(len(self.ring)):
             server = self.ring[(start + at) % len(self.ring)][1]
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -20,7 +20,7 @@
 from tqdm import tqdm
 
 from bellrack import model
-from bellrack.books import Books
+from bellrack.accounting import Books
 from bellrack.choice import Balancer
 from bellrack.lab.scenario import most_requests
 from bellrack.model import Call, Leg, Result, Server, Settings, TrafficType
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from bellrack import model
-from bellrack.books import Books
+from bellrack.accounting import Books
 from bellrack.lab.agenda import ARRIVAL, NEWS, RESULT, TIMER
 from bellrack.model import Call, Leg, Result, Server, Settings
 from bellrack.net import shutdown
--- a/bellrack/lab/speed.py
+++ b/bellrack/lab/speed.py
@@ -96,7 +96,7 @@
     for (file, _, _), (_, _, own, _, _) in stats.items():
         part = (
             "decisions"
-            if file.endswith(("/choice.py", "/books.py", "/model.py"))
+            if file.endswith(("/choice.py", "/accounting.py", "/model.py"))
             else "the lab"
             if "/bellrack/lab/" in file
             else "interpreter and libraries"
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from bellrack import model, start_signals
-from bellrack.books import Books
+from bellrack.accounting import Books
 from bellrack.model import Call, Leg, Result, Server
 from bellrack.net import figures, limits, lines, log, reload, server_list, startup, transient
 from bellrack.net.clients import Client
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -17,9 +17,9 @@
 from collections import deque
 from collections.abc import Callable, Iterable
 
-from bellrack.chance import Chance
 from bellrack.model import Server, Settings
 from bellrack.peers import gossip, sums
+from bellrack.rng import Chance
 
 RECENT, RECENT_FOR = 24, 4.0  # set-ups, and seconds, from which the usual is taken,
 USUAL = 0.4  # as this share of them from below,
--- a/bellrack/drill/__main__.py
+++ b/bellrack/simulator/__main__.py
@@ -1,9 +1,9 @@
-"""`python -m bellrack.drill`: the decisions on standard input and output."""
+"""`python -m bellrack.simulator`: the decisions on standard input and output."""
 
 import sys
 
-from bellrack.drill.adapter import Adapter
-from bellrack.drill.wire import WireError, read_batch
+from bellrack.simulator.adapter import Adapter
+from bellrack.simulator.wire import WireError, read_batch
 
 
 def main() -> int:
--- a/bellrack/drill/adapter.py
+++ b/bellrack/simulator/adapter.py
@@ -8,12 +8,12 @@
 from typing import Any
 
 from bellrack import model
-from bellrack.books import Books
+from bellrack.accounting import Books
 from bellrack.choice import Balancer
-from bellrack.drill import wire
-from bellrack.drill.wire import WireError
 from bellrack.model import Call, Leg, Result, Server, Settings
 from bellrack.settings import parse_settings
+from bellrack.simulator import wire
+from bellrack.simulator.wire import WireError
 
 STATES = {0: model.GONE, 1: model.READY, 2: model.DRAINING}
 RESULTS = {
--- a/bellrack/drill/fleet.py
+++ b/bellrack/simulator/fleet.py
@@ -3,7 +3,7 @@
 Usage:
   fleet FOLDER
 
-Started as `python -m bellrack.drill.fleet FOLDER`. FOLDER holds a log a balancer, NAME.log, as the bench
+Started as `python -m bellrack.simulator.fleet FOLDER`. FOLDER holds a log a balancer, NAME.log, as the bench
 writes with `--logs FOLDER`: each line of the program, with the second of the day before it.
 
 Owns the reading of such logs and the sums. It never starts a balancer; lines of no known form are counted.
--- a/bellrack/drill/tally.py
+++ b/bellrack/simulator/tally.py
@@ -3,7 +3,7 @@
 Usage:
   tally TAP
 
-Started as `python -m bellrack.drill.tally TAP`. TAP is what the bench's `run` or `replay` wrote with
+Started as `python -m bellrack.simulator.tally TAP`. TAP is what the bench's `run` or `replay` wrote with
 `--tap TAP`, with this very build at work.
 
 Owns the playing of the recorded batches to balancers that are watched. It never decides: those take each
@@ -19,9 +19,9 @@
 from docopt import docopt
 
 from bellrack import chain, choice
-from bellrack.drill import wire
-from bellrack.drill.adapter import Adapter
 from bellrack.model import Call, Leg, Server
+from bellrack.simulator import wire
+from bellrack.simulator.adapter import Adapter
 
 EACH = 5.0  # seconds between looks at where groups stand
 FROM_PICK = -1.0  # a bound that no lot has
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -203,7 +203,7 @@
     ),
     Mutant(
         "held back for ever",
-        "books.py",
+        "accounting.py",
         "            leg.server.stand.legs[leg] = None\n",
         "            pass\n",
     ),
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -9,11 +9,11 @@
 from helpers import World, played, raw_settings
 
 from bellrack import choice
-from bellrack.chance import Chance
 from bellrack.lab import cold
 from bellrack.lab.scenario import most_requests
 from bellrack.model import Settings
 from bellrack.net import servers
+from bellrack.rng import Chance
 
 STARTS = cold.starts(40, 7, (3, 20, 30))
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,8 +14,7 @@
 from test_net import HEAD, chunk
 
 from bellrack import discovery_retry, model
-from bellrack.books import Books
-from bellrack.chance import Chance
+from bellrack.accounting import Books
 from bellrack.model import Call, Result
 from bellrack.net import discovery
 from bellrack.net import node as host
@@ -24,6 +23,7 @@
 from bellrack.net.readiness import Readiness
 from bellrack.net.server_list import ServerList
 from bellrack.net.servers import ServerLink
+from bellrack.rng import Chance
 
 A_SECOND, PATIENCE = 10, 2.0  # lists that the service writes; seconds until a call in its queue gets 503
 BOUND = discovery_retry.TOLD + 1.0  # and the grace
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -2,8 +2,8 @@
 
 import sys
 
-from bellrack.drill import fleet
 from bellrack.net import log
+from bellrack.simulator import fleet
 
 ONE = """\
 0.150 time=1.0 level=info event=serving name=n0 listen=10.0.0.1:3000 servers=9
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -12,11 +12,11 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from bellrack import model
-from bellrack.chance import Chance
 from bellrack.net.peer_socket import PeerSocket
 from bellrack.peers import gossip, sums, wire
 from bellrack.peers.gossip import Gossip
 from bellrack.peers.overload import OverloadDetector
+from bellrack.rng import Chance
 from tests.helpers import Bench, settings
 
 HEAD = 28  # bytes of UDP and IP before each datagram
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -538,9 +538,9 @@
     net = {"bellrack.net." + path.stem for path in files}
     assert {name for name in modules if name.startswith("bellrack.")} == net | {
         "bellrack.__main__",
-        "bellrack.books",
+        "bellrack.accounting",
         "bellrack.chain",
-        "bellrack.chance",
+        "bellrack.rng",
         "bellrack.choice",
         "bellrack.discovery_retry",
         "bellrack.model",
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from bellrack import model
-from bellrack.books import Books
+from bellrack.accounting import Books
 from bellrack.peers import sums
 from bellrack.peers.overload import OverloadDetector
 from tests.helpers import Bench, settings
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -437,7 +437,7 @@
     assert "bellrack.net.node" in loaded and not loaded & {
         "docopt",
         "bellrack.lab",
-        "bellrack.drill",
+        "bellrack.simulator",
         "bellrack.peers.membership",
         "bellrack.peers.wire",
     }
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,9 +8,9 @@
 from helpers import LIVE, raw_settings
 
 from bellrack import model
-from bellrack.drill import tally, wire
-from bellrack.drill.adapter import Adapter
 from bellrack.settings import parse_settings
+from bellrack.simulator import tally, wire
+from bellrack.simulator.adapter import Adapter
 
 
 def frame(*records: str, tail: bytes = b"", number: int = 1, clock: int = 1) -> bytes:
