--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -15,7 +15,7 @@
 from bellrack.discovery_retry import Retry
 from bellrack.model import Call, Door, Leg, Result, Server, Settings
 from bellrack.peers.overload import OverloadDetector
-from bellrack.rng import Chance, step
+from bellrack.rng import Rng, lcg_step
 
 SPILLOVER_RATIO = 0.5  # least healthy share of our zone that keeps new connections in it
 FAILURES, HOLD = 3, 5.0  # in a row mark a server unhealthy; seconds that the mark holds
@@ -332,7 +332,7 @@
 
     def move(self, legs: list[Leg], share: float) -> None:
         """The first of them, rounded by chance: guards against many balancers that each take a whole one."""
-        for leg in legs[: int(share * len(legs) + self.rack.chance.draw())]:
+        for leg in legs[: int(share * len(legs) + self.rack.rng.uniform())]:
             self.door.move(leg.call)
             del leg.server.stand.legs[leg]
 
@@ -435,8 +435,8 @@
         same at every draw and balancer, so its connections gather and share what they cost a server."""
         weight = server.stand.weight * server.size * self.rack.cold.warm(server)
         if not call.group:
-            return -math.log(self.rack.chance.draw() + 1e-12) / weight
-        even = step(step(call.group ^ server.mark * 0x9E3779B97F4A7C15))
+            return -math.log(self.rack.rng.uniform() + 1e-12) / weight
+        even = lcg_step(lcg_step(call.group ^ server.mark * 0x9E3779B97F4A7C15))
         return -math.log((even >> 33) / 2147483648.0 + 1e-12) / weight
 
     def send(self, call: Call, server: Server) -> None:
@@ -488,21 +488,21 @@
 
     def __init__(self, settings: Settings, seed: int, door: Door):
         self.settings, self.door = settings, door
-        self.chance = Chance(seed)
+        self.rng = Rng(seed)
         self.fleet: list[Server] = []
         self.kept: list[Call] = []
         self.looks = False  # a look at them is due
         self.sizes: dict[int, float] = {}  # by kind of machine, where listed weights are live
         self.held = 0  # own connections and legs out, everywhere
-        self.retry = Retry(settings, self.chance)
+        self.retry = Retry(settings, self.rng)
         self.seen: dict[int, list[float]] = {}  # by zone: late servers and all that we hear of
         self.answer, self.listing, self.effect = Answer(self), Listed(self), Effect(self)
         self.cold, self.zone, self.draw = Cold(self), Zone(self), Draw(self)
         self.overload, self.filled = OverloadDetector(settings, door.tell, self.draw.delayed), (-math.inf, {})
         link(self.answer, self.listing, self.effect, self.zone, self.draw)
-        door.wake(door.now + TIDY_EVERY * (1 + self.chance.draw()), "tidy")
+        door.wake(door.now + TIDY_EVERY * (1 + self.rng.uniform()), "tidy")
         if settings.may_publish:
-            door.wake(door.now + TELL_EVERY * (1 + self.chance.draw()), "tell")
+            door.wake(door.now + TELL_EVERY * (1 + self.rng.uniform()), "tell")
         if settings.asks:
             door.wake(door.now + self.retry.first(), "watch")
 
@@ -593,7 +593,7 @@
         first = not self.fleet
         for server in servers:
             if server.stand is None:
-                server.stand = model.Stand(self.chance.part(self.settings.number, server.mark))
+                server.stand = model.Stand(self.rng.stratified(self.settings.number, server.mark))
                 self.fleet.append(server)
             self.sized(server)
             if server.since != server.stand.since:  # restarted under the same id
--- a/bellrack/discovery_retry.py
+++ b/bellrack/discovery_retry.py
@@ -31,7 +31,7 @@
 import math
 
 from bellrack.model import Settings
-from bellrack.rng import Chance, step
+from bellrack.rng import Rng, lcg_step
 
 TOLD = 6.0  # seconds from when discovery had a change, and could be reached, until it counts as told
 SPARE = 0.5  # seconds of that and of the grace which we leave: looks and what is under way
@@ -50,9 +50,9 @@
 class Retry:
     """The gaps between the calls of one balancer."""
 
-    def __init__(self, settings: Settings, chance: Chance):
-        self.settings, self.chance = settings, chance
-        self.own = Chance(step(chance.state))  # so that a call beside another moves no draw of the decisions
+    def __init__(self, settings: Settings, rng: Rng):
+        self.settings, self.rng = settings, rng
+        self.own = Rng(lcg_step(rng.state))  # so that a call beside another moves no draw of the decisions
         self.failures = 0  # since the list last came
 
     @property
@@ -71,7 +71,7 @@
 
     def first(self) -> float:
         """Seconds from the start until the first call."""
-        return GAP_FIRST * self.chance.draw()
+        return GAP_FIRST * self.rng.uniform()
 
     def gap(self, reached: bool = True) -> float:
         """Seconds until the next call after one that failed. Where discovery was not even reached a call
@@ -79,7 +79,7 @@
         cap = min(GAP_REFUSED, max(GAP_FIRST, self.share)) * 2**self.failures
         self.failures = min(DOUBLINGS, self.failures + 1)
         most = min(GAP_MOST, self.settings.ask_within)
-        return self._drawn(min(cap, max(most, self.share) if reached else most), self.chance)
+        return self._drawn(min(cap, max(most, self.share) if reached else most), self.rng)
 
     def overlap(self) -> float:
         """Seconds that a call may be silent before another goes out beside it."""
@@ -94,8 +94,8 @@
         told = TOLD if self.share <= self.settings.ask_within else min(TOLD, self.settings.ask_within)
         return told + self.settings.drain_grace - SPARE
 
-    def _drawn(self, cap: float, chance: Chance) -> float:
-        return cap * (1 - JITTER * chance.draw())
+    def _drawn(self, cap: float, rng: Rng) -> float:
+        return cap * (1 - JITTER * rng.uniform())
 
 
 class ListAge:
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -42,7 +42,7 @@
             self.rack.keep(call)
 
     def choose(self, call: Call, places: list[Server]) -> Server | None:
-        return places[int(self.rack.chance.draw() * len(places))]
+        return places[int(self.rack.rng.uniform() * len(places))]
 
 
 class RoundRobin(Pick):
@@ -76,7 +76,7 @@
             self.listed = len(self.rack.fleet)
             self.ring = sorted(
                 (
-                    (rng.step(rng.step(server.mark ^ n * 0x9E3779B97F4A7C15)), server)
+                    (rng.lcg_step(rng.lcg_step(server.mark ^ n * 0x9E3779B97F4A7C15)), server)
                     for server in self.rack.fleet
                     for n in range(POINTS)
                 ),
@@ -85,7 +85,7 @@
         allowed = set(places)
         most = BOUND * (1 + sum(s.stand.open for s in places)) / len(places)
         start = bisect.bisect_left(
-            self.ring, rng.step(rng.step(call.group or call.key)), key=lambda point: point[0]
+            self.ring, rng.lcg_step(rng.lcg_step(call.group or call.key)), key=lambda point: point[0]
         )
         for at in range(len(self.ring)):
             server = self.ring[(start + at) % len(self.ring)][1]
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -19,7 +19,7 @@
 
 from bellrack.model import Server, Settings
 from bellrack.peers import gossip, sums
-from bellrack.rng import Chance
+from bellrack.rng import Rng
 
 RECENT, RECENT_FOR = 24, 4.0  # set-ups, and seconds, from which the usual is taken,
 USUAL = 0.4  # as this share of them from below,
@@ -48,7 +48,7 @@
         own, peers = settings.number, settings.peers
         self.sums: sums.Sums | gossip.Gossip = sums.Sums(own, peers, tell)
         if peers > (gossip.LARGE if large is None else large):
-            self.sums = gossip.Gossip(own, peers, tell, Chance(own).draw, WAITS * settings.quickest)
+            self.sums = gossip.Gossip(own, peers, tell, Rng(own).uniform, WAITS * settings.quickest)
         self.filled: tuple[float, dict[Server, float]] = -math.inf, {}
         self.servers: dict[int, Server | None] = {}  # by short mark; None where two share it
         self.took: deque[tuple[float, float]] = deque(maxlen=RECENT)  # set-ups: when, how long
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -202,7 +202,7 @@
     benches = many(40, *[0] * 12)
     for bench in benches:
         for _ in range(12):  # each balancer finds other servers late
-            server = bench.rack.fleet[int(bench.rack.chance.draw() * 12)]
+            server = bench.rack.fleet[int(bench.rack.rng.uniform() * 12)]
             server.stand.delay, server.stand.told = 1.0, bench.now + 9
         for _ in range(3):
             bench.call(group=5)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -13,7 +13,7 @@
 from bellrack.lab.scenario import most_requests
 from bellrack.model import Settings
 from bellrack.net import servers
-from bellrack.rng import Chance
+from bellrack.rng import Rng
 
 STARTS = cold.starts(40, 7, (3, 20, 30))
 
@@ -41,7 +41,7 @@
 
 
 def all_begin_with_one(monkeypatch):
-    monkeypatch.setattr(Chance, "part", lambda *values: 0.0)
+    monkeypatch.setattr(Rng, "stratified", lambda *values: 0.0)
 
 
 def all_tokens_kept(monkeypatch):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -23,7 +23,7 @@
 from bellrack.net.readiness import Readiness
 from bellrack.net.server_list import ServerList
 from bellrack.net.servers import ServerLink
-from bellrack.rng import Chance
+from bellrack.rng import Rng
 
 A_SECOND, PATIENCE = 10, 2.0  # lists that the service writes; seconds until a call in its queue gets 503
 BOUND = discovery_retry.TOLD + 1.0  # and the grace
@@ -133,12 +133,12 @@
         self.world, self.service, self.counters = world, world.service, Counters()
         self.readiness, self.changed = Readiness(world.now, host.LISTED, True), asyncio.Event()
         super().__init__(settings(peers=peers), 7 + 104729 * number, world.now)
-        self.has, self.draws = False, Chance(number)
+        self.has, self.draws = False, Rng(number)
         self.sent, self.turned, self.doubtful = [], [], []  # times; of legs also to whom
         self.discovery = Discovery(self, ("", 0), Modelled)
         self.server_list = ServerList(self)
         self.listed(False)
-        world.after(self, 0.25 * self.draws.draw(), self.discovery.look)
+        world.after(self, 0.25 * self.draws.uniform(), self.discovery.look)
 
     def listed(self, drained):
         self.has = drained
@@ -164,7 +164,7 @@
 
     def comes(self):
         """A client."""
-        self.after(0.4 + 0.2 * self.draws.draw(), self.comes)
+        self.after(0.4 + 0.2 * self.draws.uniform(), self.comes)
         self.balancer.arrived(Call(self.settings.types[0], self.now + 3.0, self.now))
 
     def send(self, call, server, until):
@@ -208,7 +208,7 @@
             self.service.answer(call)
             self.service.mode = ""
             if node in self.nodes[:clients]:
-                self.after(node, node.draws.draw(), node.comes)
+                self.after(node, node.draws.uniform(), node.comes)
         self.service.calls, self.service.mode = 0, "up"
 
     def after(self, node, wait, what, *values):
@@ -362,7 +362,7 @@
 
 def test_a_large_tier_repeats_at_its_own_rate_and_a_small_one_within_the_bound():
     for peers in (1, 10, 60, 200, 4800):
-        retry = discovery_retry.Retry(settings(peers=peers), Chance(5))
+        retry = discovery_retry.Retry(settings(peers=peers), Rng(5))
         gaps = [retry.gap() for _ in range(400)][10:]
         rate = peers / (sum(gaps) / len(gaps))
         most = min(discovery_retry.TIER_MOST, peers / discovery_retry.GAP_BUSY)
@@ -375,10 +375,10 @@
     worst = discovery_retry.CONNECT + discovery_retry.GAP_MOST + discovery.LOOK
     assert worst <= discovery_retry.TOLD - 2.0
     assert worst >= discovery_retry.OVERLAP + discovery.LOOK
-    retry = discovery_retry.Retry(settings(drain_grace=0.0), Chance(5))
+    retry = discovery_retry.Retry(settings(drain_grace=0.0), Rng(5))
     assert discovery.SILENT + discovery.LOOK < retry.window() < discovery_retry.TOLD
     # Of a tier whose gaps are longer than a list stands without a call, each change is told that soon.
-    assert discovery_retry.Retry(settings(peers=4800, ask_within=3.0), Chance(5)).window() < 3.0 + 1.0
+    assert discovery_retry.Retry(settings(peers=4800, ask_within=3.0), Rng(5)).window() < 3.0 + 1.0
 
 
 # On real connections. Times are a tenth, order and counts are looked at.
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -16,7 +16,7 @@
 from bellrack.peers import gossip, sums, wire
 from bellrack.peers.gossip import Gossip
 from bellrack.peers.overload import OverloadDetector
-from bellrack.rng import Chance
+from bellrack.rng import Rng
 from tests.helpers import Bench, settings
 
 HEAD = 28  # bytes of UDP and IP before each datagram
@@ -56,7 +56,7 @@
             number,
             self.peers,
             lambda peer, data: self.post(number, node, peer, data),
-            Chance(number).draw,
+            Rng(number).uniform,
             0.065,
         )
         node.listed(self.listed, 0)
@@ -407,7 +407,7 @@
             node = (
                 sums.Sums(own, 300, told(own))
                 if own < 6
-                else Gossip(own, 20, told(own), Chance(own).draw, 0.065)
+                else Gossip(own, 20, told(own), Rng(own).uniform, 0.065)
             )
             node.listed(listed, 0)
             for mark in listed:
