--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -28,7 +28,7 @@
 )
 
 
-class Books:
+class Accounting:
     """One balancer with its records. Hosts derive from it and add what the balancer may do, its Door."""
 
     def __init__(self, settings: Settings, seed: int, now: float, decides: Callable[..., Any] = Balancer):
@@ -36,30 +36,30 @@
         self.servers: dict[int, Server] = {}  # by mark
         self.balancer = decides(settings, seed, self)
 
-    def book(self, kind: int, wait: float, **fields) -> Call:
+    def new_call(self, kind: int, wait: float, **fields) -> Call:
         return Call(self.settings.types[kind], self.now + wait, self.now, **fields)
 
-    def begin(self, call: Call, server: Server) -> Leg:
+    def begin_leg(self, call: Call, server: Server) -> Leg:
         leg = Leg(call, server, self.now)
         call.legs.append(leg)
         return leg
 
-    def resume(self, leg: Leg) -> None:
+    def resume_leg(self, leg: Leg) -> None:
         """It stood before this instance started."""
         leg.standing = True
         self.balancer.resumed(leg)
 
-    def stand(self, leg: Leg) -> None:
+    def leg_established(self, leg: Leg) -> None:
         leg.standing = True
         self.balancer.stands(leg)
 
-    def ended(self, leg: Leg, result: Result, final: bool) -> None:
+    def leg_ended(self, leg: Leg, result: Result, final: bool) -> None:
         """The first result of a leg; `final` if the call is served or nothing is owed any more."""
         leg.result = result
         leg.call.done = leg.call.done or final
         self.balancer.back(leg, result)
 
-    def entries(
+    def apply_entries(
         self,
         rows: Iterable[tuple[int, str, int, int, float, float, int]],
         whole: bool,
@@ -81,7 +81,7 @@
                     changed.append(server)
         self.balancer.listed(changed)
 
-    def learned(self) -> dict[str, Any]:
+    def export_learned(self) -> dict[str, Any]:
         """What this instance has learned, in plain values, for one that takes its place."""
         return {
             "bears": self.balancer.cold.borne,
@@ -92,7 +92,7 @@
             },
         }
 
-    def taught(self, learned: dict[str, Any], later: float = 0.0) -> None:
+    def import_learned(self, learned: dict[str, Any], later: float = 0.0) -> None:
         """Begin with what another instance had learned. Values of another form are left. `later`: seconds by
         which our clock is ahead of the one that it was told by."""
         bears = learned.get("bears")
@@ -110,7 +110,7 @@
         if leg.standing and leg.result is None:
             leg.server.stand.legs[leg] = None
 
-    def forget(self, server: Server) -> None:
+    def forget_server(self, server: Server) -> None:
         """One that is gone and holds nothing of ours; listed again, it is a new one."""
         del self.servers[server.mark]
         self.balancer.fleet.remove(server)
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -20,7 +20,7 @@
 from tqdm import tqdm
 
 from bellrack import model
-from bellrack.accounting import Books
+from bellrack.accounting import Accounting
 from bellrack.choice import Balancer
 from bellrack.lab.scenario import most_requests
 from bellrack.model import Call, Leg, Result, Server, Settings, TrafficType
@@ -99,7 +99,7 @@
     )
 
 
-class Seat(Books):
+class Seat(Accounting):
     """One balancer, and the Door through which it acts on the start that is played."""
 
     def __init__(self, play: Play, number: int, settings: Settings, seed: int, decides: Callable[..., Any]):
@@ -114,23 +114,23 @@
         self.play.at(self.play.now + wait, self.turn, what, *values)
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
-        leg = self.begin(call, server)
+        leg = self.begin_leg(call, server)
         self.play.counts(server)
         self.later(self.play.chance.uniform(*TOOK), self.stands, leg)
         return leg
 
     def stands(self, leg: Leg) -> None:
         if leg.result is None and self.play.full(leg.server):
-            self.ended(leg, Result(model.FULL), False)
+            self.leg_ended(leg, Result(model.FULL), False)
         elif leg.result is None:
             leg.call.done = True
-            self.stand(leg)
+            self.leg_established(leg)
             if self.play.chance.random() < self.play.start.short:
                 self.later(self.play.chance.uniform(*SHORT), self.over, leg, model.COMPLETED)
 
     def over(self, leg: Leg, kind: str) -> None:
         if leg.result is None:
-            self.ended(leg, Result(kind), True)
+            self.leg_ended(leg, Result(kind), True)
 
     def cancel(self, leg: Leg) -> None:
         self.later(0.0, self.over, leg, model.CANCELLED)
@@ -149,7 +149,7 @@
 
     def calls(self, retries: int, group: int) -> None:
         """A client wants a connection."""
-        call = self.book(0, PATIENCE, group=group)
+        call = self.new_call(0, PATIENCE, group=group)
         call.host = retries
         self.balancer.arrived(call)
 
@@ -227,22 +227,22 @@
         warm = [mark for mark in self.marks if mark not in self.cold]
         for seat in self.seats:
             if seat not in fresh:
-                seat.turn(seat.entries, self.rows(model.READY, 0.0, self.marks), True)
-                seat.turn(seat.entries, self.rows(model.GONE, 0.0, sorted(self.cold)), False)
+                seat.turn(seat.apply_entries, self.rows(model.READY, 0.0, self.marks), True)
+                seat.turn(seat.apply_entries, self.rows(model.GONE, 0.0, sorted(self.cold)), False)
         # What restarted had held has come again elsewhere; all that stands is seen by whoever holds it.
         holders = [seat for seat in busy if seat not in fresh]
         weights = [parts[seat] for seat in holders]
         for mark in warm if holders else ():
             for seat in chance.choices(holders, weights, k=round(start.used * self.fills)):
-                call = seat.book(0, PATIENCE)
+                call = seat.new_call(0, PATIENCE)
                 call.done = True
-                seat.turn(seat.resume, seat.begin(call, seat.servers[mark]))
+                seat.turn(seat.resume_leg, seat.begin_leg(call, seat.servers[mark]))
         for seat in self.seats:
             # A process that starts later has the start in its first list.
             since = self.rows(model.READY, self.back, sorted(self.cold))
             when = self.back + chance.uniform(*TOLD)
             rows = since + self.rows(model.READY, 0.0, warm) if seat in fresh else since
-            self.at(when, seat.turn, seat.entries, rows, seat in fresh)
+            self.at(when, seat.turn, seat.apply_entries, rows, seat in fresh)
         rate = start.demand * start.cold * self.fills / start.ramp_time
         for seat in busy:
             self.arrivals(seat, rate * parts[seat] / sum(parts.values()))
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from bellrack import model
-from bellrack.accounting import Books
+from bellrack.accounting import Accounting
 from bellrack.lab.agenda import ARRIVAL, NEWS, RESULT, TIMER
 from bellrack.model import Call, Leg, Result, Server, Settings
 from bellrack.net import shutdown
@@ -93,7 +93,7 @@
         self.world.trace.add(self.world.now, "stop", self.name, how)
 
 
-class VirtualNode(Seat, Books):
+class VirtualNode(Seat, Accounting):
     def __init__(
         self,
         world: World,
@@ -107,7 +107,7 @@
     ):
         Seat.__init__(self, world, name, number, zone, incarnation)
         self.machines: dict[int, Machine] = {}  # by mark
-        Books.__init__(self, settings, seed, world.now, decides)
+        Accounting.__init__(self, settings, seed, world.now, decides)
 
     # Turns.
 
@@ -128,7 +128,7 @@
     # The Door.
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
-        leg = self.begin(call, server)
+        leg = self.begin_leg(call, server)
         attempt: Attempt = call.host
         machine = self.machines[server.mark]
         out = Out(attempt, leg, machine, len(call.legs), self.now, self.world.delay(self.zone, machine.zone))
@@ -187,7 +187,7 @@
     def arrive(self, attempt: Attempt) -> None:
         """A client's first line."""
         want = attempt.want
-        call = self.book(
+        call = self.new_call(
             want.type,
             attempt.guard - self.now,
             key=want.key,
@@ -214,7 +214,7 @@
         self.note_answer(out.attempt, "completed")
         self.world.agenda.after(out.attempt.delay, ARRIVAL, out.attempt.answered, "completed", 0.0)
         out.stood = True
-        self.stand(out.leg)
+        self.leg_established(out.leg)
         if self.shutting_down:
             self.move(out.leg.call)
 
@@ -227,7 +227,7 @@
         self.world.legs.closed(out)
         if leg.standing:
             self.attempts.pop(out.attempt, None)
-        self.ended(leg, Result(kind, self.now - leg.sent), leg.standing or leg.call.done)
+        self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.standing or leg.call.done)
 
     def moved(self, attempt: Attempt, kind: str) -> None:
         """The client is told to come again, between two lines, and both sides end."""
@@ -263,16 +263,16 @@
     def resume_standing(self, attempt: Attempt, machine: Machine) -> Out:
         """A connection that stood before the run."""
         want = attempt.want
-        call = self.book(want.type, 0.0, key=want.key, group=want.group, tenant=want.tenant)
+        call = self.new_call(want.type, 0.0, key=want.key, group=want.group, tenant=want.tenant)
         call.host, attempt.call = attempt, call
         self.attempts[attempt] = None
-        leg = self.begin(call, self.servers[self.world.marks[machine]])
+        leg = self.begin_leg(call, self.servers[self.world.marks[machine]])
         out = leg.host = attempt.out = Out(
             attempt, leg, machine, 1, self.now, self.world.delay(self.zone, machine.zone)
         )
         out.stood = True
         self.note_stood(attempt, machine)
-        self.resume(leg)
+        self.resume_leg(leg)
         return out
 
     def listed(self, rows: list[tuple[Machine, str, float]], whole: bool) -> None:
@@ -284,7 +284,7 @@
             for machine, _, _ in rows:
                 self.machines[marks[machine]] = machine
             self.turn(
-                self.entries,
+                self.apply_entries,
                 [(marks[m], state, m.cell, m.zone, m.kind.listed, since, 0) for m, state, since in rows],
                 whole,
             )
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -118,20 +118,20 @@
 
     def opens(self, server: Server, group: int, took: float = 0.0) -> None:
         """One stands now; with `took` it was set up just now and took so many seconds."""
-        call = self.book(0, HELD, group=group)
+        call = self.new_call(0, HELD, group=group)
         leg = Leg(call, server, self.now - took)
         call.legs.append(leg)
         call.host = held = Held(self)
         held.leg = leg
         self.held.append(held)
-        self.resume(leg)
+        self.resume_leg(leg)
         if took:
-            self.stand(leg)
+            self.leg_established(leg)
 
     def ends(self, held: Held, kind: str = model.COMPLETED) -> None:
         if not held.leg.result:
             self.held.remove(held)
-            self.ended(held.leg, Result(kind, self.now - held.leg.sent), True)
+            self.leg_ended(held.leg, Result(kind, self.now - held.leg.sent), True)
 
     def changes(self, which: float, where: float, group: int, took: float) -> None:
         """One ends and another is set up; which, and where, by lots of 0 to 1."""
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from bellrack import model, start_signals
-from bellrack.accounting import Books
+from bellrack.accounting import Accounting
 from bellrack.model import Call, Leg, Result, Server
 from bellrack.net import figures, limits, lines, log, reload, server_list, startup, transient
 from bellrack.net.clients import Client
@@ -34,7 +34,7 @@
 LISTED = 2.0  # seconds after the start for which we wait for a word of discovery if we know a list
 
 
-class Node(TurnLoop, Books):
+class Node(TurnLoop, Accounting):
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop):
         TurnLoop.__init__(self, loop, log.Counters())
         self.config, self.names = config, config.names
@@ -55,7 +55,7 @@
         self.server_watch = ServerWatch(self)
         self.doors = Doors(self)
         self.hot_restart = HotRestart(self)
-        Books.__init__(self, config.settings, config.seed, self.clock())
+        Accounting.__init__(self, config.settings, config.seed, self.clock())
         self.invariants = Invariants(self.counters, config.settings)
 
     def log_end(self, link: Any, reason: str, figures: dict) -> None:
@@ -67,7 +67,7 @@
     # What the balancer may do: each is carried out when the module has had the whole batch.
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
-        leg, server.tried, server.unproved = self.begin(call, server), self.now, False
+        leg, server.tried, server.unproved = self.begin_leg(call, server), self.now, False
         self.act(self.connect, leg, until)
         return leg
 
@@ -119,9 +119,9 @@
         if not leg.call.done:
             client.forget_if_closed()
         if leg.call.done:
-            self.ended(leg, Result(model.MOOT), True)
+            self.leg_ended(leg, Result(model.MOOT), True)
         elif self.limits.full(limits.CONNECTING):  # never sent: that proves it has not run
-            self.ended(leg, Result(model.MOOT), False)
+            self.leg_ended(leg, Result(model.MOOT), False)
         else:
             self.counters["legs"] += 1
             ServerLink(self, leg, client, until)
@@ -159,7 +159,7 @@
         tenant = self.names.tenants.get(values.get("t", ""), 0)
         if "t" in values and self.names.tenants and values["t"] not in self.names.tenants:
             raise lines.LineError("unknown-tenant")
-        call = self.book(
+        call = self.new_call(
             kind,
             wait,
             key=request_line.key,
@@ -191,11 +191,11 @@
         if resumes:
             self.resumed.on_established(leg.call.host)
             leg.call.legs.append(leg)
-            self.resume(leg)
+            self.resume_leg(leg)
         else:
             leg.call.host.counted_as("completed")
             leg.server.proved = max(leg.server.proved, leg.sent)
-            self.stand(leg)
+            self.leg_established(leg)
         if self.shutdown and not self.hot_restart.giver:
             self.act(leg.call.host.move, "moved")
 
@@ -205,7 +205,7 @@
         if link.resumes and not leg.standing:
             self.resumed.on_attempt_ended(link, kind)
         else:
-            self.ended(leg, Result(kind, self.now - leg.sent), leg.standing or kind == model.COMPLETED)
+            self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.standing or kind == model.COMPLETED)
         if kind == model.COMPLETED:
             link.client.finish("completed")
 
--- a/bellrack/net/passing.py
+++ b/bellrack/net/passing.py
@@ -129,7 +129,7 @@
             leg = client.leg.leg
             client.leg.place.legs.pop(client.leg, None)
             client.leg = None
-            self.node.ended(leg, Result(model.CANCELLED, self.node.now - leg.sent), True)
+            self.node.leg_ended(leg, Result(model.CANCELLED, self.node.now - leg.sent), True)
         elif client.call:
             client.call.done = True
             self.node.resumed.discard(client)
@@ -183,7 +183,7 @@
         name, place = str(words["server"]), lines.address(words["place"])
         server = node.server(lines.mark(name))
         server.host = server.host or Place(name, place)
-        call = node.book(
+        call = node.new_call(
             node.names.types.get(request_line.values.get("c", ""), 0),
             0.0,
             key=request_line.key,
@@ -204,7 +204,7 @@
         # In the books before anything can end it: guards against a leg that is taken off before it is put on.
         node.limits.ids[request_line.id] = client
         link.place.legs[link] = None
-        node.resume(leg)
+        node.resume_leg(leg)
         return link
 
     async def connect(self, links: list[Link], socks: list[socket.socket]) -> None:
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -111,7 +111,7 @@
         self.node.counters["list_lines"] += 1
         newest = start_times.newest(entry.row[3] for entry in news.entries)
         rows = [row for entry in news.entries if (row := self.row(entry, newest))]
-        self.node.entries(rows, news.whole, kept)
+        self.node.apply_entries(rows, news.whole, kept)
         for server in map(self.node.servers.get, self.cordoned):
             if server and not server.out:  # forgotten meanwhile, or told by our other process: it stays out
                 self.node.balancer.withheld(server, True)
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -39,7 +39,7 @@
         if server.state != model.GONE or server.stand.open:
             server.host.used = self.node.now
         elif self.node.now - server.host.used > FORGET:
-            self.node.forget(server)
+            self.node.forget_server(server)
             self.node.invariants.forget(server)
             self.node.server_list.forget(server.mark)
 
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -37,7 +37,7 @@
             "complete": versions.complete,
             "later": {str(mark): version for mark, version in versions.later.items()},
         },
-        "learned": node.learned(),
+        "learned": node.export_learned(),
         "out": list(node.server_list.cordoned.values()),  # for versions that do not read the orders
         "orders": [[order.name, order.out, order.given] for order in orders],
         "seen": [*node.limits.seen, *node.limits.ids],
@@ -114,7 +114,7 @@
         for mark, values in learned.get("servers", {}).items()
         if same_start(node.servers.get(int(mark)), stamps.get(mark))
     }
-    node.taught(learned, later=node.hot_restart.clock_ahead)
+    node.import_learned(learned, later=node.hot_restart.clock_ahead)
 
 
 def same_start(server: Any, stamp: float | None) -> bool:
--- a/bellrack/simulator/adapter.py
+++ b/bellrack/simulator/adapter.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from bellrack import model
-from bellrack.accounting import Books
+from bellrack.accounting import Accounting
 from bellrack.choice import Balancer
 from bellrack.model import Call, Leg, Result, Server, Settings
 from bellrack.settings import parse_settings
@@ -29,7 +29,7 @@
 DELTA, FULL_LIST, CACHED, FAILED = 0, 1, 2, 3
 
 
-class Instance(Books):
+class Instance(Accounting):
     """One balancer and its Door."""
 
     def __init__(
@@ -51,7 +51,7 @@
     # What the balancer may do.
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
-        leg = self.begin(call, server)
+        leg = self.begin_leg(call, server)
         self.reply.add(self.who, "Forward", self._numbers[call], server.mark, _micros(until))
         return leg
 
@@ -111,10 +111,10 @@
 
     def _on_preexisting(self, xid, affinity, customer, server, group, remaining, cost, priority, bits):
         call = self._book(xid, affinity, remaining, group, customer, bits, priority)
-        self.resume(self.begin(call, self.server(server)))
+        self.resume_leg(self.begin_leg(call, self.server(server)))
 
     def _on_flowing(self, xid, server, took, number):
-        self.stand(self._leg("Flowing", xid, number))
+        self.leg_established(self._leg("Flowing", xid, number))
 
     def _on_notice(self, xid, server, x, number, sort):
         leg = self._leg("Notice", xid, number)
@@ -127,7 +127,7 @@
         leg = self._leg("Returned", xid, number)
         if leg.result:
             raise WireError(f"Returned.sendNo: leg {number} of call {xid} has ended already")
-        self.ended(leg, self._result("Returned", result, took, report), bool(complete))
+        self.leg_ended(leg, self._result("Returned", result, took, report), bool(complete))
         self._forget(leg.call)
 
     def _on_dropped(self, xid):
@@ -160,14 +160,14 @@
             if status not in STATES:
                 raise WireError(f"Pool.membersList: unknown status {status}")
             rows.append((number, STATES[status], pack, area, hint or 1.0, since / 1e6, machine))
-        self.entries(rows, kind != DELTA)
+        self.apply_entries(rows, kind != DELTA)
 
     def _book(self, xid, affinity, remaining, group, customer, bits, priority) -> Call:
         if xid in self._open:
             raise WireError(f"Inbound.xid: call {xid} is here already")
         if priority >= len(self.settings.types):
             raise WireError(f"Inbound.priority: no traffic type {priority}")
-        call = self.book(
+        call = self.new_call(
             priority,
             remaining / 1e6,
             key=affinity,
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -14,7 +14,7 @@
 from test_net import HEAD, chunk
 
 from bellrack import discovery_retry, model
-from bellrack.accounting import Books
+from bellrack.accounting import Accounting
 from bellrack.model import Call, Result
 from bellrack.net import discovery
 from bellrack.net import node as host
@@ -124,7 +124,7 @@
             self.world.after(call.node, 0.0, call.fail, "list-rst")
 
 
-class Modelling(Books):
+class Modelling(Accounting):
     """A balancer with the program's own Discovery and decisions, on the clock of its world."""
 
     begun = 100.0
@@ -142,7 +142,7 @@
 
     def listed(self, drained):
         self.has = drained
-        self.entries(
+        self.apply_entries(
             [
                 (mark, model.DRAINING if drained and mark == DRAINS else model.READY, 0, 0, 1.0, 0.0, 0)
                 for mark in range(SERVERS)
@@ -168,18 +168,18 @@
         self.balancer.arrived(Call(self.settings.types[0], self.now + 3.0, self.now))
 
     def send(self, call, server, until):
-        leg = self.begin(call, server)
+        leg = self.begin_leg(call, server)
         self.sent.append((self.now, server.mark))
         self.after(0.005, self.settles, leg)
         return leg
 
     def settles(self, leg):
         if leg.server.mark == DRAINS and self.now > self.world.drain_at:
-            self.ended(leg, Result(model.FULL), leg.call.done)  # a server that drains turns new ones away
+            self.leg_ended(leg, Result(model.FULL), leg.call.done)  # a server that drains turns new ones away
         else:
             leg.server.proved = max(leg.server.proved, leg.sent)
-            self.stand(leg)
-            self.after(0.3, self.ended, leg, Result(model.COMPLETED), True)
+            self.leg_established(leg)
+            self.after(0.3, self.leg_ended, leg, Result(model.COMPLETED), True)
 
     def reject(self, call, wait=0.0):
         call.done = True
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -208,7 +208,7 @@
             assert second.balancer.cold.usual() >= 17.5 and second.balancer.avoids(second.servers[first.mark])
             for odd in (5, {"x": {}}, {first.mark: {"weight": "1"}}, {}):
                 with contextlib.suppress(AttributeError, ValueError):
-                    second.taught({"servers": odd})
+                    second.import_learned({"servers": odd})
             assert same.weight == 0.25
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from bellrack import model
-from bellrack.accounting import Books
+from bellrack.accounting import Accounting
 from bellrack.peers import sums
 from bellrack.peers.overload import OverloadDetector
 from tests.helpers import Bench, settings
@@ -236,10 +236,10 @@
 
 
 def test_a_server_told_late_stays_shut_for_the_process_that_takes_over():
-    first, after = (Books(settings(), 7, 100.0, lambda *_: Bench(settings()).rack) for _ in range(2))
+    first, after = (Accounting(settings(), 7, 100.0, lambda *_: Bench(settings()).rack) for _ in range(2))
     for books in first, after:
-        books.entries([(5, model.READY, 0, 0, 1.0, 0.0, 0)], True)
+        books.apply_entries([(5, model.READY, 0, 0, 1.0, 0.0, 0)], True)
     first.balancer.draw.delayed(first.servers[5], 0.8)
-    after.taught(first.learned())
+    after.import_learned(first.export_learned())
     after.balancer.door.now += 1
     assert after.balancer.avoids(after.servers[5])
