--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -101,10 +101,10 @@
     world: World
 
     def choose(self, call: Call, places: list[Server]) -> Server | None:
-        world, now, want = self.world, self.world.now, call.host.want
+        world, now, want = self.world, self.world.now, call.host_record.want
         found = []
         for server in places:
-            machine = call.host.node.machines[server.mark]
+            machine = call.host_record.node.machines[server.mark]
             if not machine.up or machine.silent or machine.draining or machine.fallen:
                 continue
             extra = want.load + (machine.group_cost if want.group and want.group not in machine.groups else 0)
@@ -116,7 +116,7 @@
             full = (machine.demand + coming + extra) / can + machine.piled(now)
             if full < BRIM:
                 # With room enough, what it adds to the fleet's work counts; then where it is least felt.
-                away = CROSSING * (machine.zone != call.host.node.zone)
+                away = CROSSING * (machine.zone != call.host_record.node.zone)
                 found.append((full > EASY, extra + away if full <= EASY else full + away, full, server))
         return min(found, key=lambda one: one[:3])[3] if found else None
 
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -137,8 +137,10 @@
 
     def reject(self, call: Call, wait: float = 0.0) -> None:
         call.done = True
-        if call.host:
-            self.later(wait + self.play.chance.uniform(0.05, 0.3), self.calls, call.host - 1, call.group)
+        if call.host_record:
+            self.later(
+                wait + self.play.chance.uniform(0.05, 0.3), self.calls, call.host_record - 1, call.group
+            )
 
     def release(self, call: Call) -> None:
         call.done = True
@@ -150,7 +152,7 @@
     def calls(self, retries: int, group: int) -> None:
         """A client wants a connection."""
         call = self.new_call(0, PATIENCE, group=group)
-        call.host = retries
+        call.host_record = retries
         self.balancer.arrived(call)
 
     def wake(self, when: float, what: Any) -> None:
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -129,16 +129,16 @@
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
         leg = self.begin_leg(call, server)
-        attempt: Attempt = call.host
+        attempt: Attempt = call.host_record
         machine = self.machines[server.mark]
         out = Out(attempt, leg, machine, len(call.legs), self.now, self.world.delay(self.zone, machine.zone))
-        leg.host = out
+        leg.host_record = out
         self.world.legs.goes(out, until)
         return leg
 
     def cancel(self, leg: Leg) -> None:
         if not leg.standing:
-            self.soon(self.leg_over, leg.host, model.CANCELLED)
+            self.soon(self.leg_over, leg.host_record, model.CANCELLED)
 
     def reject(self, call: Call, wait: float = 0.0) -> None:
         self.answer(call, "rejected", min(wait, self.settings.max_open_wait))
@@ -148,13 +148,13 @@
 
     def answer(self, call: Call, how: str, wait: float = 0.0) -> None:
         call.done = True
-        attempt: Attempt = call.host
+        attempt: Attempt = call.host_record
         self.note_answer(attempt, how, wait)
         self.attempts.pop(attempt, None)
         self.world.agenda.after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
 
     def move(self, call: Call) -> None:
-        self.soon(self.moved, call.host, model.CANCELLED)
+        self.soon(self.moved, call.host_record, model.CANCELLED)
 
     def watch(self, on: bool = True) -> None:
         self.world.roster.watch(self, on)
@@ -196,7 +196,7 @@
             repeat=attempt.repeat,
             returned=want.returned,
         )
-        call.host, attempt.call = attempt, call
+        call.host_record, attempt.call = attempt, call
         self.attempts[attempt] = None
         self.note_call(attempt)
         if self.shutting_down:
@@ -264,10 +264,10 @@
         """A connection that stood before the run."""
         want = attempt.want
         call = self.new_call(want.type, 0.0, key=want.key, group=want.group, tenant=want.tenant)
-        call.host, attempt.call = attempt, call
+        call.host_record, attempt.call = attempt, call
         self.attempts[attempt] = None
         leg = self.begin_leg(call, self.servers[self.world.marks[machine]])
-        out = leg.host = attempt.out = Out(
+        out = leg.host_record = attempt.out = Out(
             attempt, leg, machine, 1, self.now, self.world.delay(self.zone, machine.zone)
         )
         out.stood = True
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -121,7 +121,7 @@
         call = self.new_call(0, HELD, group=group)
         leg = Leg(call, server, self.now - took)
         call.legs.append(leg)
-        call.host = held = Held(self)
+        call.host_record = held = Held(self)
         held.leg = leg
         self.held.append(held)
         self.resume_leg(leg)
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -440,7 +440,7 @@
     node.server_list.on_list(lines.listing(json.loads(listing(servers))))
     legs = list(node.servers.values())
     for n in range(connections):
-        legs[n % servers].host.legs[StandingLink(node)] = None
+        legs[n % servers].host_record.legs[StandingLink(node)] = None
     return alone
 
 
@@ -500,7 +500,7 @@
         host = host_of()
         for server in host.fleet(count, 10):
             server.stand.ceiling, server.stand.cut = 0.0, host.now
-        host.ask(1).host = host  # all that is made once
+        host.ask(1).host_record = host  # all that is made once
         number = 20
         return allocated(lambda: [host.ask(n + 2) for n in range(number)])[0] // number
 
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -134,7 +134,7 @@
     tried: float = -math.inf  # when a new connection was last sent to it
     unproved: bool = False  # neither for long, while the list ages: a call without a group goes there first
     stand: Any = None
-    host: Any = None  # the host's own record of it
+    host_record: Any = None  # the host's own record of it
 
     @property
     def ready(self) -> bool:
@@ -189,7 +189,7 @@
     places: list[Server] = field(default_factory=list)  # where the chain may still put it
     lots: dict[Server, float] = field(default_factory=dict)  # by server, while it has no leg out
     waits: list[Server] = field(default_factory=list)  # those that it waits for while it is kept
-    host: Any = None  # the host's own record of it
+    host_record: Any = None  # the host's own record of it
 
 
 @dataclass(eq=False)
@@ -202,7 +202,7 @@
     standing: bool = False
     load: float = 0.0  # as last told; 0 before
     result: Result | None = None
-    host: Any = None  # the host's own record of it
+    host_record: Any = None  # the host's own record of it
 
 
 @dataclass(eq=False)
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -84,7 +84,7 @@
         if self.resumed.holds_back_move(call.legs[-1]):
             self.act(self.may_move_later, call.legs[-1])
         else:
-            self.act(call.host.move, "moved")
+            self.act(call.host_record.move, "moved")
 
     def watch(self, on: bool = True) -> None:
         self.act(self.discovery.watch, on)
@@ -111,11 +111,11 @@
     def answer(self, call: Call, line: bytes, how: str) -> None:
         call.done = True
         self.counters[how] += 1
-        call.host.counted_as("rejected" if how == "rejected" else "failed")
-        self.act(call.host.answer, line, how)
+        call.host_record.counted_as("rejected" if how == "rejected" else "failed")
+        self.act(call.host_record.answer, line, how)
 
     def connect(self, leg: Leg, until: float) -> None:
-        client: Client = leg.call.host
+        client: Client = leg.call.host_record
         if not leg.call.done:
             client.forget_if_closed()
         if leg.call.done:
@@ -127,15 +127,15 @@
             ServerLink(self, leg, client, until)
 
     def probing(self, server: Server) -> None:
-        if server.host and self.limits.probe():
+        if server.host_record and self.limits.probe():
             self.counters["probes"] += 1
             Probe(self, server)
         else:
             self.counters["probes_held_back"] += 1
 
     def cancelled(self, leg: Leg) -> None:
-        if leg.host and not leg.standing:
-            leg.host.end(model.CANCELLED, "cancelled")
+        if leg.host_record and not leg.standing:
+            leg.host_record.end(model.CANCELLED, "cancelled")
 
     # What happens to it.
 
@@ -169,7 +169,7 @@
             returned=values.get("again") == "1",
         )
         self.counters["calls"] += 1
-        call.host, client.call = client, call
+        call.host_record, client.call = client, call
         self.limits.ids[request_line.id] = client
         self.limits.no_longer(client)
         client.lasts(None)
@@ -189,15 +189,15 @@
     def stands(self, leg: Leg, resumes: bool) -> None:
         self.counters["stood"] += 1
         if resumes:
-            self.resumed.on_established(leg.call.host)
+            self.resumed.on_established(leg.call.host_record)
             leg.call.legs.append(leg)
             self.resume_leg(leg)
         else:
-            leg.call.host.counted_as("completed")
+            leg.call.host_record.counted_as("completed")
             leg.server.proved = max(leg.server.proved, leg.sent)
             self.leg_established(leg)
         if self.shutdown and not self.hot_restart.giver:
-            self.act(leg.call.host.move, "moved")
+            self.act(leg.call.host_record.move, "moved")
 
     def leg_over(self, link: ServerLink, kind: str) -> None:
         leg = link.leg
@@ -217,7 +217,7 @@
         value = lines.figure(figure)
         if value is None:
             return  # it says nothing of the server
-        place: Place = leg.server.host
+        place: Place = leg.server.host_record
         if self.names.tells_delay and not self.names.tells_load:
             place.told = self.now
             self.counters["late_notices"] += 1
--- a/bellrack/net/passing.py
+++ b/bellrack/net/passing.py
@@ -182,7 +182,7 @@
         node, request_line = self.node, lines.parse_request_line(words["line"].encode())
         name, place = str(words["server"]), lines.address(words["place"])
         server = node.server(lines.mark(name))
-        server.host = server.host or Place(name, place)
+        server.host_record = server.host_record or Place(name, place)
         call = node.new_call(
             node.names.types.get(request_line.values.get("c", ""), 0),
             0.0,
@@ -192,7 +192,7 @@
         ahead = node.hot_restart.clock_ahead
         leg = Leg(call, server, float(words["sent"]) + ahead)
         call.legs.append(leg)
-        call.host, client.call, client.request_line = client, call, request_line
+        call.host_record, client.call, client.request_line = client, call, request_line
         link = ServerLink(node, leg, client, node.now, stood=True)
         link.asked.extend(float(when) + ahead for when in words["asked"])
         client.answered = True
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -50,7 +50,7 @@
         if client.call.done:
             return
         server = self.node.servers.get(lines.mark(client.request_line.values["at"]))
-        known = server is not None and server.host is not None
+        known = server is not None and server.host_record is not None
         match resumption.next_action(self.node.now, known, self.descriptors_free()):
             case Attempt(give_up_at):
                 leg = Leg(client.call, server, self.node.now)
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -125,9 +125,9 @@
         if entry.address is None and mark not in self.node.servers:
             return None
         server = self.node.servers.setdefault(mark, Server(mark))
-        server.host = server.host or Place(entry.name, entry.address)
-        server.host.address = entry.address or server.host.address
-        started = self.started(server.host, stamp, newest)
+        server.host_record = server.host_record or Place(entry.name, entry.address)
+        server.host_record.address = entry.address or server.host_record.address
+        started = self.started(server.host_record, stamp, newest)
         if server.stand and (state != server.state or started != server.since):
             log.tell("server", name=entry.name, state=state, was=server.state, started=started)
         zones, zone = self.node.names.zones, server.zone
@@ -146,7 +146,7 @@
 
     def written(self) -> dict[str, Any]:
         """The list in hand, in the form that discovery sends a whole one."""
-        listed = [s for s in self.node.servers.values() if s.host and s.state != model.GONE]
+        listed = [s for s in self.node.servers.values() if s.host_record and s.state != model.GONE]
         return lines.told(self.written_rows(listed))
 
     def written_rows(self, servers: Iterable[Server]) -> Iterator[tuple]:
@@ -155,13 +155,13 @@
         machines = {index: name for name, index in self.machine_types.items()}
         for server in servers:
             yield (
-                server.host.name,
-                server.host.address,
+                server.host_record.name,
+                server.host_record.address,
                 zones.get(server.zone, ""),
                 server.state,
                 server.cell,
                 server.weight,
-                server.host.start.stamp if server.host.start else server.since,
+                server.host_record.start.stamp if server.host_record.start else server.since,
                 machines.get(server.kind, ""),
             )
 
@@ -172,7 +172,7 @@
             yield self.written() | {"generation": ours.complete}
         for version in sorted(set(ours.later.values())):
             marks = [mark for mark, later in ours.later.items() if later == version > versions.of(mark)]
-            servers = [s for s in map(self.node.servers.get, marks) if s and s.host]
+            servers = [s for s in map(self.node.servers.get, marks) if s and s.host_record]
             if servers:
                 yield lines.told(self.written_rows(servers), version, whole=False)
 
@@ -205,7 +205,7 @@
         """Take a server out by hand, or put it back; no if none of that name is or was listed."""
         mark = lines.mark(name)
         server = self.node.servers.get(mark)
-        listed = server is not None and server.state != model.GONE and server.host is not None
+        listed = server is not None and server.state != model.GONE and server.host_record is not None
         if mark not in self.cordoned and not listed:
             return False
         self.on_order(CordonOrder(name, out, self.node.clock() - self.node.anchor))
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -28,23 +28,23 @@
             node.counters["late_seen"] = judged
         for server in list(node.servers.values()):
             self.forget_unused(server)
-            if server.host.legs:
+            if server.host_record.legs:
                 self.time_messages(server)
-                self.end_silent(server.host)
+                self.end_silent(server.host_record)
             else:
-                server.host.took.clear()
+                server.host_record.took.clear()
 
     def forget_unused(self, server: Server) -> None:
         """Guards against records that grow with each machine that is replaced."""
         if server.state != model.GONE or server.stand.open:
-            server.host.used = self.node.now
-        elif self.node.now - server.host.used > FORGET:
+            server.host_record.used = self.node.now
+        elif self.node.now - server.host_record.used > FORGET:
             self.node.forget_server(server)
             self.node.invariants.forget(server)
             self.node.server_list.forget(server.mark)
 
     def time_messages(self, server: Server) -> None:
-        node, place = self.node, server.host
+        node, place = self.node, server.host_record
         delay = place.look(node.now)
         late = delay > NOTICE * node.settings.quickest
         if node.names.tells_delay and (late or place.late) and node.now - place.told > TOLD_FOR:
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -122,16 +122,16 @@
         self.asked: deque[float] = deque()  # when the client's lines still unanswered went on
         self.written = stood  # in another process before: it is up and needs no connecting
         self.said = ""  # how the server said that the connection ends
-        leg.host = client.leg = self
+        leg.host_record = client.leg = self
         self.timer = node.at(until, self.late)
         if not stood:
             # A resumed connection has no other server: it waits for the kernel to repeat the handshake.
             wait = math.inf if resumes else node.names.connect_timeout
-            self.open(leg.server.host.address, min(wait, max(0.0, until - node.now)))
+            self.open(leg.server.host_record.address, min(wait, max(0.0, until - node.now)))
 
     @property
     def place(self) -> Place:
-        return self.leg.server.host
+        return self.leg.server.host_record
 
     def described(self) -> dict[str, Any]:
         return {"id": self.request_id}
@@ -268,7 +268,7 @@
         self.fields = len(node.settings.report)
         node.limits.probes += 1
         self.node.after(PROBE_WAIT, self.over_with, model.TIMEOUT)
-        self.open(server.host.address, PROBE_WAIT)
+        self.open(server.host_record.address, PROBE_WAIT)
 
     def ready(self) -> None:
         if not self.asked and not self.ended:
@@ -292,5 +292,5 @@
             self.drop()
             self.node.limits.probes -= 1
             self.node.counters[f"probe_{kind.replace(' ', '_')}"] += 1
-            self.finish(kind, server=self.server.host.name)
+            self.finish(kind, server=self.server.host_record.name)
             self.node.balancer.probed(self.server, Result(kind, self.node.now - self.begun, report))
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -119,7 +119,7 @@
 
 def same_start(server: Any, stamp: float | None) -> bool:
     """Does this stamp of the predecessor's list tell of the server's last start that we know?"""
-    return server is not None and server.host is not None and server.host.start.stamp == stamp
+    return server is not None and server.host_record is not None and server.host_record.start.stamp == stamp
 
 
 def adopt_requests(node: Any, predecessor: Predecessor) -> None:
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -222,7 +222,7 @@
     Mutant(
         "the process's own move waits",
         "net/node.py",
-        'self.act(leg.call.host.move, "moved")\n\n',
+        'self.act(leg.call.host_record.move, "moved")\n\n',
         "self.move(leg.call)\n\n",
     ),
     Mutant(
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -113,7 +113,7 @@
     async with World(servers=2, control=True, listen=free()) as world:
         old = world.node
         _, server = await world.standing()
-        link = next(iter(next(s for s in old.servers.values() if s.host.legs).host.legs))
+        link = next(iter(next(s for s in old.servers.values() if s.host_record.legs).host_record.legs))
         link.asked.append(old.clock())  # a line of the client that is still unanswered
         first, second = old.servers.values()
         first.stand.bad_until, second.stand.warm_at = old.clock() + 60, old.clock() + 8
@@ -127,7 +127,7 @@
             assert 10.5 < new.begun - new.resumed.window.started < 12
             old.leave()
             await world.until(lambda: new.counters["taken_over"])
-            taken = next(iter(next(s for s in new.servers.values() if s.host.legs).host.legs))
+            taken = next(iter(next(s for s in new.servers.values() if s.host_record.legs).host_record.legs))
             assert 0 <= new.clock() - taken.asked[0] < 5 and 0 <= new.clock() - taken.leg.sent < 5
             with contextlib.suppress(ConnectionError):
                 server.end("fin")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -404,7 +404,7 @@
 
 
 def server(world, number):
-    return next(one for one in world.node.servers.values() if one.host.name == f"s-{number}")
+    return next(one for one in world.node.servers.values() if one.host_record.name == f"s-{number}")
 
 
 async def drained(world, number=0):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -253,7 +253,7 @@
 async def test_a_server_that_says_nothing_is_silent_however_much_its_client_sends():
     async with World() as world:
         client, _ = await world.standing()
-        (link,) = next(iter(world.node.servers.values())).host.legs
+        (link,) = next(iter(world.node.servers.values())).host_record.legs
         for sent in (100, 200):
             client.writer.write(b"M\r\n" * 100)
             await world.until(lambda sent=sent: world.node.counters["lines_to_servers"] == sent)
@@ -421,7 +421,7 @@
     answering = asyncio.create_task(agent())
     async with world:
         assert world.node.readiness.heard and answering.done()
-        states = {server.host.name: server.state for server in world.node.servers.values()}
+        states = {server.host_record.name: server.state for server in world.node.servers.values()}
         assert states == {"s-0": model.DRAINING, "s-1": model.READY}
         clients = []  # kept open: one that is dropped has left, and a client that has left is not sent on
         for _ in range(4):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -171,7 +171,7 @@
         world.raw["known"] = {"generation": 3, "reset": True, "instances": []}  # as old as its configuration
         async with world.beside() as second:
             here, there = (
-                sorted((s.mark, s.zone, s.state, s.size, s.host.address) for s in one.servers.values())
+                sorted((s.mark, s.zone, s.state, s.size, s.host_record.address) for s in one.servers.values())
                 for one in (world.node, second)
             )
             assert here == there and len(here) == 2
@@ -186,11 +186,11 @@
         assert (await world.ask("/_servers/detach", "s-1"))[0] == 200
         await world.until(lambda: len(old.server_list.cordoned) == 2)
         (old_ready,), (new_ready,) = old.balancer.listing.ready, world.node.balancer.listing.ready
-        assert old_ready.host.name == new_ready.host.name == "s-2"
+        assert old_ready.host_record.name == new_ready.host_record.name == "s-2"
         new, world.node = world.node, old
         assert (await world.ask("/_servers/attach", "s-0"))[0] == 200
         await world.until(lambda: len(new.server_list.cordoned) == 1)
-        (server,) = (s for s in new.servers.values() if s.host.name == "s-0")
+        (server,) = (s for s in new.servers.values() if s.host_record.name == "s-0")
         assert not server.out and server.stand.warm_at > new.now  # restarted meanwhile, as far as we know
         new.over.set()
         await serving
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -287,7 +287,7 @@
     async with World(servers=2) as world:
         client = await world.call()
         await world.until(lambda: world.node.counters["legs"])
-        chosen = next(s for s in world.node.servers.values() if s.stand.open).host.name[-1]
+        chosen = next(s for s in world.node.servers.values() if s.stand.open).host_record.name[-1]
         drained = world.entry(chosen, world.entries[int(chosen)]["hostPort"], "terminating")
         world.node.queue(
             world.node.server_list.on_list,
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -146,7 +146,7 @@
         server.say("UP 0011")
         assert await client.line() == "UP 0011"
         full = [one for one in world.node.servers.values() if one.stand.full == 1.4]
-        assert len(full) == 1 and full[0].host.name != f"s-{number}"
+        assert len(full) == 1 and full[0].host_record.name != f"s-{number}"
         assert world.node.counters["probes"] == world.node.counters["probe_completed"] == 2
 
 
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -53,7 +53,7 @@
 
 
 def states(node):
-    return {server.host.name: server.state for server in node.servers.values()}
+    return {server.host_record.name: server.state for server in node.servers.values()}
 
 
 @pytest.mark.parametrize("whole", [False, True])
@@ -287,7 +287,7 @@
             assert states(node) == expected
             out = {name: name in node.server_list.cordoned.values() for name in handover.ordered}
             assert out == handover.ordered
-            assert {s.host.name for s in node.servers.values() if s.out} == set(
+            assert {s.host_record.name for s in node.servers.values() if s.out} == set(
                 node.server_list.cordoned.values()
             )
     finally:
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -168,7 +168,7 @@
     async with World(servers=2, effect=effect) as world:
         client = await world.call()
         await world.leg()
-        (link,) = [one.call.legs[0].host for one in world.node.clients]
+        (link,) = [one.call.legs[0].host_record for one in world.node.clients]
         link.transport._fatal_error(OSError(error, os.strerror(error)))  # what asyncio makes of it
         if told.startswith("UP"):
             _, second, _ = await world.leg()
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -244,7 +244,7 @@
                 "instances": [
                     {
                         "instanceId": "s-0",
-                        "hostPort": lines.written(next(iter(host.servers.values())).host.address),
+                        "hostPort": lines.written(next(iter(host.servers.values())).host_record.address),
                         "zone": "a",
                         "cell": 0,
                         "machineType": "m",
