--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -29,7 +29,7 @@
 
 
 class Accounting:
-    """One balancer with its records. Hosts derive from it and add what the balancer may do, its Door."""
+    """One balancer with its records. Hosts derive from it and add what the balancer may do, its Host."""
 
     def __init__(self, settings: Settings, seed: int, now: float, decides: Callable[..., Any] = Balancer):
         self.settings, self.now = settings, now
--- a/bellrack/chain.py
+++ b/bellrack/chain.py
@@ -20,7 +20,7 @@
     after: Stage
 
     def __init__(self, rack: Balancer):
-        self.rack, self.settings, self.door = rack, rack.settings, rack.door
+        self.rack, self.settings, self.host = rack, rack.settings, rack.host
 
     def take(self, call: Call) -> None:
         self.after.take(call)
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -1,7 +1,7 @@
 """All decisions of bellrack, and all its settings.
 
-A host makes one Balancer(settings, seed, door) for each instance and tells it what happens through the
-methods named in bellrack/model.py, where the interface and the types are; the balancer acts through the Door
+A host makes one Balancer(settings, seed, host) for each instance and tells it what happens through the
+methods named in bellrack/model.py, where the interface and the types are; the balancer acts through the Host
 it was given. A call runs down the chain Answer, Listed, Effect, Zone, Draw; what becomes of its leg runs back
 up. Cold is asked by Zone which servers may take one more.
 """
@@ -13,7 +13,7 @@
 from bellrack import model
 from bellrack.chain import Stage, link
 from bellrack.discovery_retry import Retry
-from bellrack.model import Call, Door, Leg, Result, Server, Settings
+from bellrack.model import Call, Host, Leg, Result, Server, Settings
 from bellrack.peers.overload import OverloadDetector
 from bellrack.rng import Rng, lcg_step
 
@@ -49,7 +49,7 @@
     """Rule 1: each call gets one final answer by its guard time, and nothing after it."""
 
     def arrived(self, call: Call) -> None:
-        self.door.wake(self.last_moment(call), call)
+        self.host.wake(self.last_moment(call), call)
         self.take(call)
 
     def take(self, call: Call) -> None:
@@ -57,7 +57,7 @@
             return
         if len(call.legs) >= self.settings.max_legs:
             self.give_up(call, "max-attempts")
-        elif self.door.now >= self.last_moment(call):
+        elif self.host.now >= self.last_moment(call):
             self.give_up(call, "deadline")
         else:
             self.after.take(call)
@@ -74,9 +74,9 @@
         """Its one answer; `why` goes to the log."""
         call.refusal = why
         if self.rack.effect.harmless(call):
-            self.door.reject(call, BACK * self.settings.max_open_wait)
+            self.host.reject(call, BACK * self.settings.max_open_wait)
         else:
-            self.door.release(call)
+            self.host.release(call)
 
     def stands(self, leg: Leg) -> None: ...
 
@@ -93,7 +93,7 @@
             return
         risky, kind = self.risky(call), call.type
         call.write_by = self.write_by(call)
-        if self.door.now >= call.write_by:
+        if self.host.now >= call.write_by:
             self.rack.answer.give_up(call, "may-have-run")
             return
         if risky and kind.effect == model.REFERENCED:
@@ -140,21 +140,21 @@
     withheld = False  # another process of this balancer has its part
 
     def __init__(self, rack: Balancer):
-        self.rack, self.settings, self.door = rack, rack.settings, rack.door
+        self.rack, self.settings, self.host = rack, rack.settings, rack.host
 
     def bears(self, server: Server) -> bool:
         """Is it warm, or may it take one more?"""
-        return server.stand.warm_at <= self.door.now or self.room(server)
+        return server.stand.warm_at <= self.host.now or self.room(server)
 
     def warm(self, server: Server) -> float:
         """The share of its capacity that a server surely has by now."""
-        left = (server.stand.warm_at - self.door.now) / self.settings.ramp_time
+        left = (server.stand.warm_at - self.host.now) / self.settings.ramp_time
         return 1.0 - (1.0 - self.settings.cold_share) * min(1.0, left) if left > 0 else 1.0
 
     def usual(self) -> float:
         """Own open connections by size on listed warm servers that are not late: what one surely bears."""
-        if self.door.now >= self.looked + LOOK:
-            self.looked, late = self.door.now, self.rack.draw.told_late
+        if self.host.now >= self.looked + LOOK:
+            self.looked, late = self.host.now, self.rack.draw.told_late
             warm = [s for s in self.rack.fleet if s.ready and s.stand.warm_at <= self.looked and not late(s)]
             size = sum(s.size for s in warm)
             self.borne = max(self.borne, sum(s.stand.open for s in warm) / size if size else 0.0)
@@ -162,7 +162,7 @@
 
     def room(self, server: Server) -> bool:
         under = server.stand.open + server.stand.part < self.usual() * server.size
-        calm = self.door.now - server.stand.told > SWAMPED_FOR and self.rack.draw.room(server)
+        calm = self.host.now - server.stand.told > SWAMPED_FOR and self.rack.draw.room(server)
         return under and calm and self.tokens(server) > 0
 
     def tokens(self, server: Server) -> int:
@@ -170,7 +170,7 @@
         from when we were told; those not used in time are lost, lest a rush find all of them kept."""
         if self.withheld:
             return 0
-        stand, rules, now, bears = server.stand, self.settings, self.door.now, self.usual() * server.size
+        stand, rules, now, bears = server.stand, self.settings, self.host.now, self.usual() * server.size
         budget, anew = rules.cold_budget(self.borne, server.size * self.warm(server))
         rate = min(AHEAD * bears / rules.ramp_time, anew / rules.fall_time)
         kept = (budget - rate * rules.fall_time) * max(1.0, 1 / (RUSH * bears))
@@ -193,7 +193,7 @@
     def may_write(self, server: Server) -> bool:
         """May a set-up that was sent earlier go out now? Counts it if so. Guards against connections that
         come up late, and then together: what a cold server bears counts when lines come there."""
-        now, rules, stand = self.door.now, self.settings, server.stand
+        now, rules, stand = self.host.now, self.settings, server.stand
         if stand.warm_at <= now:
             return True
         budget, _ = rules.cold_budget(self.borne, server.size * self.warm(server))
@@ -206,7 +206,7 @@
 
     def spend(self, server: Server) -> None:
         """What was issued so far may have been used by a process before us."""
-        if server.stand.warm_at > self.door.now:
+        if server.stand.warm_at > self.host.now:
             server.stand.taken += max(0, self.tokens(server))
 
     def sent(self, server: Server) -> None:
@@ -214,9 +214,9 @@
         sure, calm = self.usual() * server.size, self.rack.draw.calm(server.zone)
         gap = 1 / max(GROWTH * max(server.stand.open, sure), LEAST_PACE / self.settings.peers) / calm
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
-        sure = max(sure, 2) if self.rack.overload.hears(self.door.now) else sure
+        sure = max(sure, 2) if self.rack.overload.hears(self.host.now) else sure
         gap *= self.warm(server) == 1.0 and (server.stand.open >= sure or calm < SPILLOVER_RATIO)
-        server.stand.taken, server.stand.next_leg = server.stand.taken + 1, self.door.now + gap
+        server.stand.taken, server.stand.next_leg = server.stand.taken + 1, self.host.now + gap
 
 
 class Zone(Stage):
@@ -226,7 +226,7 @@
     ceiling, cut = math.inf, 0.0
 
     def take(self, call: Call) -> None:
-        now, draw, server = self.door.now, self.rack.draw, None
+        now, draw, server = self.host.now, self.rack.draw, None
         home = [s for s in call.places if s.zone == self.settings.zone]
         if self.share() >= SPILLOVER_RATIO:
             server = draw.pick(call, [s for s in home if s.stand.bad_until <= now])
@@ -243,12 +243,12 @@
         """Guards against a jam of the whole fleet, in which what is moved lands on other late servers."""
         zones = [self.rack.draw.calm(zone) for zone in dict.fromkeys(s.zone for s in self.rack.fleet)]
         if sum(zones) < SPILLOVER_RATIO * len(zones):
-            held = max(self.rack.held, FEW if self.rack.overload.hears(self.door.now) else 1)
-            self.ceiling, self.cut = JAM_CUT * min(self.ceiling, held), self.door.now
+            held = max(self.rack.held, FEW if self.rack.overload.hears(self.host.now) else 1)
+            self.ceiling, self.cut = JAM_CUT * min(self.ceiling, held), self.host.now
 
     def tidy(self) -> None:
         """Guards against connections that cross zones for life: a few come again while our zone is calm."""
-        home, now, draw = self.matched(), self.door.now, self.rack.draw
+        home, now, draw = self.matched(), self.host.now, self.rack.draw
         calm = [s for s in home if draw.healthy(s) and s.stand.warm_at <= now and now - s.stand.told > CALM]
         if home and len(calm) == len(home) and all(map(draw.room, home)):
             away = [leg for s in self.rack.fleet if s.zone != self.settings.zone for leg in s.stand.legs]
@@ -259,8 +259,8 @@
 
     def share(self) -> float:
         """Healthy matched over all matched; a cold server counts as far as it is warm."""
-        if self.door.now >= self.looked + LOOK:
-            self.looked, matched = self.door.now, self.matched()
+        if self.host.now >= self.looked + LOOK:
+            self.looked, matched = self.host.now, self.matched()
             fit = [s for s in matched if self.rack.draw.healthy(s) and not self.rack.draw.late(s)]
             self.last = sum(self.rack.cold.warm(s) for s in fit) / len(matched) if matched else 0.0
         return self.last
@@ -276,13 +276,13 @@
         self.fullness = next((report.index(one) for one in tell if one in report), None)
 
     def healthy(self, server: Server) -> bool:
-        return server.stand.bad_until <= self.door.now
+        return server.stand.bad_until <= self.host.now
 
     def room(self, server: Server, full: float = 1.0) -> bool:
         """Not swamped, and under the ceiling found when it last was."""
         stand, cold = server.stand, self.rack.cold
         # Grows as what is usual does: guards against a small holder that was cut for what others hold there.
-        grown = CEILING_GROWTH * (self.door.now - stand.cut) * max(stand.ceiling, cold.usual() * server.size)
+        grown = CEILING_GROWTH * (self.host.now - stand.cut) * max(stand.ceiling, cold.usual() * server.size)
         if self.reported(server) and stand.full >= full:
             return False
         return not self.late(server) and stand.open + stand.part < cold.warm(server) * (stand.ceiling + grown)
@@ -292,19 +292,19 @@
         stand = server.stand
         if self.told_late(server) or self.reported(server):
             return self.told_late(server) or stand.full >= 1.0
-        unseen = not stand.legs and stand.warm_at <= self.door.now and stand.part > self.calm(server.zone)
-        return unseen and not self.rack.overload.hears(self.door.now)
+        unseen = not stand.legs and stand.warm_at <= self.host.now and stand.part > self.calm(server.zone)
+        return unseen and not self.rack.overload.hears(self.host.now)
 
     def told_late(self, server: Server) -> bool:
-        return server.stand.delay >= SWAMPED and self.door.now - server.stand.told <= server.stand.holds
+        return server.stand.delay >= SWAMPED and self.host.now - server.stand.told <= server.stand.holds
 
     def look(self) -> None:
         """Count, by zone, the servers of which we would be told: those with late messages and all."""
         for seen in self.rack.seen.values():
             seen[0], seen[1] = seen[0] / 2, seen[1] / 2
-        hears = self.rack.overload.hears(self.door.now)
+        hears = self.rack.overload.hears(self.host.now)
         for server in self.rack.listing.ready:
-            if server.stand.legs or hears or self.door.now - server.stand.told <= SWAMPED_FOR:
+            if server.stand.legs or hears or self.host.now - server.stand.told <= SWAMPED_FOR:
                 seen = self.rack.seen.setdefault(server.zone, [0.0, 0.0])
                 seen[0] += self.told_late(server)
                 seen[1] += 1
@@ -328,28 +328,28 @@
             held = server.stand.open / self.rack.cold.warm(server)
             self.lower(server, CEILING * (1 - share) * held)
             self.move(rest, share)
-        server.stand.delay, server.stand.told, server.stand.holds = delay, self.door.now, holds
+        server.stand.delay, server.stand.told, server.stand.holds = delay, self.host.now, holds
 
     def move(self, legs: list[Leg], share: float) -> None:
         """The first of them, rounded by chance: guards against many balancers that each take a whole one."""
         for leg in legs[: int(share * len(legs) + self.rack.rng.uniform())]:
-            self.door.move(leg.call)
+            self.host.move(leg.call)
             del leg.server.stand.legs[leg]
 
     def lower(self, server: Server, ceiling: float) -> None:
         """Not where one of many that know of each other holds one: that is no measure of the server."""
-        if server.stand.open > 1 or not self.rack.overload.hears(self.door.now):
+        if server.stand.open > 1 or not self.rack.overload.hears(self.host.now):
             server.stand.ceiling = min(server.stand.ceiling, ceiling)
 
     def cut(self, server: Server) -> None:
         """Lower the server's ceiling, at most once in the time that a notice holds."""
-        stand, now, rack = server.stand, self.door.now, self.rack
+        stand, now, rack = server.stand, self.host.now, self.rack
         if now - stand.cut > CUT_EVERY:
             # As if warm: guards against a ceiling found while cold that would outlast the warm-up.
             held = stand.open / rack.cold.warm(server)
             self.lower(server, (SHED if rack.overload.unsaid(now) else CEILING) * min(stand.ceiling, held))
             if now - stand.cut > CALM:
-                self.door.log(f"server swamped: held {stand.open}, ceiling {stand.ceiling:.1f}")
+                self.host.log(f"server swamped: held {stand.open}, ceiling {stand.ceiling:.1f}")
             stand.cut = now
 
     def pick(self, call: Call, places: list[Server]) -> Server | None:
@@ -358,7 +358,7 @@
         tried = [leg.server for leg in call.legs]
         if not (places := [s for s in places if s not in tried] or places):
             return None
-        now, warm = self.door.now, self.rack.cold.warm
+        now, warm = self.host.now, self.rack.cold.warm
         sizes = [s.size if s.stand.warm_at <= now else s.size * warm(s) for s in places]
         held = self.rack.fill() or {s: s.stand.open for s in places}
         mean = ABOVE_MEAN * sum([held[s] for s in places]) / sum(sizes)
@@ -389,26 +389,26 @@
         """Of the request's group, while only such servers are asked for it."""
         if not call.group or self.beyond(call):
             return []
-        group, now, holder = call.group, self.door.now, self.rack.overload.holder
+        group, now, holder = call.group, self.host.now, self.rack.overload.holder
         return [s for s in places if s.stand.groups.get(group, 0) >= HOLDS or holder(s, group, now)]
 
     def beyond(self, call: Call) -> bool:
         """Guards against calls that are rejected for a full holder of their group while others have room."""
-        return self.door.now >= call.arrived + HOLDERS_FOR * call.type.setup_target
+        return self.host.now >= call.arrived + HOLDERS_FOR * call.type.setup_target
 
     def reported(self, server: Server) -> bool:
-        return self.door.now <= server.stand.full_until
+        return self.host.now <= server.stand.full_until
 
     def ask(self, server: Server) -> None:
         """Guards against placing blindly where we hold nothing, and so are told nothing."""
-        stand, now = server.stand, self.door.now
+        stand, now = server.stand, self.host.now
         if self.fullness is not None and not self.reported(server) and now - stand.asked > FRESH:
             stand.asked = now
-            self.door.probe(server)
+            self.host.probe(server)
 
     def awaited(self, server: Server) -> bool:
         """Was it asked, and may the answer still come in time?"""
-        return not self.reported(server) and self.door.now - server.stand.asked < ASKED_FOR
+        return not self.reported(server) and self.host.now - server.stand.asked < ASKED_FOR
 
     def probed(self, server: Server, result: Result) -> None:
         """What it found. No connection is no failure of the server, but no call is sent there for a while."""
@@ -420,11 +420,11 @@
         else:
             return
         # That it is full stands longer: guards against asking in vain at each try of a client in a jam.
-        stand.full_until = self.door.now + (FULL_FRESH if stand.full >= FULL else FRESH)
+        stand.full_until = self.host.now + (FULL_FRESH if stand.full >= FULL else FRESH)
 
     def take(self, call: Call) -> None:
         server = call.places[0]
-        if self.door.now >= server.stand.next_leg:
+        if self.host.now >= server.stand.next_leg:
             self.send(call, server)
         else:
             call.waits = [server]
@@ -444,7 +444,7 @@
         self.count(call, server, 1)
         self.rack.cold.sent(server)
         server.stand.missed = False
-        self.door.send(call, server, until)
+        self.host.send(call, server, until)
 
     def count(self, call: Call, server: Server, by: int) -> None:
         server.stand.open += by
@@ -455,7 +455,7 @@
         self.rack.overload.sums.holds(server.mark, server.stand.open, call.group, left)
 
     def stands(self, leg: Leg) -> None:
-        self.rack.overload.stood(leg.server, self.door.now - leg.sent, self.door.now)
+        self.rack.overload.stood(leg.server, self.host.now - leg.sent, self.host.now)
         stand = leg.server.stand
         stand.fails, stand.legs[leg], stand.weight = 0, None, min(1.0, stand.weight + REGAIN)
         self.before.stands(leg)
@@ -465,10 +465,10 @@
             leg.server.stand.full_until = -math.inf  # guards against a report from before it broke
         if leg.standing and result.kind == model.RESET:
             self.cut(leg.server)  # guards against a server that sheds what it cannot carry
-            self.rack.overload.dropped(leg.server, self.door.now)
+            self.rack.overload.dropped(leg.server, self.host.now)
         self.count(leg.call, leg.server, -1)
         leg.server.stand.legs.pop(leg, None)
-        soon = not leg.standing or self.door.now - leg.sent < SOON
+        soon = not leg.standing or self.host.now - leg.sent < SOON
         if result.kind not in (model.COMPLETED, model.CANCELLED, model.MOOT) and soon:
             self.failed(leg.server)
         self.before.back(leg, result)
@@ -477,17 +477,17 @@
         stand = server.stand
         stand.weight, stand.fails = max(FLOOR, stand.weight / 2), stand.fails + 1
         if stand.fails >= FAILURES and self.healthy(server):
-            self.door.log(f"server unhealthy for {HOLD:g} s after {stand.fails} failures in a row")
+            self.host.log(f"server unhealthy for {HOLD:g} s after {stand.fails} failures in a row")
         if stand.fails >= FAILURES:
-            stand.bad_until = self.door.now + HOLD
+            stand.bad_until = self.host.now + HOLD
             self.rack.zone.looked = -math.inf
 
 
 class Balancer(model.Told):
     """One instance."""
 
-    def __init__(self, settings: Settings, seed: int, door: Door):
-        self.settings, self.door = settings, door
+    def __init__(self, settings: Settings, seed: int, host: Host):
+        self.settings, self.host = settings, host
         self.rng = Rng(seed)
         self.fleet: list[Server] = []
         self.kept: list[Call] = []
@@ -498,13 +498,13 @@
         self.seen: dict[int, list[float]] = {}  # by zone: late servers and all that we hear of
         self.answer, self.listing, self.effect = Answer(self), Listed(self), Effect(self)
         self.cold, self.zone, self.draw = Cold(self), Zone(self), Draw(self)
-        self.overload, self.filled = OverloadDetector(settings, door.tell, self.draw.delayed), (-math.inf, {})
+        self.overload, self.filled = OverloadDetector(settings, host.tell, self.draw.delayed), (-math.inf, {})
         link(self.answer, self.listing, self.effect, self.zone, self.draw)
-        door.wake(door.now + TIDY_EVERY * (1 + self.rng.uniform()), "tidy")
+        host.wake(host.now + TIDY_EVERY * (1 + self.rng.uniform()), "tidy")
         if settings.may_publish:
-            door.wake(door.now + TELL_EVERY * (1 + self.rng.uniform()), "tell")
+            host.wake(host.now + TELL_EVERY * (1 + self.rng.uniform()), "tell")
         if settings.asks:
-            door.wake(door.now + self.retry.first(), "watch")
+            host.wake(host.now + self.retry.first(), "watch")
 
     def arrived(self, call: Call) -> None:
         self.answer.arrived(call)
@@ -520,17 +520,17 @@
         self.draw.back(leg, result)
 
     def delayed(self, leg: Leg, delay: float) -> None:
-        self.overload.noticed = self.door.now
+        self.overload.noticed = self.host.now
         self.draw.delayed(leg.server, delay / self.settings.quickest, SWAMPED_FOR)
 
     def fill(self) -> dict[Server, float]:
         """What all balancers hold of each ready server; empty where nobody tells."""
-        if self.door.now >= self.filled[0] + LOOK:
-            self.filled = self.door.now, self.overload.fill(self.listing.ready, self.door.now)
+        if self.host.now >= self.filled[0] + LOOK:
+            self.filled = self.host.now, self.overload.fill(self.listing.ready, self.host.now)
         return self.filled[1]
 
     def heard(self, peer: int, data: bytes) -> None:
-        self.overload.heard(peer, data, self.door.now)
+        self.overload.heard(peer, data, self.host.now)
 
     def probed(self, server: Server, result: Result) -> None:
         self.draw.probed(server, result)
@@ -544,7 +544,7 @@
             self.answer.due(what)
         elif isinstance(what, Server) and what.out:
             self.draw.move(list(what.stand.legs), OUT_SHARE)
-            self.door.wake(self.door.now + OUT_EVERY, what)
+            self.host.wake(self.host.now + OUT_EVERY, what)
         elif what == "kept":
             waiting, self.kept, self.looks = self.kept, [], False
             for call in waiting:
@@ -554,18 +554,18 @@
                 else:
                     self.keep(call)
         elif what == "tidy":
-            self.door.wake(self.door.now + TIDY_EVERY, "tidy")  # first: a fault in one look ends no other
+            self.host.wake(self.host.now + TIDY_EVERY, "tidy")  # first: a fault in one look ends no other
             self.draw.look()
             self.zone.jam()
             self.zone.tidy()
         elif what == "tell":
-            self.door.wake(self.door.now + TELL_EVERY, "tell")
-            self.overload.turn(self.door.now)
+            self.host.wake(self.host.now + TELL_EVERY, "tell")
+            self.overload.turn(self.host.now)
         elif what == "watch":
-            self.door.watch()
+            self.host.watch()
 
     def may_be_placed(self, call: Call) -> bool:
-        now, draw, cold = self.door.now, self.draw, self.cold
+        now, draw, cold = self.host.now, self.draw, self.cold
         return (
             not call.waits
             or draw.beyond(call)
@@ -580,12 +580,12 @@
         """No server may take the call yet: hold it while it is worth something, then answer at once."""
         if call.done:
             return
-        if self.door.now >= call.arrived + KEEP_SHARE * call.type.setup_target:
+        if self.host.now >= call.arrived + KEEP_SHARE * call.type.setup_target:
             self.answer.give_up(call, "no-room")
             return
         if not self.looks:
             self.looks = True
-            self.door.wake(self.door.now + KEEP_STEP, "kept")
+            self.host.wake(self.host.now + KEEP_STEP, "kept")
         self.kept.append(call)
 
     def listed(self, servers: list[Server]) -> None:
@@ -598,7 +598,7 @@
             self.sized(server)
             if server.since != server.stand.since:  # restarted under the same id
                 # Guards against a restart that takes servers half warm for cold: others knew them before us.
-                self.starts(server, server.since if first else self.door.now, server.since)
+                self.starts(server, server.since if first else self.host.now, server.since)
                 server.stand.since = server.since
                 if first:
                     self.cold.spend(server)
@@ -613,7 +613,7 @@
     def starts(self, server: Server, told: float, since: float) -> None:
         """It is cold since then, and we were told then; what it did before counts no more."""
         stand = server.stand
-        if stand.warm_at <= self.door.now:
+        if stand.warm_at <= self.host.now:
             # Not while it is cold already: guards against starts told one after another, each with a budget.
             stand.issued, stand.issued_at, stand.taken = 1 - stand.part, told, 0
         stand.warm_at = since + self.settings.ramp_time
@@ -621,7 +621,7 @@
 
     def withheld(self, server: Server, out: bool) -> None:
         """Taken out by hand, it gets nothing new and what stands is moved. Put back, it is cold."""
-        stand, now, before, server.out = server.stand, self.door.now, server.out, out
+        stand, now, before, server.out = server.stand, self.host.now, server.out, out
         if out and not before:
             stand.out_since = now
             self.woke(server)
@@ -649,4 +649,4 @@
     def unlisted(self, reached: bool = True) -> None:
         """Discovery failed us; `reached` unless it did not even take the call."""
         if self.settings.asks:
-            self.door.wake(self.door.now + self.retry.gap(reached), "watch")
+            self.host.wake(self.host.now + self.retry.gap(reached), "watch")
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -126,8 +126,8 @@
 
     pick: type[Pick] = Pick
 
-    def __init__(self, settings: Any, seed: int, door: Any):
-        super().__init__(settings, seed, door)
+    def __init__(self, settings: Any, seed: int, host: Any):
+        super().__init__(settings, seed, host)
         self.draw = self.pick(self)
         chain.link(self.answer, self.listing, self.effect, self.draw)
 
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -100,7 +100,7 @@
 
 
 class Seat(Accounting):
-    """One balancer, and the Door through which it acts on the start that is played."""
+    """One balancer, and the Host through which it acts on the start that is played."""
 
     def __init__(self, play: Play, number: int, settings: Settings, seed: int, decides: Callable[..., Any]):
         self.play, self.number = play, number
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -22,8 +22,8 @@
 
     stages: dict[str, dict[str, Any]] = {}
 
-    def __init__(self, settings: Any, seed: int, door: Any):
-        super().__init__(settings, seed, door)
+    def __init__(self, settings: Any, seed: int, host: Any):
+        super().__init__(settings, seed, host)
         for name, methods in self.stages.items():
             stage = getattr(self, name)
             for method, body in methods.items():
@@ -32,14 +32,14 @@
 
 def _answers_twice(stage: choice.Answer, call: Call, why: str = "") -> None:
     type(stage).give_up(stage, call, why)
-    stage.door.release(call)
+    stage.host.release(call)
 
 
 def _answers_late(stage: choice.Answer, call: Call, why: str = "") -> None:
-    if stage.door.now > call.guard:
+    if stage.host.now > call.guard:
         type(stage).give_up(stage, call, why)
     else:
-        stage.door.wake(call.guard + LATE, call)
+        stage.host.wake(call.guard + LATE, call)
 
 
 def _never_answers(stage: choice.Answer, call: Call, why: str = "") -> None: ...
@@ -47,10 +47,10 @@
 
 def _holds_back(stage: choice.Answer, call: Call, why: str = "") -> None:
     """Keeps a call that it has given up until its time is nearly over, to spare a retry."""
-    if stage.door.now >= stage.last_moment(call) - 2 * EARLY:
+    if stage.host.now >= stage.last_moment(call) - 2 * EARLY:
         type(stage).give_up(stage, call, why)
     else:
-        stage.door.wake(stage.last_moment(call) - EARLY, call)
+        stage.host.wake(stage.last_moment(call) - EARLY, call)
 
 
 def _sends_after_answer(stage: choice.Answer, call: Call, why: str = "") -> None:
@@ -117,15 +117,15 @@
 class RemembersTooLong(Broken):
     """Takes a referenced call for remembered as long as it lives."""
 
-    def __init__(self, settings: Any, seed: int, door: Any):
-        super().__init__(settings, seed, door)
+    def __init__(self, settings: Any, seed: int, host: Any):
+        super().__init__(settings, seed, host)
         for kind in settings.types:
             kind.key_ttl = 3600.0
 
 
 class LegsWithoutEnd(Broken):
-    def __init__(self, settings: Any, seed: int, door: Any):
-        super().__init__(settings, seed, door)
+    def __init__(self, settings: Any, seed: int, host: Any):
+        super().__init__(settings, seed, host)
         settings.max_legs = 1000
 
 
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -1,4 +1,4 @@
-"""A balancer in virtual time: the decisions with their books, and a Door that acts on the modelled world.
+"""A balancer in virtual time: the decisions with their books, and a Host that acts on the modelled world.
 
 Owns what the daemon's node owns on sockets: turns, timers, the one result of each leg, the way out. It never
 chooses a server. What is asked of it within a turn is done when the turn is over, as on sockets.
@@ -125,7 +125,7 @@
     def soon(self, what: Callable, *values: Any) -> None:
         self.world.agenda.after(0.0, RESULT, self.turn, what, *values)
 
-    # The Door.
+    # The Host.
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
         leg = self.begin_leg(call, server)
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -1,6 +1,6 @@
 """What passes between the decisions (choice.py) and whoever carries them out.
 
-A host makes one `choice.Balancer(settings, seed, door)` for each instance and tells it what happens:
+A host makes one `choice.Balancer(settings, seed, host)` for each instance and tells it what happens:
 
     listed(servers)      these servers are new to the list or their entries changed
     withheld(server, out)  operators took this server out, or put it back
@@ -14,7 +14,7 @@
     left(call)           the client is gone; nothing is owed any more
     probed(server, result), heard(peer, data), woke(what)
 
-The balancer acts through its `Door`. Times are seconds on the host's clock; the host keeps the books of a
+The balancer acts through its `Host`. Times are seconds on the host's clock; the host keeps the books of a
 call (`legs`, `done`, `leg.result`) before it tells the balancer.
 """
 
@@ -221,7 +221,7 @@
     def heard(self, peer: int, data: bytes) -> None: ...
 
 
-class Door(Protocol):
+class Host(Protocol):
     """What an instance may do."""
 
     now: float
--- a/bellrack/simulator/adapter.py
+++ b/bellrack/simulator/adapter.py
@@ -30,7 +30,7 @@
 
 
 class Instance(Accounting):
-    """One balancer and its Door."""
+    """One balancer and its Host."""
 
     def __init__(
         self,
--- a/bellrack/simulator/tally.py
+++ b/bellrack/simulator/tally.py
@@ -66,8 +66,8 @@
         before = server.stand.asked
         super().ask(server)
         if server.stand.asked != before:
-            self.seen.probes[server.mark, int(self.door.now)] += 1
-            self.seen.cold[server.mark, int(self.door.now)] += server.stand.warm_at > self.door.now
+            self.seen.probes[server.mark, int(self.host.now)] += 1
+            self.seen.cold[server.mark, int(self.host.now)] += server.stand.warm_at > self.host.now
 
     def probed(self, server: Server, result: choice.Result) -> None:
         super().probed(server, result)
@@ -88,8 +88,8 @@
 
 def watched(seen: Seen) -> type[choice.Balancer]:
     class Watched(choice.Balancer):
-        def __init__(self, settings: choice.Settings, seed: int, door: choice.Door):
-            super().__init__(settings, seed, door)
+        def __init__(self, settings: choice.Settings, seed: int, host: choice.Host):
+            super().__init__(settings, seed, host)
             self.draw = type("Draw", (WatchedDraw,), {"seen": seen})(self)
             chain.link(self.answer, self.listing, self.effect, self.zone, self.draw)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -56,8 +56,8 @@
 class Scripted:
     """A balancer that does what a test says."""
 
-    def __init__(self, settings, seed, door):
-        self.settings, self.door, self.fleet = settings, door, []
+    def __init__(self, settings, seed, host):
+        self.settings, self.host, self.fleet = settings, host, []
 
     def listed(self, servers):
         for server in servers:
@@ -86,11 +86,11 @@
 def test_an_answer_at_the_very_guard_time_has_come_in_time(late, in_time):
     class Punctual(Scripted):
         def arrived(self, call):
-            self.door.wake(call.guard - 0.0007 + late, call)  # the client hears it a delay later
+            self.host.wake(call.guard - 0.0007 + late, call)  # the client hears it a delay later
 
         def woke(self, call):
             if not call.done:
-                self.door.reject(call)
+                self.host.reject(call)
 
     world = played(
         policy=lambda world: Punctual, length=2.0, clients={"again": [0.0, 0.0], "retries": 0, "life": 600.0}
@@ -148,8 +148,8 @@
 class Blind(baselines.Baseline):
     """Sends to whatever was ever listed."""
 
-    def __init__(self, settings, seed, door):
-        super().__init__(settings, seed, door)
+    def __init__(self, settings, seed, host):
+        super().__init__(settings, seed, host)
         self.listing.take = lists_all.__get__(self.listing)
 
 
@@ -497,11 +497,11 @@
         heard_at: list = []
 
         def arrived(self, call):
-            self.door.reject(call)
-            self.door.tell(None, f"{self.door.number} {self.door.now:.6f}".encode())
+            self.host.reject(call)
+            self.host.tell(None, f"{self.host.number} {self.host.now:.6f}".encode())
 
         def heard(self, peer, data):
-            self.heard_at.append((self.door.now, self.settings.zone, peer, data))
+            self.heard_at.append((self.host.now, self.settings.zone, peer, data))
 
     def heard(**form):
         Talks.heard_at = []
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -241,5 +241,5 @@
         books.apply_entries([(5, model.READY, 0, 0, 1.0, 0.0, 0)], True)
     first.balancer.draw.delayed(first.servers[5], 0.8)
     after.import_learned(first.export_learned())
-    after.balancer.door.now += 1
+    after.balancer.host.now += 1
     assert after.balancer.avoids(after.servers[5])
