--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -49,7 +49,7 @@
     """Rule 1: each call gets one final answer by its guard time, and nothing after it."""
 
     def arrived(self, call: Call) -> None:
-        self.host.wake(self.last_moment(call), call)
+        self.host.set_timer(self.last_moment(call), call)
         self.take(call)
 
     def take(self, call: Call) -> None:
@@ -498,13 +498,16 @@
         self.seen: dict[int, list[float]] = {}  # by zone: late servers and all that we hear of
         self.answer, self.listing, self.effect = Answer(self), Listed(self), Effect(self)
         self.cold, self.zone, self.draw = Cold(self), Zone(self), Draw(self)
-        self.overload, self.filled = OverloadDetector(settings, host.tell, self.draw.delayed), (-math.inf, {})
+        self.overload, self.filled = (
+            OverloadDetector(settings, host.send_datagram, self.draw.delayed),
+            (-math.inf, {}),
+        )
         link(self.answer, self.listing, self.effect, self.zone, self.draw)
-        host.wake(host.now + TIDY_EVERY * (1 + self.rng.uniform()), "tidy")
+        host.set_timer(host.now + TIDY_EVERY * (1 + self.rng.uniform()), "tidy")
         if settings.may_publish:
-            host.wake(host.now + TELL_EVERY * (1 + self.rng.uniform()), "tell")
+            host.set_timer(host.now + TELL_EVERY * (1 + self.rng.uniform()), "tell")
         if settings.asks:
-            host.wake(host.now + self.retry.first(), "watch")
+            host.set_timer(host.now + self.retry.first(), "watch")
 
     def arrived(self, call: Call) -> None:
         self.answer.arrived(call)
@@ -544,7 +547,7 @@
             self.answer.due(what)
         elif isinstance(what, Server) and what.out:
             self.draw.move(list(what.stand.legs), OUT_SHARE)
-            self.host.wake(self.host.now + OUT_EVERY, what)
+            self.host.set_timer(self.host.now + OUT_EVERY, what)
         elif what == "kept":
             waiting, self.kept, self.looks = self.kept, [], False
             for call in waiting:
@@ -554,12 +557,14 @@
                 else:
                     self.keep(call)
         elif what == "tidy":
-            self.host.wake(self.host.now + TIDY_EVERY, "tidy")  # first: a fault in one look ends no other
+            self.host.set_timer(
+                self.host.now + TIDY_EVERY, "tidy"
+            )  # first: a fault in one look ends no other
             self.draw.look()
             self.zone.jam()
             self.zone.tidy()
         elif what == "tell":
-            self.host.wake(self.host.now + TELL_EVERY, "tell")
+            self.host.set_timer(self.host.now + TELL_EVERY, "tell")
             self.overload.turn(self.host.now)
         elif what == "watch":
             self.host.watch()
@@ -585,7 +590,7 @@
             return
         if not self.looks:
             self.looks = True
-            self.host.wake(self.host.now + KEEP_STEP, "kept")
+            self.host.set_timer(self.host.now + KEEP_STEP, "kept")
         self.kept.append(call)
 
     def listed(self, servers: list[Server]) -> None:
@@ -649,4 +654,4 @@
     def unlisted(self, reached: bool = True) -> None:
         """Discovery failed us; `reached` unless it did not even take the call."""
         if self.settings.asks:
-            self.host.wake(self.host.now + self.retry.gap(reached), "watch")
+            self.host.set_timer(self.host.now + self.retry.gap(reached), "watch")
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -155,10 +155,10 @@
         call.host_record = retries
         self.balancer.arrived(call)
 
-    def wake(self, when: float, what: Any) -> None:
+    def set_timer(self, when: float, what: Any) -> None:
         self.play.at(when, self.turn, lambda: self.balancer.woke(what))
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_datagram(self, peer: int | None, data: bytes) -> None:
         for other in self.play.seats if peer is None else self.play.seats[peer : peer + 1]:
             if other is not self:
                 other.later(TELLS, other.heard, self.number, data)
@@ -167,7 +167,7 @@
         self.balancer.heard(peer, data)
 
     def watch(self, on: bool = True) -> None: ...
-    def fetch(self) -> None: ...
+    def fetch_list(self) -> None: ...
     def probe(self, server: Server) -> None: ...
     def log(self, text: str) -> None: ...
 
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -39,7 +39,7 @@
     if stage.host.now > call.guard:
         type(stage).give_up(stage, call, why)
     else:
-        stage.host.wake(call.guard + LATE, call)
+        stage.host.set_timer(call.guard + LATE, call)
 
 
 def _never_answers(stage: choice.Answer, call: Call, why: str = "") -> None: ...
@@ -50,7 +50,7 @@
     if stage.host.now >= stage.last_moment(call) - 2 * EARLY:
         type(stage).give_up(stage, call, why)
     else:
-        stage.host.wake(stage.last_moment(call) - EARLY, call)
+        stage.host.set_timer(stage.last_moment(call) - EARLY, call)
 
 
 def _sends_after_answer(stage: choice.Answer, call: Call, why: str = "") -> None:
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -159,7 +159,7 @@
     def watch(self, on: bool = True) -> None:
         self.world.roster.watch(self, on)
 
-    def fetch(self) -> None:
+    def fetch_list(self) -> None:
         self.world.roster.fetch(self)
 
     def probe(self, server: Server) -> None:
@@ -169,10 +169,10 @@
         wait = 2 * delay + (machine.delay(self.now) if machine.up else 0.0)
         self.world.agenda.after(wait, RESULT, self.turn, self.balancer.probed, server, Result(kind, wait))
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_datagram(self, peer: int | None, data: bytes) -> None:
         self.world.post(self, peer, data)
 
-    def wake(self, when: float, what: Any) -> None:
+    def set_timer(self, when: float, what: Any) -> None:
         self.world.agenda.at(when, TIMER, self.turn, self.woke, what)
 
     def woke(self, what: Any) -> None:
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -89,17 +89,17 @@
     def watch(self, on: bool = True) -> None:
         self.act(self.discovery.watch, on)
 
-    def fetch(self) -> None:
+    def fetch_list(self) -> None:
         self.act(self.discovery.fetch)
 
     def probe(self, server: Server) -> None:
         self.act(self.probing, server)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_datagram(self, peer: int | None, data: bytes) -> None:
         if self.peers and len(data) <= LONGEST_DATAGRAM:
             self.act(self.peers.send, peer, data)
 
-    def wake(self, when: float, what: Any) -> None:
+    def set_timer(self, when: float, what: Any) -> None:
         self.at(when, self.woke, what)
 
     def log(self, text: str) -> None:
--- a/bellrack/simulator/adapter.py
+++ b/bellrack/simulator/adapter.py
@@ -70,16 +70,16 @@
     def watch(self, on: bool = True) -> None:
         self.reply.add(self.who, "KeepInformed", int(on))
 
-    def fetch(self) -> None:
+    def fetch_list(self) -> None:
         self.reply.add(self.who, "Fetch")
 
     def probe(self, server: Server) -> None:
         self.reply.add(self.who, "HealthCheck", server.mark)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send_datagram(self, peer: int | None, data: bytes) -> None:
         self.reply.add_data(self.who, "Notify", data, wire.EVERY_PEER if peer is None else peer)
 
-    def wake(self, when: float, what: Any) -> None:
+    def set_timer(self, when: float, what: Any) -> None:
         self._nonce += 1
         self._wakes[self._nonce] = what
         self.reply.add(self.who, "SetAlarm", _micros(when), self._nonce)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -71,7 +71,7 @@
     def probe(self, server):
         self.probes.append(server)
 
-    def tell(self, peer, data):
+    def send_datagram(self, peer, data):
         self.told.append((peer, data))
 
     def answer(self, server, *report, kind=model.COMPLETED):
@@ -79,7 +79,7 @@
         self.probes.remove(server)
         self.rack.probed(server, Result(kind, 0.001, report))
 
-    def wake(self, when, what):
+    def set_timer(self, when, what):
         self.wakes.append((when, what))
 
     def log(self, text):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -153,7 +153,7 @@
     def after(self, wait, what, *values):
         self.world.after(self, wait, what, *values)
 
-    def wake(self, when, what):
+    def set_timer(self, when, what):
         self.world.after(self, when - self.now, self.woke, what)
 
     def woke(self, what):
@@ -189,7 +189,7 @@
 
     def move(self, call): ...
     def probe(self, server): ...
-    def tell(self, peer, data): ...
+    def send_datagram(self, peer, data): ...
     def log(self, text): ...
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -86,7 +86,7 @@
 def test_an_answer_at_the_very_guard_time_has_come_in_time(late, in_time):
     class Punctual(Scripted):
         def arrived(self, call):
-            self.host.wake(call.guard - 0.0007 + late, call)  # the client hears it a delay later
+            self.host.set_timer(call.guard - 0.0007 + late, call)  # the client hears it a delay later
 
         def woke(self, call):
             if not call.done:
@@ -498,7 +498,7 @@
 
         def arrived(self, call):
             self.host.reject(call)
-            self.host.tell(None, f"{self.host.number} {self.host.now:.6f}".encode())
+            self.host.send_datagram(None, f"{self.host.number} {self.host.now:.6f}".encode())
 
         def heard(self, peer, data):
             self.heard_at.append((self.host.now, self.settings.zone, peer, data))
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -591,7 +591,7 @@
         watch.end("rst")
         await world.question()
         assert world.node.counters["list_failures"] == 3
-        world.node.fetch()
+        world.node.fetch_list()
         world.node.queue(int)
         fetch, target = await world.question()
         assert target == "/v1/endpoints"
@@ -700,9 +700,9 @@
         world.node.config.peer_listen, world.node.config.peers = place, [place]
         world.node.config.peers_all = place
         world.node.peers = await PeerSocket.open(world.node)
-        world.node.tell(0, b"one")
-        world.node.tell(None, b"x" * 257)
-        world.node.tell(None, b"all")
+        world.node.send_datagram(0, b"one")
+        world.node.send_datagram(None, b"x" * 257)
+        world.node.send_datagram(None, b"all")
         world.node.queue(int)
         await world.until(lambda: len(heard) == 2)
         assert heard == [(0, b"one"), (0, b"all")]
