--- a/bellrack/chain.py
+++ b/bellrack/chain.py
@@ -19,8 +19,8 @@
     before: Stage
     after: Stage
 
-    def __init__(self, rack: Balancer):
-        self.rack, self.settings, self.host = rack, rack.settings, rack.host
+    def __init__(self, balancer: Balancer):
+        self.balancer, self.settings, self.host = balancer, balancer.settings, balancer.host
 
     def take(self, call: Call) -> None:
         self.after.take(call)
@@ -30,7 +30,7 @@
         if call.places:
             self.after.take(call)
         else:
-            self.rack.keep(call)
+            self.balancer.keep(call)
 
     def stands(self, leg: Leg) -> None:
         self.before.stands(leg)
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -73,7 +73,7 @@
     def give_up(self, call: Call, why: str) -> None:
         """Its one answer; `why` goes to the log."""
         call.refusal = why
-        if self.rack.effect.harmless(call):
+        if self.balancer.effect.harmless(call):
             self.host.reject(call, BACK * self.settings.max_open_wait)
         else:
             self.host.release(call)
@@ -94,7 +94,7 @@
         risky, kind = self.risky(call), call.type
         call.write_by = self.write_by(call)
         if self.host.now >= call.write_by:
-            self.rack.answer.give_up(call, "may-have-run")
+            self.balancer.answer.give_up(call, "may-have-run")
             return
         if risky and kind.effect == model.REFERENCED:
             call.places = [s for s in call.places if self.same_group(call, s, risky[0].server)]
@@ -139,8 +139,8 @@
     borne, looked = 0.0, -math.inf
     withheld = False  # another process of this balancer has its part
 
-    def __init__(self, rack: Balancer):
-        self.rack, self.settings, self.host = rack, rack.settings, rack.host
+    def __init__(self, balancer: Balancer):
+        self.balancer, self.settings, self.host = balancer, balancer.settings, balancer.host
 
     def bears(self, server: Server) -> bool:
         """Is it warm, or may it take one more?"""
@@ -154,15 +154,17 @@
     def usual(self) -> float:
         """Own open connections by size on listed warm servers that are not late: what one surely bears."""
         if self.host.now >= self.looked + LOOK:
-            self.looked, late = self.host.now, self.rack.draw.told_late
-            warm = [s for s in self.rack.fleet if s.ready and s.stand.warm_at <= self.looked and not late(s)]
+            self.looked, late = self.host.now, self.balancer.draw.told_late
+            warm = [
+                s for s in self.balancer.fleet if s.ready and s.stand.warm_at <= self.looked and not late(s)
+            ]
             size = sum(s.size for s in warm)
             self.borne = max(self.borne, sum(s.stand.open for s in warm) / size if size else 0.0)
         return max(self.borne, FIRST_FILL / self.settings.peers)
 
     def room(self, server: Server) -> bool:
         under = server.stand.open + server.stand.part < self.usual() * server.size
-        calm = self.host.now - server.stand.told > SWAMPED_FOR and self.rack.draw.room(server)
+        calm = self.host.now - server.stand.told > SWAMPED_FOR and self.balancer.draw.room(server)
         return under and calm and self.tokens(server) > 0
 
     def tokens(self, server: Server) -> int:
@@ -186,7 +188,7 @@
         """Whether another process of this balancer sends to cold servers in our place. When that ends, what
         was issued meanwhile counts as used: two processes are one balancer."""
         self.withheld = False
-        for server in self.rack.fleet:
+        for server in self.balancer.fleet:
             self.spend(server)
         self.withheld = on
 
@@ -211,10 +213,10 @@
 
     def sent(self, server: Server) -> None:
         """Slower the more servers are late: guards against a fleet that sheds and is filled at once again."""
-        sure, calm = self.usual() * server.size, self.rack.draw.calm(server.zone)
+        sure, calm = self.usual() * server.size, self.balancer.draw.calm(server.zone)
         gap = 1 / max(GROWTH * max(server.stand.open, sure), LEAST_PACE / self.settings.peers) / calm
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
-        sure = max(sure, 2) if self.rack.overload.hears(self.host.now) else sure
+        sure = max(sure, 2) if self.balancer.overload.hears(self.host.now) else sure
         gap *= self.warm(server) == 1.0 and (server.stand.open >= sure or calm < SPILLOVER_RATIO)
         server.stand.taken, server.stand.next_leg = server.stand.taken + 1, self.host.now + gap
 
@@ -226,12 +228,12 @@
     ceiling, cut = math.inf, 0.0
 
     def take(self, call: Call) -> None:
-        now, draw, server = self.host.now, self.rack.draw, None
+        now, draw, server = self.host.now, self.balancer.draw, None
         home = [s for s in call.places if s.zone == self.settings.zone]
         if self.share() >= SPILLOVER_RATIO:
             server = draw.pick(call, [s for s in home if s.stand.bad_until <= now])
         most = self.ceiling * (1 + CEILING_GROWTH * (now - self.cut)) - 0.5
-        if not server and self.rack.held < most and not any(map(draw.awaited, call.waits)):
+        if not server and self.balancer.held < most and not any(map(draw.awaited, call.waits)):
             # Guards against a zone whose servers stand but drown: what finds no room in it leaves; and what
             # finds no room anywhere is kept, lest it be shed and come again.
             healthy = [s for s in call.places if s.stand.bad_until <= now]
@@ -241,36 +243,36 @@
 
     def jam(self) -> None:
         """Guards against a jam of the whole fleet, in which what is moved lands on other late servers."""
-        zones = [self.rack.draw.calm(zone) for zone in dict.fromkeys(s.zone for s in self.rack.fleet)]
+        zones = [self.balancer.draw.calm(zone) for zone in dict.fromkeys(s.zone for s in self.balancer.fleet)]
         if sum(zones) < SPILLOVER_RATIO * len(zones):
-            held = max(self.rack.held, FEW if self.rack.overload.hears(self.host.now) else 1)
+            held = max(self.balancer.held, FEW if self.balancer.overload.hears(self.host.now) else 1)
             self.ceiling, self.cut = JAM_CUT * min(self.ceiling, held), self.host.now
 
     def tidy(self) -> None:
         """Guards against connections that cross zones for life: a few come again while our zone is calm."""
-        home, now, draw = self.matched(), self.host.now, self.rack.draw
+        home, now, draw = self.matched(), self.host.now, self.balancer.draw
         calm = [s for s in home if draw.healthy(s) and s.stand.warm_at <= now and now - s.stand.told > CALM]
         if home and len(calm) == len(home) and all(map(draw.room, home)):
-            away = [leg for s in self.rack.fleet if s.zone != self.settings.zone for leg in s.stand.legs]
+            away = [leg for s in self.balancer.fleet if s.zone != self.settings.zone for leg in s.stand.legs]
             draw.move(away, TIDY_SHARE)
 
     def matched(self) -> list[Server]:
-        return [s for s in self.rack.listing.ready if s.zone == self.settings.zone]
+        return [s for s in self.balancer.listing.ready if s.zone == self.settings.zone]
 
     def share(self) -> float:
         """Healthy matched over all matched; a cold server counts as far as it is warm."""
         if self.host.now >= self.looked + LOOK:
             self.looked, matched = self.host.now, self.matched()
-            fit = [s for s in matched if self.rack.draw.healthy(s) and not self.rack.draw.late(s)]
-            self.last = sum(self.rack.cold.warm(s) for s in fit) / len(matched) if matched else 0.0
+            fit = [s for s in matched if self.balancer.draw.healthy(s) and not self.balancer.draw.late(s)]
+            self.last = sum(self.balancer.cold.warm(s) for s in fit) / len(matched) if matched else 0.0
         return self.last
 
 
 class Draw(Stage):
     """The pick within the set, by failure-driven weight, and the sending."""
 
-    def __init__(self, rack: Balancer):
-        super().__init__(rack)
+    def __init__(self, balancer: Balancer):
+        super().__init__(balancer)
         report, tell = self.settings.report, (model.FULLNESS, model.BUSY)
         # Where a report tells how full a server is; without it nothing is asked.
         self.fullness = next((report.index(one) for one in tell if one in report), None)
@@ -280,7 +282,7 @@
 
     def room(self, server: Server, full: float = 1.0) -> bool:
         """Not swamped, and under the ceiling found when it last was."""
-        stand, cold = server.stand, self.rack.cold
+        stand, cold = server.stand, self.balancer.cold
         # Grows as what is usual does: guards against a small holder that was cut for what others hold there.
         grown = CEILING_GROWTH * (self.host.now - stand.cut) * max(stand.ceiling, cold.usual() * server.size)
         if self.reported(server) and stand.full >= full:
@@ -293,25 +295,25 @@
         if self.told_late(server) or self.reported(server):
             return self.told_late(server) or stand.full >= 1.0
         unseen = not stand.legs and stand.warm_at <= self.host.now and stand.part > self.calm(server.zone)
-        return unseen and not self.rack.overload.hears(self.host.now)
+        return unseen and not self.balancer.overload.hears(self.host.now)
 
     def told_late(self, server: Server) -> bool:
         return server.stand.delay >= SWAMPED and self.host.now - server.stand.told <= server.stand.holds
 
     def look(self) -> None:
         """Count, by zone, the servers of which we would be told: those with late messages and all."""
-        for seen in self.rack.seen.values():
+        for seen in self.balancer.seen.values():
             seen[0], seen[1] = seen[0] / 2, seen[1] / 2
-        hears = self.rack.overload.hears(self.host.now)
-        for server in self.rack.listing.ready:
+        hears = self.balancer.overload.hears(self.host.now)
+        for server in self.balancer.listing.ready:
             if server.stand.legs or hears or self.host.now - server.stand.told <= SWAMPED_FOR:
-                seen = self.rack.seen.setdefault(server.zone, [0.0, 0.0])
+                seen = self.balancer.seen.setdefault(server.zone, [0.0, 0.0])
                 seen[0] += self.told_late(server)
                 seen[1] += 1
 
     def calm(self, zone: int) -> float:
         """The share of a zone's servers without late messages, as far as we were told these last seconds."""
-        late, heard = self.rack.seen.get(zone, (0.0, 0.0))
+        late, heard = self.balancer.seen.get(zone, (0.0, 0.0))
         return (heard - late + 1) / (heard + 1)
 
     def delayed(self, server: Server, delay: float, holds: float = SEEN_FOR) -> None:
@@ -325,29 +327,31 @@
             share = MOVE_SHARE * min(delay, MOVE_MOST)
             # What is moved lowers the ceiling with it: guards against many balancers with a connection each,
             # which hear no more of the server once theirs is moved, and together fill it up again.
-            held = server.stand.open / self.rack.cold.warm(server)
+            held = server.stand.open / self.balancer.cold.warm(server)
             self.lower(server, CEILING * (1 - share) * held)
             self.move(rest, share)
         server.stand.delay, server.stand.told, server.stand.holds = delay, self.host.now, holds
 
     def move(self, legs: list[Leg], share: float) -> None:
         """The first of them, rounded by chance: guards against many balancers that each take a whole one."""
-        for leg in legs[: int(share * len(legs) + self.rack.rng.uniform())]:
+        for leg in legs[: int(share * len(legs) + self.balancer.rng.uniform())]:
             self.host.move(leg.call)
             del leg.server.stand.legs[leg]
 
     def lower(self, server: Server, ceiling: float) -> None:
         """Not where one of many that know of each other holds one: that is no measure of the server."""
-        if server.stand.open > 1 or not self.rack.overload.hears(self.host.now):
+        if server.stand.open > 1 or not self.balancer.overload.hears(self.host.now):
             server.stand.ceiling = min(server.stand.ceiling, ceiling)
 
     def cut(self, server: Server) -> None:
         """Lower the server's ceiling, at most once in the time that a notice holds."""
-        stand, now, rack = server.stand, self.host.now, self.rack
+        stand, now, balancer = server.stand, self.host.now, self.balancer
         if now - stand.cut > CUT_EVERY:
             # As if warm: guards against a ceiling found while cold that would outlast the warm-up.
-            held = stand.open / rack.cold.warm(server)
-            self.lower(server, (SHED if rack.overload.unsaid(now) else CEILING) * min(stand.ceiling, held))
+            held = stand.open / balancer.cold.warm(server)
+            self.lower(
+                server, (SHED if balancer.overload.unsaid(now) else CEILING) * min(stand.ceiling, held)
+            )
             if now - stand.cut > CALM:
                 self.host.log(f"server swamped: held {stand.open}, ceiling {stand.ceiling:.1f}")
             stand.cut = now
@@ -358,15 +362,17 @@
         tried = [leg.server for leg in call.legs]
         if not (places := [s for s in places if s not in tried] or places):
             return None
-        now, warm = self.host.now, self.rack.cold.warm
+        now, warm = self.host.now, self.balancer.cold.warm
         sizes = [s.size if s.stand.warm_at <= now else s.size * warm(s) for s in places]
-        held = self.rack.fill() or {s: s.stand.open for s in places}
+        held = self.balancer.fill() or {s: s.stand.open for s in places}
         mean = ABOVE_MEAN * sum([held[s] for s in places]) / sum(sizes)
         low = [s for s, size in zip(places, sizes) if held[s] < 1 + mean * size] or places
         # Guards against a server put back that waits long for its lot, by the weight of a cold one.
         missed = [s for s in low if s.stand.missed or s.unproved and not call.group]
         missed = [
-            s for s in missed if now >= s.stand.next_leg and self.rack.cold.bears(s) and self.room(s, FULL)
+            s
+            for s in missed
+            if now >= s.stand.next_leg and self.balancer.cold.bears(s) and self.room(s, FULL)
         ]
         held = missed or self.holders(call, low)
         for server in held or low:  # kept with the call while it is kept: lots are dear
@@ -376,7 +382,7 @@
         lots = sorted(held or low, key=call.lots.__getitem__)[:most]
         call.waits += lots
         for number, server in enumerate(lots):
-            if not self.rack.cold.bears(server):
+            if not self.balancer.cold.bears(server):
                 continue
             self.ask(server)
             if self.awaited(server):
@@ -389,7 +395,7 @@
         """Of the request's group, while only such servers are asked for it."""
         if not call.group or self.beyond(call):
             return []
-        group, now, holder = call.group, self.host.now, self.rack.overload.holder
+        group, now, holder = call.group, self.host.now, self.balancer.overload.holder
         return [s for s in places if s.stand.groups.get(group, 0) >= HOLDS or holder(s, group, now)]
 
     def beyond(self, call: Call) -> bool:
@@ -428,34 +434,34 @@
             self.send(call, server)
         else:
             call.waits = [server]
-            self.rack.keep(call)
+            self.balancer.keep(call)
 
     def lot(self, call: Call, server: Server) -> float:
         """A lot whose least value falls on servers in proportion to their weights. A group's lots are the
         same at every draw and balancer, so its connections gather and share what they cost a server."""
-        weight = server.stand.weight * server.size * self.rack.cold.warm(server)
+        weight = server.stand.weight * server.size * self.balancer.cold.warm(server)
         if not call.group:
-            return -math.log(self.rack.rng.uniform() + 1e-12) / weight
+            return -math.log(self.balancer.rng.uniform() + 1e-12) / weight
         even = lcg_step(lcg_step(call.group ^ server.mark * 0x9E3779B97F4A7C15))
         return -math.log((even >> 33) / 2147483648.0 + 1e-12) / weight
 
     def send(self, call: Call, server: Server) -> None:
-        until, call.lots, call.waits = self.rack.answer.last_moment(call), {}, []
+        until, call.lots, call.waits = self.balancer.answer.last_moment(call), {}, []
         self.count(call, server, 1)
-        self.rack.cold.sent(server)
+        self.balancer.cold.sent(server)
         server.stand.missed = False
         self.host.send(call, server, until)
 
     def count(self, call: Call, server: Server, by: int) -> None:
         server.stand.open += by
-        self.rack.held += by
+        self.balancer.held += by
         server.stand.groups[call.group] = left = server.stand.groups.get(call.group, 0) + by
         if not left:
             del server.stand.groups[call.group]
-        self.rack.overload.sums.holds(server.mark, server.stand.open, call.group, left)
+        self.balancer.overload.sums.holds(server.mark, server.stand.open, call.group, left)
 
     def stands(self, leg: Leg) -> None:
-        self.rack.overload.stood(leg.server, self.host.now - leg.sent, self.host.now)
+        self.balancer.overload.stood(leg.server, self.host.now - leg.sent, self.host.now)
         stand = leg.server.stand
         stand.fails, stand.legs[leg], stand.weight = 0, None, min(1.0, stand.weight + REGAIN)
         self.before.stands(leg)
@@ -465,7 +471,7 @@
             leg.server.stand.full_until = -math.inf  # guards against a report from before it broke
         if leg.standing and result.kind == model.RESET:
             self.cut(leg.server)  # guards against a server that sheds what it cannot carry
-            self.rack.overload.dropped(leg.server, self.host.now)
+            self.balancer.overload.dropped(leg.server, self.host.now)
         self.count(leg.call, leg.server, -1)
         leg.server.stand.legs.pop(leg, None)
         soon = not leg.standing or self.host.now - leg.sent < SOON
@@ -480,7 +486,7 @@
             self.host.log(f"server unhealthy for {HOLD:g} s after {stand.fails} failures in a row")
         if stand.fails >= FAILURES:
             stand.bad_until = self.host.now + HOLD
-            self.rack.zone.looked = -math.inf
+            self.balancer.zone.looked = -math.inf
 
 
 class Balancer(model.Told):
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -39,10 +39,10 @@
         if server:
             self.send(call, server)
         else:
-            self.rack.keep(call)
+            self.balancer.keep(call)
 
     def choose(self, call: Call, places: list[Server]) -> Server | None:
-        return places[int(self.rack.rng.uniform() * len(places))]
+        return places[int(self.balancer.rng.uniform() * len(places))]
 
 
 class RoundRobin(Pick):
@@ -72,12 +72,12 @@
     listed = 0
 
     def choose(self, call: Call, places: list[Server]) -> Server | None:
-        if self.listed != len(self.rack.fleet):
-            self.listed = len(self.rack.fleet)
+        if self.listed != len(self.balancer.fleet):
+            self.listed = len(self.balancer.fleet)
             self.ring = sorted(
                 (
                     (rng.lcg_step(rng.lcg_step(server.mark ^ n * 0x9E3779B97F4A7C15)), server)
-                    for server in self.rack.fleet
+                    for server in self.balancer.fleet
                     for n in range(POINTS)
                 ),
                 key=lambda point: point[0],
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -18,7 +18,7 @@
 
 
 class Broken(choice.Balancer):
-    """A balancer whose stages are replaced by those named in `stages`: attribute of the rack -> methods."""
+    """A balancer whose stages are replaced by those named in `stages`: attribute -> methods."""
 
     stages: dict[str, dict[str, Any]] = {}
 
@@ -55,13 +55,13 @@
 
 def _sends_after_answer(stage: choice.Answer, call: Call, why: str = "") -> None:
     type(stage).give_up(stage, call, why)
-    for server in stage.rack.fleet[:1]:
-        stage.rack.draw.send(call, server)
+    for server in stage.balancer.fleet[:1]:
+        stage.balancer.draw.send(call, server)
 
 
 def _two_legs(stage: choice.Draw, call: Call, server: Server) -> None:
     type(stage).send(stage, call, server)
-    for other in stage.rack.fleet:
+    for other in stage.balancer.fleet:
         if other is not server and other.state == server.state and len(call.legs) < 2:
             type(stage).send(stage, call, other)
 
@@ -79,7 +79,7 @@
 
 
 def lists_all(stage: choice.Listed, call: Call) -> None:
-    call.places = stage.rack.fleet
+    call.places = stage.balancer.fleet
     stage.after.take(call)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -43,7 +43,7 @@
     def __init__(self, rules: Settings, seed: int = 7):
         self.now, self.rules, self.wakes, self.done, self.logs = 100.0, rules, [], [], []
         self.sent, self.moved, self.watched, self.probes, self.told = [], [], 0, [], []
-        self.rack = Balancer(rules, seed, self)
+        self.balancer = Balancer(rules, seed, self)
 
     def send(self, call, server, until):
         leg = Leg(call, server, self.now)
@@ -77,7 +77,7 @@
     def answer(self, server, *report, kind=model.COMPLETED):
         """A probe of it is answered."""
         self.probes.remove(server)
-        self.rack.probed(server, Result(kind, 0.001, report))
+        self.balancer.probed(server, Result(kind, 0.001, report))
 
     def set_timer(self, when, what):
         self.wakes.append((when, what))
@@ -87,23 +87,23 @@
 
     def fleet(self, *zones, **fields) -> list[Server]:
         servers = [Server(mark * 77 + 5, zone, **fields) for mark, zone in enumerate(zones)]
-        self.rack.listed(servers)
+        self.balancer.listed(servers)
         return servers
 
     def call(self, group=0, kind=0, guard=3.0) -> Call:
         call = Call(self.rules.types[kind], self.now + guard, self.now, group=group)
-        self.rack.arrived(call)
+        self.balancer.arrived(call)
         return call
 
     def stand(self, leg):
         leg.standing = True
-        self.rack.stands(leg)
+        self.balancer.stands(leg)
 
     def back(self, leg, kind):
         leg.result = Result(kind)
         if kind == model.COMPLETED or leg.standing:
             leg.call.done = True
-        self.rack.back(leg, leg.result)
+        self.balancer.back(leg, leg.result)
 
     def run(self, until):
         """Time passes; wakes that fall due come in order."""
@@ -111,7 +111,7 @@
             first = min(due, key=lambda wake: wake[0])
             self.wakes.remove(first)
             self.now = max(self.now, first[0])
-            self.rack.woke(first[1])
+            self.balancer.woke(first[1])
         self.now = max(self.now, until)
 
 
--- a/tests/test_blind.py
+++ b/tests/test_blind.py
@@ -119,13 +119,13 @@
 
 def test_a_reset_closes_its_server_where_nothing_else_tells_that_it_is_late():
     bench, one, _, held = shed()
-    room = bench.rack.draw.room
+    room = bench.balancer.draw.room
     assert held > 2 and one.stand.ceiling == pytest.approx(0.6 * held)
     assert not one.stand.open and not room(one)
     bench.run(bench.now + 2.9)
     assert not room(one)
     bench.run(bench.now + 0.2)
-    assert not bench.rack.draw.told_late(one)
+    assert not bench.balancer.draw.told_late(one)
     bench.run(bench.now + 10)
     assert room(one)
 
@@ -141,7 +141,7 @@
     bench, one, other, _ = shed()
     ceiling = one.stand.ceiling
     bench.run(bench.now + 5)
-    bench.rack.delayed(next(iter(other.stand.legs)), 0.01)
+    bench.balancer.delayed(next(iter(other.stand.legs)), 0.01)
     one.stand.cut, one.stand.told, one.stand.delay = 0.0, 0.0, 0.0
-    bench.rack.overload.dropped(one, bench.now)
+    bench.balancer.overload.dropped(one, bench.now)
     assert one.stand.delay == 0 and one.stand.ceiling == ceiling
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -20,7 +20,7 @@
 
 def late(bench, server, delay=0.2):
     leg = next(leg for leg, _ in bench.sent if leg.server is server and not leg.call.done)
-    bench.rack.delayed(leg, delay)
+    bench.balancer.delayed(leg, delay)
 
 
 def test_stays_in_zone_until_the_ratio_is_missed():
@@ -29,7 +29,7 @@
     assert {server.zone for server in place(bench, 40)} == {0}
     for server in home:
         for _ in range(3):
-            bench.rack.draw.failed(server)
+            bench.balancer.draw.failed(server)
     assert {server.zone for server in place(bench, 20)} == {1}
     bench.run(bench.now + 5.1)
     assert {server.zone for server in place(bench, 40)} == {0}
@@ -72,7 +72,7 @@
     bench = Bench(settings())
     stays, leaves = bench.call(), bench.call()
     leaves.done = True
-    bench.rack.left(leaves)
+    bench.balancer.left(leaves)
     bench.fleet(0)
     bench.run(bench.now + 0.1)
     assert [leg.call for leg, _ in bench.sent] == [stays]
@@ -82,10 +82,10 @@
     bench = Bench(settings())
     home, away = bench.fleet(0, 1)
     home.state = model.DRAINING
-    bench.rack.listed([home])
+    bench.balancer.listed([home])
     place(bench, 40)
     home.state = model.READY
-    bench.rack.listed([home])
+    bench.balancer.listed([home])
     place(bench, 9)
     late(bench, home, 0.04)
     bench.moved.clear()
@@ -101,7 +101,7 @@
     assert bench.watched == 1
     waits = []
     for _ in range(4):
-        bench.rack.unlisted()
+        bench.balancer.unlisted()
         waits.append(min(when for when, what in bench.wakes if what == "watch") - bench.now)
         bench.run(bench.now + waits[-1])
     assert bench.watched == 5 and waits[-1] > 2 * waits[0] > 0
@@ -114,14 +114,14 @@
     for leg in list(cold.stand.legs):
         bench.back(leg, model.RESET)
     cold.since = bench.now
-    bench.rack.listed([cold])
+    bench.balancer.listed([cold])
     bench.run(bench.now + 15)
     before = len(bench.sent)
     for _ in range(20):  # each ends at once and frees its place
         bench.run(bench.now + 0.02)
         bench.call()
         bench.back(bench.sent[-1][0], model.COMPLETED)
-    gap = bench.rules.ramp_time / (2 * choice.AHEAD * bench.rack.cold.usual())
+    gap = bench.rules.ramp_time / (2 * choice.AHEAD * bench.balancer.cold.usual())
     assert sum(leg.server is cold for leg, _ in bench.sent[before:]) <= 1 + 20 * 0.02 / gap < 20
 
 
@@ -143,7 +143,7 @@
     bench.call()
     assert known.stand.open == 1
     late = Server(9, 0, since=bench.now - 10)  # told late: this one counts from now
-    bench.rack.listed([late])
+    bench.balancer.listed([late])
     for _ in range(4):
         bench.call()
     assert not late.stand.open
@@ -154,10 +154,10 @@
     bench = Bench(settings(peers=2))
     (server,) = bench.fleet(0)
     place(bench, 1)
-    bench.rack.delayed(next(iter(server.stand.legs)), 0.07)
-    assert not bench.rack.draw.room(server)
+    bench.balancer.delayed(next(iter(server.stand.legs)), 0.07)
+    assert not bench.balancer.draw.room(server)
     bench.run(bench.now + 20)
-    assert server.stand.open == 1 and bench.rack.draw.room(server)
+    assert server.stand.open == 1 and bench.balancer.draw.room(server)
 
 
 def test_a_rejected_call_comes_again_before_the_longest_wait():
@@ -184,7 +184,7 @@
     for bench in benches:
         bench.run(bench.now + 5)
         place(bench, 3)
-    assert 300 <= sum(bench.rack.fleet[0].stand.open for bench in benches) < 380  # no second one each
+    assert 300 <= sum(bench.balancer.fleet[0].stand.open for bench in benches) < 380  # no second one each
 
 
 def test_a_drowned_zone_spills_also_from_servers_on_which_nothing_is_held():
@@ -202,7 +202,7 @@
     benches = many(40, *[0] * 12)
     for bench in benches:
         for _ in range(12):  # each balancer finds other servers late
-            server = bench.rack.fleet[int(bench.rack.rng.uniform() * 12)]
+            server = bench.balancer.fleet[int(bench.balancer.rng.uniform() * 12)]
             server.stand.delay, server.stand.told = 1.0, bench.now + 9
         for _ in range(3):
             bench.call(group=5)
@@ -215,14 +215,14 @@
     place(bench, 6)
     for _ in range(3):
         for leg in [leg for leg, _ in bench.sent]:
-            bench.rack.delayed(leg, 0.2)
+            bench.balancer.delayed(leg, 0.2)
         bench.run(bench.now + 1)
     for leg, _ in bench.sent:
         bench.back(leg, model.RESET)
     bench.run(bench.now + 2.5)
-    assert bench.rack.draw.calm(0) < 0.6
+    assert bench.balancer.draw.calm(0) < 0.6
     bench.run(bench.now + 9)
-    assert bench.rack.draw.calm(0) > 0.8
+    assert bench.balancer.draw.calm(0) > 0.8
 
 
 def test_a_kept_call_costs_a_look_at_few_servers_until_one_has_room():
@@ -231,7 +231,7 @@
     for server in fleet:
         server.stand.delay, server.stand.told = 1.0, bench.now
     call, asked = bench.call(), []
-    bench.rack.draw.room = asked.append
+    bench.balancer.draw.room = asked.append
     bench.run(bench.now + 0.1)
     assert not call.legs and 0 < len(asked) <= 12
 
@@ -240,11 +240,11 @@
     bench = Bench(settings())
     fleet = bench.fleet(0, 0, 1, 1)
     for server in fleet:  # something stands on each
-        bench.rack.resumed(bench.send(bench.call(), server, 0.0))
+        bench.balancer.resumed(bench.send(bench.call(), server, 0.0))
     bench.run(bench.now + 1)
     for _ in range(4):
         for server in fleet:
-            bench.rack.delayed(next(leg for leg, _ in bench.sent if leg.server is server), 0.06)
+            bench.balancer.delayed(next(leg for leg, _ in bench.sent if leg.server is server), 0.06)
         bench.run(bench.now + 1)
     bench.fleet(0, 0, 1, 1, 1, 1)
     assert place(bench, 3) == []
@@ -268,7 +268,7 @@
     monkeypatch.setattr(model.Settings, "blind", blind)
     bench = Bench(settings(peers=3, ramp_time=6.0, cold_share=0.12), seed=25)
     fleet = [Server(mark * 77 + 5, mark % 2, weight=[3.5, 2.0][mark % 3 > 0]) for mark in range(9)]
-    bench.rack.listed(fleet)
+    bench.balancer.listed(fleet)
     for number in range(160):
         bench.run(bench.now + 0.11)
         bench.call(group=number * number % 13)
@@ -276,12 +276,12 @@
         if out and not out[-1].standing:
             bench.stand(out[-1])
         if number % 9 == 4:
-            bench.rack.delayed(out[number % len(out)], [0.04, 0.07, 0.25][number % 3])
+            bench.balancer.delayed(out[number % len(out)], [0.04, 0.07, 0.25][number % 3])
         if number % 7 == 3:
             bench.back(out[number * 5 % len(out)], [model.COMPLETED, model.RESET][number % 2])
         if number in (40, 60):
             fleet[4].state, fleet[4].since = [model.DRAINING, model.READY][number > 40], bench.now
-            bench.rack.listed([fleet[4]])
+            bench.balancer.listed([fleet[4]])
     chosen = "".join(str(fleet.index(leg.server)) for leg, _ in bench.sent)
     assert chosen == story
     assert not bench.probes
@@ -293,9 +293,9 @@
     home, *away = bench.fleet(0, 1, 1, 1)
     for server in away:
         server.since = bench.now
-    bench.rack.listed(away)
-    looked, room = [], bench.rack.cold.room
-    bench.rack.cold.room = lambda server: looked.append(server) or room(server)
+    bench.balancer.listed(away)
+    looked, room = [], bench.balancer.cold.room
+    bench.balancer.cold.room = lambda server: looked.append(server) or room(server)
     assert place(bench, 5) == [home] * 5 and not looked
 
 
@@ -308,7 +308,7 @@
         fleet = bench.fleet(*[0] * 10)
         for server in fleet:
             server.since = bench.now
-        bench.rack.listed(fleet)
+        bench.balancer.listed(fleet)
         bench.run(bench.now + bench.rules.ramp_time / 6)
         bench.call(group=77)
         bench.run(bench.now + 0.3)
@@ -325,12 +325,12 @@
         [server] = bench.fleet(0)
         bench.call()
         bench.stand(leg := bench.sent[0][0])
-        bench.rack.delayed(leg, choice.MOVE_MOST * bench.rules.quickest)
+        bench.balancer.delayed(leg, choice.MOVE_MOST * bench.rules.quickest)
         if bench.moved:
             moved += 1
             bench.back(leg, model.CANCELLED)
         bench.run(bench.now + 2 * choice.SWAMPED_FOR)
-        refilled += bench.rack.draw.room(server) and not server.stand.open
+        refilled += bench.balancer.draw.room(server) and not server.stand.open
     share = choice.MOVE_SHARE * choice.MOVE_MOST
     assert 0.4 * 40 * share <= moved
     assert 0 < refilled <= 1.5 * (1 - share) * moved
@@ -345,16 +345,16 @@
     for leg, _ in bench.sent:
         bench.stand(leg)
     assert len(standing) > 3
-    bench.rack.withheld(first, True)
+    bench.balancer.withheld(first, True)
     for state in (model.DRAINING, model.GONE, model.READY):
         first.state, first.since = state, bench.now
-        bench.rack.listed([first])
+        bench.balancer.listed([first])
         bench.run(bench.now + 1.0)
         before = len(bench.sent)
         bench.call(), bench.call()
         assert all(leg.server is other for leg, _ in bench.sent[before:])
     assert set(bench.moved) >= {leg.call for leg in standing}
-    assert bench.rack.avoids(first) and not bench.rack.avoids(other)
+    assert bench.balancer.avoids(first) and not bench.balancer.avoids(other)
 
 
 def test_a_late_leg_on_a_server_out_by_hand_is_moved_too():
@@ -362,7 +362,7 @@
     (server,) = bench.fleet(0)
     bench.call()
     leg = bench.sent[0][0]
-    bench.rack.withheld(server, True)
+    bench.balancer.withheld(server, True)
     bench.run(bench.now + 0.5)
     bench.stand(leg)
     bench.run(bench.now + 3.0)
@@ -374,9 +374,9 @@
     fleet = bench.fleet(0, 0, 0, 0, 0, 0)
     back = fleet[2]
     for out in (True, True, False):  # the call out may come twice
-        bench.rack.withheld(back, out)
+        bench.balancer.withheld(back, out)
         bench.run(bench.now + 1.0)
-    assert back.stand.warm_at > bench.now and bench.rack.cold.warm(back) < 0.3
+    assert back.stand.warm_at > bench.now and bench.balancer.cold.warm(back) < 0.3
     put, sent = bench.now, len(bench.sent)
     while bench.now < put + 5.0 and back not in [leg.server for leg, _ in bench.sent[sent:]]:
         bench.call()
@@ -388,12 +388,12 @@
 def test_a_restart_that_the_list_told_while_a_server_was_out_counts_from_then():
     bench = Bench(settings())
     (server,) = bench.fleet(0)
-    bench.rack.withheld(server, True)
+    bench.balancer.withheld(server, True)
     bench.run(bench.now + 2.0)
     server.since = bench.now
-    bench.rack.listed([server])
+    bench.balancer.listed([server])
     bench.run(bench.now + 3.0)
-    bench.rack.withheld(server, False)
+    bench.balancer.withheld(server, False)
     assert server.stand.warm_at == server.since + bench.rules.ramp_time
 
 
@@ -420,11 +420,11 @@
     bench = Bench(settings())
     fleet = bench.fleet(0, 1)
     for server in fleet:
-        bench.rack.withheld(server, True)
+        bench.balancer.withheld(server, True)
     call = bench.call()
     bench.run(bench.now + 3.0)
     assert [how for _, how, _ in bench.done] == ["rejected"] and not call.legs
-    bench.rack.withheld(fleet[0], False)
+    bench.balancer.withheld(fleet[0], False)
     bench.run(bench.now + 5.0)
     assert bench.call().legs[0].server is fleet[0]
 
@@ -436,17 +436,17 @@
     for server in fleet[:2]:
         server.stand.open = 8
     bench.run(bench.now + 1)
-    known = bench.rack.cold.usual()
+    known = bench.balancer.cold.usual()
     for server in fleet[2:]:
         server.doubtful = True
-    bench.rack.refresh()
+    bench.balancer.refresh()
     bench.run(bench.now + 1)
-    assert bench.rack.listing.ready == fleet[:2] and bench.rack.cold.usual() == known == 1.6
+    assert bench.balancer.listing.ready == fleet[:2] and bench.balancer.cold.usual() == known == 1.6
 
 
 def test_a_cold_server_takes_nothing_where_a_clock_ran_back():
     bench = Bench(settings(peers=3, ramp_time=20.0))
     (one,) = bench.fleet(0)
-    bench.rack.starts(one, bench.now, bench.now)
+    bench.balancer.starts(one, bench.now, bench.now)
     one.stand.issued, one.stand.taken, one.stand.issued_at = 0.0, 5, bench.now + 100
-    assert not bench.rack.cold.room(one) and one.stand.issued == 0.0
+    assert not bench.balancer.cold.room(one) and one.stand.issued == 0.0
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -445,7 +445,7 @@
     bench = Bench(settings(ask_within=1.0))
     for _ in range(40):
         bench.wakes.clear()
-        bench.rack.unlisted()
+        bench.balancer.unlisted()
         ((when, what),) = bench.wakes
         assert what == "watch" and when - bench.now <= 1.5  # four times that holds after a call that failed
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -462,7 +462,7 @@
 def told(bench, fleet, counts, late=()):
     for peer in range(1, 6):
         polled = [(server.mark & gossip.ID, count) for server, count in zip(fleet, counts)]
-        bench.rack.heard(peer, gossip.pack(sum(counts), list(late), polled, random.Random(peer).random))
+        bench.balancer.heard(peer, gossip.pack(sum(counts), list(late), polled, random.Random(peer).random))
 
 
 def test_a_server_far_over_what_mates_hold_is_passed_over_by_one_that_holds_nothing():
@@ -471,14 +471,14 @@
         told(bench, fleet, [90] + [30] * 9)
         bench.call()
         bench.now += 0.5
-        bench.rack.overload.turn(bench.now)
+        bench.balancer.overload.turn(bench.now)
     assert len(bench.sent) >= 50 and fleet[0] not in [leg.server for leg, _ in bench.sent]
 
 
 def test_what_all_hold_is_reckoned_anew_each_second():
     bench, fleet = balancer()
     told(bench, fleet, [90] + [30] * 9)
-    detector = bench.rack.overload
+    detector = bench.balancer.overload
     first = detector.fill(fleet, bench.now)
     assert first[fleet[0]] > 2 * first[fleet[1]] and first[fleet[10]] == first[fleet[29]] > first[fleet[1]]
     told(bench, fleet, [30] * 10)
@@ -492,7 +492,7 @@
         told(bench, fleet, [30] * 10, [(fleet[4].mark & gossip.ID, 1.2)])
         bench.call()
         bench.now += 0.5
-        bench.rack.overload.turn(bench.now)
+        bench.balancer.overload.turn(bench.now)
     assert bench.sent and fleet[4] not in [leg.server for leg, _ in bench.sent]
 
 
