--- a/bellrack/chain.py
+++ b/bellrack/chain.py
@@ -16,30 +16,30 @@
 class Stage:
     """One link of the chain: passes a request on, queues it or ends it; results come back through it."""
 
-    before: Stage
-    after: Stage
+    previous: Stage
+    next: Stage
 
     def __init__(self, balancer: Balancer):
         self.balancer, self.settings, self.host = balancer, balancer.settings, balancer.host
 
-    def take(self, call: Call) -> None:
-        self.after.take(call)
+    def handle(self, call: Call) -> None:
+        self.next.handle(call)
 
-    def pass_on(self, call: Call) -> None:
+    def forward_or_queue(self, call: Call) -> None:
         """To the next stage if a server is left for it, else to the queue."""
         if call.places:
-            self.after.take(call)
+            self.next.handle(call)
         else:
             self.balancer.keep(call)
 
     def stands(self, leg: Leg) -> None:
-        self.before.stands(leg)
+        self.previous.stands(leg)
 
     def back(self, leg: Leg, result: Result) -> None:
-        self.before.back(leg, result)
+        self.previous.back(leg, result)
 
 
 def link(*stages: Stage) -> None:
     """Make a chain of these, the first at its top."""
     for one, other in zip(stages, stages[1:]):
-        one.after, other.before = other, one
+        one.next, other.previous = other, one
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -50,9 +50,9 @@
 
     def arrived(self, call: Call) -> None:
         self.host.set_timer(self.last_moment(call), call)
-        self.take(call)
+        self.handle(call)
 
-    def take(self, call: Call) -> None:
+    def handle(self, call: Call) -> None:
         if call.done:
             return
         if len(call.legs) >= self.settings.max_legs:
@@ -60,7 +60,7 @@
         elif self.host.now >= self.last_moment(call):
             self.give_up(call, "deadline")
         else:
-            self.after.take(call)
+            self.next.handle(call)
 
     def last_moment(self, call: Call) -> float:
         return call.guard - min(self.settings.spare, SPARE_SHARE * (call.guard - call.arrived))
@@ -82,13 +82,13 @@
 
     def back(self, leg: Leg, result: Result) -> None:
         if not leg.call.done:
-            self.take(leg.call)
+            self.handle(leg.call)
 
 
 class Effect(Stage):
     """Rule 2: no effect twice."""
 
-    def take(self, call: Call) -> None:
+    def handle(self, call: Call) -> None:
         if any(leg.result is None for leg in call.legs):
             return
         risky, kind = self.risky(call), call.type
@@ -98,7 +98,7 @@
             return
         if risky and kind.effect == model.REFERENCED:
             call.places = [s for s in call.places if self.same_group(call, s, risky[0].server)]
-        self.pass_on(call)
+        self.forward_or_queue(call)
 
     def write_by(self, call: Call) -> float:
         """Until when the next attempt's line may be written: never where an earlier one may have run and is
@@ -128,9 +128,9 @@
 
     ready: list[Server] = []  # as of the last change of the list
 
-    def take(self, call: Call) -> None:
+    def handle(self, call: Call) -> None:
         call.places = self.ready
-        self.after.take(call)
+        self.next.handle(call)
 
 
 class Cold:
@@ -227,7 +227,7 @@
     last, looked = 0.0, -math.inf
     ceiling, cut = math.inf, 0.0
 
-    def take(self, call: Call) -> None:
+    def handle(self, call: Call) -> None:
         now, draw, server = self.host.now, self.balancer.draw, None
         home = [s for s in call.places if s.zone == self.settings.zone]
         if self.share() >= SPILLOVER_RATIO:
@@ -239,7 +239,7 @@
             healthy = [s for s in call.places if s.stand.bad_until <= now]
             server = draw.pick(call, healthy or home or call.places)
         call.places = [server] if server else []
-        self.pass_on(call)
+        self.forward_or_queue(call)
 
     def jam(self) -> None:
         """Guards against a jam of the whole fleet, in which what is moved lands on other late servers."""
@@ -428,7 +428,7 @@
         # That it is full stands longer: guards against asking in vain at each try of a client in a jam.
         stand.full_until = self.host.now + (FULL_FRESH if stand.full >= FULL else FRESH)
 
-    def take(self, call: Call) -> None:
+    def handle(self, call: Call) -> None:
         server = call.places[0]
         if self.host.now >= server.stand.next_leg:
             self.send(call, server)
@@ -464,7 +464,7 @@
         self.balancer.overload.stood(leg.server, self.host.now - leg.sent, self.host.now)
         stand = leg.server.stand
         stand.fails, stand.legs[leg], stand.weight = 0, None, min(1.0, stand.weight + REGAIN)
-        self.before.stands(leg)
+        self.previous.stands(leg)
 
     def back(self, leg: Leg, result: Result) -> None:
         if result.kind in (model.RESET, model.NO_CONN):
@@ -477,7 +477,7 @@
         soon = not leg.standing or self.host.now - leg.sent < SOON
         if result.kind not in (model.COMPLETED, model.CANCELLED, model.MOOT) and soon:
             self.failed(leg.server)
-        self.before.back(leg, result)
+        self.previous.back(leg, result)
 
     def failed(self, server: Server) -> None:
         stand = server.stand
@@ -585,7 +585,7 @@
 
     def again(self, call: Call) -> None:
         call.waits = []
-        self.answer.take(call)
+        self.answer.handle(call)
 
     def keep(self, call: Call) -> None:
         """No server may take the call yet: hold it while it is worth something, then answer at once."""
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -32,7 +32,7 @@
 class Pick(choice.Draw):
     """The last stage of a baseline: any server of those listed that is not marked unhealthy, by `choose`."""
 
-    def take(self, call: Call) -> None:
+    def handle(self, call: Call) -> None:
         tried = [leg.server for leg in call.legs]
         fit = [s for s in call.places if s not in tried and self.healthy(s)]
         server = self.choose(call, fit or call.places)
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -80,7 +80,7 @@
 
 def lists_all(stage: choice.Listed, call: Call) -> None:
     call.places = stage.balancer.fleet
-    stage.after.take(call)
+    stage.next.handle(call)
 
 
 def _warm_at_once(stage: choice.Cold, server: Server) -> float:
@@ -155,7 +155,7 @@
     "leaves-the-group": (2, _of("LeavesTheGroup", effect={"same_group": _any_group})),
     "remembers-too-long": (2, RemembersTooLong),
     "legs-without-end": (2, LegsWithoutEnd),
-    "sends-to-drained": (3, _of("SendsToDrained", listing={"take": lists_all})),
+    "sends-to-drained": (3, _of("SendsToDrained", listing={"handle": lists_all})),
     "never-asks": (3, NeverAsks),
     "fills-cold": (
         4,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -150,7 +150,7 @@
 
     def __init__(self, settings, seed, host):
         super().__init__(settings, seed, host)
-        self.listing.take = lists_all.__get__(self.listing)
+        self.listing.handle = lists_all.__get__(self.listing)
 
 
 def test_a_restart_under_the_same_id_told_with_an_older_start():
