--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -47,17 +47,17 @@
     def resume_leg(self, leg: Leg) -> None:
         """It stood before this instance started."""
         leg.standing = True
-        self.balancer.resumed(leg)
+        self.balancer.on_resumed(leg)
 
     def leg_established(self, leg: Leg) -> None:
         leg.standing = True
-        self.balancer.stands(leg)
+        self.balancer.on_established(leg)
 
     def leg_ended(self, leg: Leg, result: Result, final: bool) -> None:
         """The first result of a leg; `final` if the call is served or nothing is owed any more."""
         leg.result = result
         leg.call.done = leg.call.done or final
-        self.balancer.back(leg, result)
+        self.balancer.on_leg_ended(leg, result)
 
     def apply_entries(
         self,
@@ -79,7 +79,7 @@
                 if server not in named and server.state != model.GONE and server.mark not in kept:
                     server.state = model.GONE
                     changed.append(server)
-        self.balancer.listed(changed)
+        self.balancer.on_servers_listed(changed)
 
     def export_learned(self) -> dict[str, Any]:
         """What this instance has learned, in plain values, for one that takes its place."""
@@ -119,5 +119,5 @@
         """A server by its mark; one that no list has named counts as gone."""
         if mark not in self.servers:
             self.servers[mark] = Server(mark, state=model.GONE)
-            self.balancer.listed([self.servers[mark]])
+            self.balancer.on_servers_listed([self.servers[mark]])
         return self.servers[mark]
--- a/bellrack/chain.py
+++ b/bellrack/chain.py
@@ -32,11 +32,11 @@
         else:
             self.balancer.keep(call)
 
-    def stands(self, leg: Leg) -> None:
-        self.previous.stands(leg)
+    def on_established(self, leg: Leg) -> None:
+        self.previous.on_established(leg)
 
-    def back(self, leg: Leg, result: Result) -> None:
-        self.previous.back(leg, result)
+    def on_leg_ended(self, leg: Leg, result: Result) -> None:
+        self.previous.on_leg_ended(leg, result)
 
 
 def link(*stages: Stage) -> None:
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -48,7 +48,7 @@
 class Answer(Stage):
     """Rule 1: each call gets one final answer by its guard time, and nothing after it."""
 
-    def arrived(self, call: Call) -> None:
+    def on_call(self, call: Call) -> None:
         self.host.set_timer(self.last_moment(call), call)
         self.handle(call)
 
@@ -78,9 +78,9 @@
         else:
             self.host.release(call)
 
-    def stands(self, leg: Leg) -> None: ...
+    def on_established(self, leg: Leg) -> None: ...
 
-    def back(self, leg: Leg, result: Result) -> None:
+    def on_leg_ended(self, leg: Leg, result: Result) -> None:
         if not leg.call.done:
             self.handle(leg.call)
 
@@ -316,7 +316,7 @@
         late, heard = self.balancer.seen.get(zone, (0.0, 0.0))
         return (heard - late + 1) / (heard + 1)
 
-    def delayed(self, server: Server, delay: float, holds: float = SEEN_FOR) -> None:
+    def record_delay(self, server: Server, delay: float, holds: float = SEEN_FOR) -> None:
         """Messages at a server take this share of the shortest message aim, it says or others have seen."""
         if delay >= SWAMPED:
             self.cut(server)
@@ -416,7 +416,7 @@
         """Was it asked, and may the answer still come in time?"""
         return not self.reported(server) and self.host.now - server.stand.asked < ASKED_FOR
 
-    def probed(self, server: Server, result: Result) -> None:
+    def on_probe_result(self, server: Server, result: Result) -> None:
         """What it found. No connection is no failure of the server, but no call is sent there for a while."""
         stand, whole = server.stand, len(result.report) == len(self.settings.report)
         if result.kind == model.COMPLETED and whole and self.fullness is not None:
@@ -460,13 +460,13 @@
             del server.stand.groups[call.group]
         self.balancer.overload.sums.holds(server.mark, server.stand.open, call.group, left)
 
-    def stands(self, leg: Leg) -> None:
+    def on_established(self, leg: Leg) -> None:
         self.balancer.overload.stood(leg.server, self.host.now - leg.sent, self.host.now)
         stand = leg.server.stand
         stand.fails, stand.legs[leg], stand.weight = 0, None, min(1.0, stand.weight + REGAIN)
-        self.previous.stands(leg)
+        self.previous.on_established(leg)
 
-    def back(self, leg: Leg, result: Result) -> None:
+    def on_leg_ended(self, leg: Leg, result: Result) -> None:
         if result.kind in (model.RESET, model.NO_CONN):
             leg.server.stand.full_until = -math.inf  # guards against a report from before it broke
         if leg.standing and result.kind == model.RESET:
@@ -477,7 +477,7 @@
         soon = not leg.standing or self.host.now - leg.sent < SOON
         if result.kind not in (model.COMPLETED, model.CANCELLED, model.MOOT) and soon:
             self.failed(leg.server)
-        self.previous.back(leg, result)
+        self.previous.on_leg_ended(leg, result)
 
     def failed(self, server: Server) -> None:
         stand = server.stand
@@ -505,7 +505,7 @@
         self.answer, self.listing, self.effect = Answer(self), Listed(self), Effect(self)
         self.cold, self.zone, self.draw = Cold(self), Zone(self), Draw(self)
         self.overload, self.filled = (
-            OverloadDetector(settings, host.send_datagram, self.draw.delayed),
+            OverloadDetector(settings, host.send_datagram, self.draw.record_delay),
             (-math.inf, {}),
         )
         link(self.answer, self.listing, self.effect, self.zone, self.draw)
@@ -515,22 +515,22 @@
         if settings.asks:
             host.set_timer(host.now + self.retry.first(), "watch")
 
-    def arrived(self, call: Call) -> None:
-        self.answer.arrived(call)
+    def on_call(self, call: Call) -> None:
+        self.answer.on_call(call)
 
-    def resumed(self, leg: Leg) -> None:
+    def on_resumed(self, leg: Leg) -> None:
         self.draw.count(leg.call, leg.server, 1)
         leg.server.stand.legs[leg] = None
 
-    def stands(self, leg: Leg) -> None:
-        self.draw.stands(leg)
+    def on_established(self, leg: Leg) -> None:
+        self.draw.on_established(leg)
 
-    def back(self, leg: Leg, result: Result) -> None:
-        self.draw.back(leg, result)
+    def on_leg_ended(self, leg: Leg, result: Result) -> None:
+        self.draw.on_leg_ended(leg, result)
 
-    def delayed(self, leg: Leg, delay: float) -> None:
+    def on_delay_reported(self, leg: Leg, delay: float) -> None:
         self.overload.noticed = self.host.now
-        self.draw.delayed(leg.server, delay / self.settings.quickest, SWAMPED_FOR)
+        self.draw.record_delay(leg.server, delay / self.settings.quickest, SWAMPED_FOR)
 
     def fill(self) -> dict[Server, float]:
         """What all balancers hold of each ready server; empty where nobody tells."""
@@ -538,17 +538,17 @@
             self.filled = self.host.now, self.overload.fill(self.listing.ready, self.host.now)
         return self.filled[1]
 
-    def heard(self, peer: int, data: bytes) -> None:
+    def on_datagram(self, peer: int, data: bytes) -> None:
         self.overload.heard(peer, data, self.host.now)
 
-    def probed(self, server: Server, result: Result) -> None:
-        self.draw.probed(server, result)
+    def on_probe_result(self, server: Server, result: Result) -> None:
+        self.draw.on_probe_result(server, result)
         ready = [call for call in self.kept if server in call.waits]
         self.kept = [call for call in self.kept if server not in call.waits]
         for call in ready:
             self.again(call)
 
-    def woke(self, what: object) -> None:
+    def on_timer(self, what: object) -> None:
         if isinstance(what, Call):
             self.answer.due(what)
         elif isinstance(what, Server) and what.out:
@@ -599,7 +599,7 @@
             self.host.set_timer(self.host.now + KEEP_STEP, "kept")
         self.kept.append(call)
 
-    def listed(self, servers: list[Server]) -> None:
+    def on_servers_listed(self, servers: list[Server]) -> None:
         self.retry.answered()
         first = not self.fleet
         for server in servers:
@@ -613,10 +613,10 @@
                 server.stand.since = server.since
                 if first:
                     self.cold.spend(server)
-        self.refresh()
+        self.refresh_usable()
         self.overload.listed(self.fleet)
 
-    def refresh(self) -> None:
+    def refresh_usable(self) -> None:
         """Other servers may be used, or some no longer."""
         self.listing.ready = [s for s in self.fleet if s.usable]
         self.zone.looked, self.filled = -math.inf, (-math.inf, {})
@@ -630,17 +630,17 @@
         stand.warm_at = since + self.settings.ramp_time
         stand.fails, stand.bad_until, stand.weight = 0, 0.0, 1.0
 
-    def withheld(self, server: Server, out: bool) -> None:
+    def on_cordoned(self, server: Server, out: bool) -> None:
         """Taken out by hand, it gets nothing new and what stands is moved. Put back, it is cold."""
         stand, now, before, server.out = server.stand, self.host.now, server.out, out
         if out and not before:
             stand.out_since = now
-            self.woke(server)
+            self.on_timer(server)
         elif before and not out:
             stand.missed, stand.ceiling = True, math.inf
             if stand.since < stand.out_since:  # guards against a list that does not know of the restart yet
                 self.starts(server, now, now)
-        self.listed([server])
+        self.on_servers_listed([server])
 
     def sized(self, server: Server) -> None:
         """A live weight falls with what a server holds: its size is the most its kind was ever listed at."""
@@ -657,7 +657,7 @@
         fit = self.draw.healthy(server) and not self.draw.told_late(server)
         return server not in self.listing.ready or not fit
 
-    def unlisted(self, reached: bool = True) -> None:
+    def on_discovery_failed(self, reached: bool = True) -> None:
         """Discovery failed us; `reached` unless it did not even take the call."""
         if self.settings.asks:
             self.host.set_timer(self.host.now + self.retry.gap(reached), "watch")
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -131,11 +131,11 @@
         self.draw = self.pick(self)
         chain.link(self.answer, self.listing, self.effect, self.draw)
 
-    def delayed(self, leg: Leg, delay: float) -> None: ...
+    def on_delay_reported(self, leg: Leg, delay: float) -> None: ...
 
-    def woke(self, what: object) -> None:
+    def on_timer(self, what: object) -> None:
         if what != "tidy":
-            super().woke(what)
+            super().on_timer(what)
 
 
 def plain(stage: type[Pick]) -> Callable[[World], Callable[..., Any]]:
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -153,10 +153,10 @@
         """A client wants a connection."""
         call = self.new_call(0, PATIENCE, group=group)
         call.host_record = retries
-        self.balancer.arrived(call)
+        self.balancer.on_call(call)
 
     def set_timer(self, when: float, what: Any) -> None:
-        self.play.at(when, self.turn, lambda: self.balancer.woke(what))
+        self.play.at(when, self.turn, lambda: self.balancer.on_timer(what))
 
     def send_datagram(self, peer: int | None, data: bytes) -> None:
         for other in self.play.seats if peer is None else self.play.seats[peer : peer + 1]:
@@ -164,7 +164,7 @@
                 other.later(TELLS, other.heard, self.number, data)
 
     def heard(self, peer: int, data: bytes) -> None:
-        self.balancer.heard(peer, data)
+        self.balancer.on_datagram(peer, data)
 
     def watch(self, on: bool = True) -> None: ...
     def fetch_list(self) -> None: ...
@@ -294,7 +294,7 @@
             if self.start.drowning or self.holds(mark) > self.fills:
                 for seat in self.seats:
                     if mark in seat.servers and (leg := next(iter(seat.servers[mark].stand.legs), None)):
-                        seat.turn(seat.balancer.delayed, leg, LATE * AIM)
+                        seat.turn(seat.balancer.on_delay_reported, leg, LATE * AIM)
         self.at(self.now + 1.0, self.drowns, warm)
 
     def counts(self, server: Server) -> None:
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -107,11 +107,11 @@
 
     count = 0
 
-    def arrived(self, call: Call) -> None:
+    def on_call(self, call: Call) -> None:
         self.count += 1
         if self.count % FAULTY == 0:
             raise RuntimeError("a fault in the batch")
-        super().arrived(call)
+        super().on_call(call)
 
 
 class RemembersTooLong(Broken):
@@ -132,9 +132,9 @@
 class NeverAsks(Broken):
     """Knows the list from its start and never asks for more."""
 
-    def woke(self, what: object) -> None:
+    def on_timer(self, what: object) -> None:
         if what != "watch":
-            super().woke(what)
+            super().on_timer(what)
 
 
 def _of(name: str, **stages: dict[str, Any]) -> type[Broken]:
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -167,16 +167,18 @@
         machine, delay = self.machines[server.mark], self.world.delay(self.zone, 0)
         kind = model.COMPLETED if machine.up else model.NO_CONN
         wait = 2 * delay + (machine.delay(self.now) if machine.up else 0.0)
-        self.world.agenda.after(wait, RESULT, self.turn, self.balancer.probed, server, Result(kind, wait))
+        self.world.agenda.after(
+            wait, RESULT, self.turn, self.balancer.on_probe_result, server, Result(kind, wait)
+        )
 
     def send_datagram(self, peer: int | None, data: bytes) -> None:
         self.world.post(self, peer, data)
 
     def set_timer(self, when: float, what: Any) -> None:
-        self.world.agenda.at(when, TIMER, self.turn, self.woke, what)
+        self.world.agenda.at(when, TIMER, self.turn, self.on_timer, what)
 
-    def woke(self, what: Any) -> None:
-        self.balancer.woke(what)
+    def on_timer(self, what: Any) -> None:
+        self.balancer.on_timer(what)
 
     def log(self, text: str) -> None:
         if len(self.world.logged) < LOGGED:
@@ -202,7 +204,7 @@
         if self.shutting_down:
             self.reject(call)
         else:
-            self.balancer.arrived(call)
+            self.balancer.on_call(call)
 
     def stands(self, out: Out) -> None:
         """The server's UP came."""
@@ -254,7 +256,7 @@
         if not call.done and not (out and out.leg.standing):
             call.done = True
             self.world.trace.add(self.now, "gone", attempt.id)
-            self.balancer.left(call)
+            self.balancer.on_client_left(call)
             kind = model.CANCELLED
         self.attempts.pop(attempt, None)
         if out and not out.over:
@@ -292,7 +294,7 @@
     def unheard(self) -> None:
         """A question to discovery failed, or a watch ended."""
         self.in_vain = True
-        self.turn(self.balancer.unlisted)
+        self.turn(self.balancer.on_discovery_failed)
         if self.alive and not self.settings.asks:
             self.world.agenda.after(WATCH_AGAIN, NEWS, self.turn, self.watch)
 
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -109,7 +109,7 @@
         """A datagram has come in."""
         if self.alive:
             self.figures.got(data)
-            self.queue(self.balancer.heard, peer, data)
+            self.queue(self.balancer.on_datagram, peer, data)
 
     # Connections, each change within a turn of the node.
 
@@ -158,9 +158,9 @@
 
     def start(self) -> None: ...
 
-    def woke(self, what: Any) -> None:
+    def on_timer(self, what: Any) -> None:
         if what != "tidy":
-            super().woke(what)
+            super().on_timer(what)
 
     def takes(self, count: int) -> None:
         """The list or its change has come, `count` bytes of it, and `shared` holds it already."""
@@ -174,7 +174,7 @@
     def know(self) -> None:
         """Own records in the place of the shared ones."""
         self.balancer.fleet = [self.servers.get(mark, server) for mark, server in self.shared.items()]
-        self.balancer.listed([])
+        self.balancer.on_servers_listed([])
 
     def will_hold(self, marks: list[int]) -> None:
         """Own records of these servers, for what the decisions keep of own connections."""
@@ -184,7 +184,7 @@
             if (one := self.shared[mark])
         ]
         self.servers.update((server.mark, server) for server in own)
-        self.balancer.listed(own)
+        self.balancer.on_servers_listed(own)
         self.know()
 
 
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -215,18 +215,18 @@
 
     def fleet(self, count: int, zones: int) -> list[Server]:
         servers = [Server(lines.mark(f"server-{n:06d}"), n % zones, weight=1000.0) for n in range(count)]
-        self.balancer.listed(servers)
+        self.balancer.on_servers_listed(servers)
         return servers
 
     def ask(self, group: int) -> Call:
         call = Call(self.settings.types[0], self.now + 3.0, self.now, group=group)
-        self.balancer.arrived(call)
+        self.balancer.on_call(call)
         return call
 
     def hears(self) -> None:
         """An aggregator speaks: what is done once balancers tell one another is done."""
         for data in sums.pack(sums.BROADCAST, [(sums.TOOK, 0, 20.0)]):
-            self.balancer.heard(0, data)
+            self.balancer.on_datagram(0, data)
 
     def holds(self, servers: list[Server], count: int) -> None:
         """So many connections stand, evenly, each of a group of its own."""
@@ -234,7 +234,7 @@
             call = Call(self.settings.types[0], self.now, self.now, group=n + 1)
             leg = Leg(call, servers[n % len(servers)], self.now - 60, standing=True)
             call.legs.append(leg)
-            self.balancer.resumed(leg)
+            self.balancer.on_resumed(leg)
 
 
 def host_of(peers: int = 1, number: int = 0, **changes: Any) -> Host:
@@ -398,12 +398,12 @@
             raise standins.ScaleError(f"a call found no room among {count} servers")
         leg = call.legs[0]
         leg.standing = True
-        host.balancer.stands(leg)
+        host.balancer.on_established(leg)
         standing.append(leg)
         while standing[0].sent < host.now - LIFE:
             leg = standing.popleft()
             leg.call.done, leg.result = True, Result(model.COMPLETED)
-            host.balancer.back(leg, leg.result)
+            host.balancer.on_leg_ended(leg, leg.result)
         host.now += 1 / SET_UPS
     return spent / decided / 1000
 
@@ -455,7 +455,7 @@
                 host.balancer.overload.sums.holds(server.mark, 1, 0, 0)
             host.now += overload.AGAIN
             host.hears()
-            host.balancer.woke("tell")
+            host.balancer.on_timer("tell")
 
         return turn
 
@@ -463,7 +463,7 @@
         host = host_of(BALANCERS, 9)
         host.holds(host.fleet(count, 10), count)
         host.hears()
-        tidy.append(processor_time(lambda host=host: host.balancer.woke("tidy"), repeats))
+        tidy.append(processor_time(lambda host=host: host.balancer.on_timer("tidy"), repeats))
         tell.append(processor_time(told(host), repeats))
         with looked_after(count, count) as node:
             look.append(processor_time(node.server_watch.look, repeats))
@@ -477,7 +477,7 @@
         host = host_of(BALANCERS, 9)
         host.holds(host.fleet(servers, 10), count)
         host.hears()
-        tidy.append(processor_time(lambda host=host: host.balancer.woke("tidy"), repeats))
+        tidy.append(processor_time(lambda host=host: host.balancer.on_timer("tidy"), repeats))
         tell.append(processor_time(told(host), repeats))
         with looked_after(servers, count) as node:
             look.append(processor_time(node.server_watch.look, repeats))
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -219,7 +219,7 @@
 
     def told_late(self, out: Out, delay: float) -> None:
         if not out.over:
-            out.node.turn(out.node.balancer.delayed, out.leg, delay)
+            out.node.turn(out.node.balancer.on_delay_reported, out.leg, delay)
 
     def falls(self, machine: Machine) -> None:
         """A cold server is pushed over: its process is gone for good."""
@@ -247,7 +247,7 @@
 
     def arrives(self, sender: int, number: int, data: bytes) -> None:
         node = self.nodes[number]
-        node.turn(node.balancer.heard, sender, data)
+        node.turn(node.balancer.on_datagram, sender, data)
 
     # Troubles: each begins here, and ends by what it puts on the agenda.
 
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -2,17 +2,17 @@
 
 A host makes one `choice.Balancer(settings, seed, host)` for each instance and tells it what happens:
 
-    listed(servers)      these servers are new to the list or their entries changed
-    withheld(server, out)  operators took this server out, or put it back
-    unlisted(reached)    discovery failed us, or was not even reached; what was listed stays
-    refresh()            which servers are usable has changed, by no list
-    arrived(call)        a call to decide; it is owed one final answer
-    resumed(leg)         a connection that stood before the instance started
-    stands(leg)          the leg's connection is up
-    delayed(leg, delay)  a message at the leg's server takes this long now (seconds)
-    back(leg, result)    the leg ended
-    left(call)           the client is gone; nothing is owed any more
-    probed(server, result), heard(peer, data), woke(what)
+    on_servers_listed(servers)  these servers are new to the list or their entries changed
+    on_cordoned(server, out)  operators took this server out, or put it back
+    on_discovery_failed(reached)    discovery failed us, or was not even reached; what was listed stays
+    refresh_usable()            which servers are usable has changed, by no list
+    on_call(call)        a call to decide; it is owed one final answer
+    on_resumed(leg)         a connection that stood before the instance started
+    on_established(leg)          the leg's connection is up
+    on_delay_reported(leg, delay)  a message at the leg's server takes this long now (seconds)
+    on_leg_ended(leg, result)    the leg ended
+    on_client_left(call)           the client is gone; nothing is owed any more
+    on_probe_result(server, result), on_datagram(peer, data), on_timer(what)
 
 The balancer acts through its `Host`. Times are seconds on the host's clock; the host keeps the books of a
 call (`legs`, `done`, `leg.result`) before it tells the balancer.
@@ -217,8 +217,8 @@
 class Told:
     """What a balancer may be told and need not heed."""
 
-    def left(self, call: Call) -> None: ...
-    def heard(self, peer: int, data: bytes) -> None: ...
+    def on_client_left(self, call: Call) -> None: ...
+    def on_datagram(self, peer: int, data: bytes) -> None: ...
 
 
 class Host(Protocol):
--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -200,6 +200,6 @@
         """Nothing is owed any more; what is out for it ends."""
         if self.call and not self.call.done and not self.other:
             self.call.done = True
-            self.node.balancer.left(self.call)
+            self.node.balancer.on_client_left(self.call)
         if self.leg:
             self.leg.end(kind, "client-gone", self.ended or "fin")
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -100,13 +100,13 @@
             self.act(self.peers.send, peer, data)
 
     def set_timer(self, when: float, what: Any) -> None:
-        self.at(when, self.woke, what)
+        self.at(when, self.on_timer, what)
 
     def log(self, text: str) -> None:
         log.tell("mode", text=text)
 
-    def woke(self, what: Any) -> None:
-        self.balancer.woke(what)
+    def on_timer(self, what: Any) -> None:
+        self.balancer.on_timer(what)
 
     def answer(self, call: Call, line: bytes, how: str) -> None:
         call.done = True
@@ -184,7 +184,7 @@
         else:
             if not self.readiness.may_open(self.now):
                 self.invariants.violated(Invariant.SERVED_UNREADY, request_line.id)
-            self.balancer.arrived(call)
+            self.balancer.on_call(call)
 
     def stands(self, leg: Leg, resumes: bool) -> None:
         self.counters["stood"] += 1
@@ -221,7 +221,7 @@
         if self.names.tells_delay and not self.names.tells_load:
             place.told = self.now
             self.counters["late_notices"] += 1
-            self.balancer.delayed(leg, value / 1000)
+            self.balancer.on_delay_reported(leg, value / 1000)
         else:
             leg.load = value
 
--- a/bellrack/net/peer_socket.py
+++ b/bellrack/net/peer_socket.py
@@ -32,7 +32,7 @@
     def datagram_received(self, data: bytes, sender: tuple[str, int]) -> None:
         number = self.numbers.get(sender[:2])
         if number is not None and len(data) <= LONGEST_DATAGRAM:
-            self.node.queue(self.node.balancer.heard, number, data)
+            self.node.queue(self.node.balancer.on_datagram, number, data)
 
     def error_received(self, error: Exception) -> None: ...
 
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -74,14 +74,14 @@
         """A watch stands and brings nothing new: what was listed holds."""
         self.node.readiness.on_list(bool(self.node.servers))
         self.node.changed.set()
-        self.node.balancer.listed([])
+        self.node.balancer.on_servers_listed([])
 
     def on_failure(self, reached: bool) -> None:
         """Discovery failed; `reached`: it took the connection."""
         self.node.counters["list_failures"] += 1
         self.node.readiness.on_list_failure()
         self.node.changed.set()
-        self.node.balancer.unlisted(reached)
+        self.node.balancer.on_discovery_failed(reached)
 
     def load(self, news: lines.Listing) -> None:
         """A list from before the start. It may be old."""
@@ -114,7 +114,7 @@
         self.node.apply_entries(rows, news.whole, kept)
         for server in map(self.node.servers.get, self.cordoned):
             if server and not server.out:  # forgotten meanwhile, or told by our other process: it stays out
-                self.node.balancer.withheld(server, True)
+                self.node.balancer.on_cordoned(server, True)
 
     def row(self, entry: lines.Entry, newest: float) -> tuple[int, str, int, int, float, float, int] | None:
         """An entry as the decisions read it; None of a server that is gone and was never known. `newest`: the
@@ -191,7 +191,7 @@
             changed = changed or server.doubtful != doubtful
             server.doubtful = doubtful
         if changed:
-            self.node.balancer.refresh()
+            self.node.balancer.refresh_usable()
 
     def mark_unproved(self, since: float) -> None:
         """Servers that took no connection for so long (seconds), nor were tried, get the next call without a
@@ -219,7 +219,7 @@
             return
         self.orders[mark] = order
         if server := self.node.servers.get(mark):
-            self.node.balancer.withheld(server, order.out)
+            self.node.balancer.on_cordoned(server, order.out)
 
 
 def load_known(node: Any) -> None:
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -48,7 +48,7 @@
         delay = place.look(node.now)
         late = delay > NOTICE * node.settings.quickest
         if node.names.tells_delay and (late or place.late) and node.now - place.told > TOLD_FOR:
-            node.balancer.delayed(next(iter(place.legs)).leg, delay)
+            node.balancer.on_delay_reported(next(iter(place.legs)).leg, delay)
         place.late = late
 
     def end_silent(self, place: Place) -> None:
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -293,4 +293,4 @@
             self.node.limits.probes -= 1
             self.node.counters[f"probe_{kind.replace(' ', '_')}"] += 1
             self.finish(kind, server=self.server.host_record.name)
-            self.node.balancer.probed(self.server, Result(kind, self.node.now - self.begun, report))
+            self.node.balancer.on_probe_result(self.server, Result(kind, self.node.now - self.begun, report))
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -63,7 +63,7 @@
         self.node.resumed.answer_all()
         for client in list(self.node.clients):
             if client.call and not client.call.done:
-                self.node.balancer.woke(client.call)
+                self.node.balancer.on_timer(client.call)
 
     def answer_silent(self) -> None:
         """Take in who still waits in the listener and answer all that have said nothing, or half a line:
--- a/bellrack/simulator/adapter.py
+++ b/bellrack/simulator/adapter.py
@@ -107,7 +107,7 @@
 
     def _on_inbound(self, xid, affinity, remaining, group, cost, customer, bits, priority):
         call = self._book(xid, affinity, remaining, group, customer, bits, priority)
-        self.balancer.arrived(call)
+        self.balancer.on_call(call)
 
     def _on_preexisting(self, xid, affinity, customer, server, group, remaining, cost, priority, bits):
         call = self._book(xid, affinity, remaining, group, customer, bits, priority)
@@ -121,7 +121,7 @@
         if sort == 1:
             leg.load = x
         elif sort == 2:
-            self.balancer.delayed(leg, x / 1e3)
+            self.balancer.on_delay_reported(leg, x / 1e3)
 
     def _on_returned(self, xid, number, server, result, took, complete, *report):
         leg = self._leg("Returned", xid, number)
@@ -133,23 +133,23 @@
     def _on_dropped(self, xid):
         if call := self._open.get(xid):  # it may name a call that we ended a moment ago
             call.done = True
-            self.balancer.left(call)
+            self.balancer.on_client_left(call)
             self._forget(call)
 
     def _on_tickdue(self, nonce):
         if nonce not in self._wakes:
             raise WireError(f"TickDue.nonce: {nonce} was never asked for")
-        self.balancer.woke(self._wakes.pop(nonce))
+        self.balancer.on_timer(self._wakes.pop(nonce))
 
     def _on_pong(self, server, result, took, *report):
-        self.balancer.probed(self.server(server), self._result("Pong", result, took, report))
+        self.balancer.on_probe_result(self.server(server), self._result("Pong", result, took, report))
 
     def _on_heard(self, by, data):
-        self.balancer.heard(by, data)
+        self.balancer.on_datagram(by, data)
 
     def _members(self, kind, roster, revision, pools):
         if kind == FAILED:
-            self.balancer.unlisted()
+            self.balancer.on_discovery_failed()
             return
         if kind not in (DELTA, FULL_LIST, CACHED):
             raise WireError(f"Members.kind: unknown kind {kind}")
--- a/bellrack/simulator/tally.py
+++ b/bellrack/simulator/tally.py
@@ -69,8 +69,8 @@
             self.seen.probes[server.mark, int(self.host.now)] += 1
             self.seen.cold[server.mark, int(self.host.now)] += server.stand.warm_at > self.host.now
 
-    def probed(self, server: Server, result: choice.Result) -> None:
-        super().probed(server, result)
+    def on_probe_result(self, server: Server, result: choice.Result) -> None:
+        super().on_probe_result(server, result)
         if result.report and self.fullness is not None:
             self.seen.loads[server.zone].append(result.report[self.fullness])
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -77,7 +77,7 @@
     def answer(self, server, *report, kind=model.COMPLETED):
         """A probe of it is answered."""
         self.probes.remove(server)
-        self.balancer.probed(server, Result(kind, 0.001, report))
+        self.balancer.on_probe_result(server, Result(kind, 0.001, report))
 
     def set_timer(self, when, what):
         self.wakes.append((when, what))
@@ -87,23 +87,23 @@
 
     def fleet(self, *zones, **fields) -> list[Server]:
         servers = [Server(mark * 77 + 5, zone, **fields) for mark, zone in enumerate(zones)]
-        self.balancer.listed(servers)
+        self.balancer.on_servers_listed(servers)
         return servers
 
     def call(self, group=0, kind=0, guard=3.0) -> Call:
         call = Call(self.rules.types[kind], self.now + guard, self.now, group=group)
-        self.balancer.arrived(call)
+        self.balancer.on_call(call)
         return call
 
-    def stand(self, leg):
+    def establish(self, leg):
         leg.standing = True
-        self.balancer.stands(leg)
+        self.balancer.on_established(leg)
 
-    def back(self, leg, kind):
+    def end_leg(self, leg, kind):
         leg.result = Result(kind)
         if kind == model.COMPLETED or leg.standing:
             leg.call.done = True
-        self.balancer.back(leg, leg.result)
+        self.balancer.on_leg_ended(leg, leg.result)
 
     def run(self, until):
         """Time passes; wakes that fall due come in order."""
@@ -111,7 +111,7 @@
             first = min(due, key=lambda wake: wake[0])
             self.wakes.remove(first)
             self.now = max(self.now, first[0])
-            self.balancer.woke(first[1])
+            self.balancer.on_timer(first[1])
         self.now = max(self.now, until)
 
 
--- a/tests/test_blind.py
+++ b/tests/test_blind.py
@@ -51,7 +51,7 @@
         for bench, fleet in zip(self.benches, self.fleets):
             bench.run(100.0 + self.now)
             for leg, _ in bench.sent:
-                bench.stand(leg)
+                bench.establish(leg)
                 self.legs[leg] = bench, fleet.index(leg.server)
             for call, _, _ in bench.done:
                 self.again(call.group)
@@ -64,7 +64,7 @@
 
     def end(self, leg, kind):
         bench, _ = self.legs.pop(leg)
-        bench.back(leg, kind)
+        bench.end_leg(leg, kind)
 
     def look(self, number):
         """Serves while it bears what it holds; resets half, the newest, when too much has piled up."""
@@ -109,11 +109,11 @@
     for _ in range(60):
         bench.run(bench.now + 1)
         bench.call()
-        bench.stand(bench.sent[-1][0])
+        bench.establish(bench.sent[-1][0])
     bench.run(bench.now + 10)
     held = one.stand.open
     for leg in list(one.stand.legs):
-        bench.back(leg, model.RESET)
+        bench.end_leg(leg, model.RESET)
     return bench, one, other, held
 
 
@@ -141,7 +141,7 @@
     bench, one, other, _ = shed()
     ceiling = one.stand.ceiling
     bench.run(bench.now + 5)
-    bench.balancer.delayed(next(iter(other.stand.legs)), 0.01)
+    bench.balancer.on_delay_reported(next(iter(other.stand.legs)), 0.01)
     one.stand.cut, one.stand.told, one.stand.delay = 0.0, 0.0, 0.0
     bench.balancer.overload.dropped(one, bench.now)
     assert one.stand.delay == 0 and one.stand.ceiling == ceiling
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -14,13 +14,13 @@
         bench.run(bench.now + 0.13)
         bench.call(**call)
         if bench.sent and bench.sent[-1][0].result is None and not bench.sent[-1][0].standing:
-            bench.stand(bench.sent[-1][0])
+            bench.establish(bench.sent[-1][0])
     return [leg.server for leg, _ in bench.sent[before:]]
 
 
 def late(bench, server, delay=0.2):
     leg = next(leg for leg, _ in bench.sent if leg.server is server and not leg.call.done)
-    bench.balancer.delayed(leg, delay)
+    bench.balancer.on_delay_reported(leg, delay)
 
 
 def test_stays_in_zone_until_the_ratio_is_missed():
@@ -72,7 +72,7 @@
     bench = Bench(settings())
     stays, leaves = bench.call(), bench.call()
     leaves.done = True
-    bench.balancer.left(leaves)
+    bench.balancer.on_client_left(leaves)
     bench.fleet(0)
     bench.run(bench.now + 0.1)
     assert [leg.call for leg, _ in bench.sent] == [stays]
@@ -82,10 +82,10 @@
     bench = Bench(settings())
     home, away = bench.fleet(0, 1)
     home.state = model.DRAINING
-    bench.balancer.listed([home])
+    bench.balancer.on_servers_listed([home])
     place(bench, 40)
     home.state = model.READY
-    bench.balancer.listed([home])
+    bench.balancer.on_servers_listed([home])
     place(bench, 9)
     late(bench, home, 0.04)
     bench.moved.clear()
@@ -101,7 +101,7 @@
     assert bench.watched == 1
     waits = []
     for _ in range(4):
-        bench.balancer.unlisted()
+        bench.balancer.on_discovery_failed()
         waits.append(min(when for when, what in bench.wakes if what == "watch") - bench.now)
         bench.run(bench.now + waits[-1])
     assert bench.watched == 5 and waits[-1] > 2 * waits[0] > 0
@@ -112,15 +112,15 @@
     cold, *_ = bench.fleet(0, 0, 0)
     place(bench, 90)
     for leg in list(cold.stand.legs):
-        bench.back(leg, model.RESET)
+        bench.end_leg(leg, model.RESET)
     cold.since = bench.now
-    bench.balancer.listed([cold])
+    bench.balancer.on_servers_listed([cold])
     bench.run(bench.now + 15)
     before = len(bench.sent)
     for _ in range(20):  # each ends at once and frees its place
         bench.run(bench.now + 0.02)
         bench.call()
-        bench.back(bench.sent[-1][0], model.COMPLETED)
+        bench.end_leg(bench.sent[-1][0], model.COMPLETED)
     gap = bench.rules.ramp_time / (2 * choice.AHEAD * bench.balancer.cold.usual())
     assert sum(leg.server is cold for leg, _ in bench.sent[before:]) <= 1 + 20 * 0.02 / gap < 20
 
@@ -143,7 +143,7 @@
     bench.call()
     assert known.stand.open == 1
     late = Server(9, 0, since=bench.now - 10)  # told late: this one counts from now
-    bench.balancer.listed([late])
+    bench.balancer.on_servers_listed([late])
     for _ in range(4):
         bench.call()
     assert not late.stand.open
@@ -154,7 +154,7 @@
     bench = Bench(settings(peers=2))
     (server,) = bench.fleet(0)
     place(bench, 1)
-    bench.balancer.delayed(next(iter(server.stand.legs)), 0.07)
+    bench.balancer.on_delay_reported(next(iter(server.stand.legs)), 0.07)
     assert not bench.balancer.draw.room(server)
     bench.run(bench.now + 20)
     assert server.stand.open == 1 and bench.balancer.draw.room(server)
@@ -215,10 +215,10 @@
     place(bench, 6)
     for _ in range(3):
         for leg in [leg for leg, _ in bench.sent]:
-            bench.balancer.delayed(leg, 0.2)
+            bench.balancer.on_delay_reported(leg, 0.2)
         bench.run(bench.now + 1)
     for leg, _ in bench.sent:
-        bench.back(leg, model.RESET)
+        bench.end_leg(leg, model.RESET)
     bench.run(bench.now + 2.5)
     assert bench.balancer.draw.calm(0) < 0.6
     bench.run(bench.now + 9)
@@ -240,11 +240,11 @@
     bench = Bench(settings())
     fleet = bench.fleet(0, 0, 1, 1)
     for server in fleet:  # something stands on each
-        bench.balancer.resumed(bench.send(bench.call(), server, 0.0))
+        bench.balancer.on_resumed(bench.send(bench.call(), server, 0.0))
     bench.run(bench.now + 1)
     for _ in range(4):
         for server in fleet:
-            bench.balancer.delayed(next(leg for leg, _ in bench.sent if leg.server is server), 0.06)
+            bench.balancer.on_delay_reported(next(leg for leg, _ in bench.sent if leg.server is server), 0.06)
         bench.run(bench.now + 1)
     bench.fleet(0, 0, 1, 1, 1, 1)
     assert place(bench, 3) == []
@@ -268,20 +268,20 @@
     monkeypatch.setattr(model.Settings, "blind", blind)
     bench = Bench(settings(peers=3, ramp_time=6.0, cold_share=0.12), seed=25)
     fleet = [Server(mark * 77 + 5, mark % 2, weight=[3.5, 2.0][mark % 3 > 0]) for mark in range(9)]
-    bench.balancer.listed(fleet)
+    bench.balancer.on_servers_listed(fleet)
     for number in range(160):
         bench.run(bench.now + 0.11)
         bench.call(group=number * number % 13)
         out = [leg for leg, _ in bench.sent if leg.result is None]
         if out and not out[-1].standing:
-            bench.stand(out[-1])
+            bench.establish(out[-1])
         if number % 9 == 4:
-            bench.balancer.delayed(out[number % len(out)], [0.04, 0.07, 0.25][number % 3])
+            bench.balancer.on_delay_reported(out[number % len(out)], [0.04, 0.07, 0.25][number % 3])
         if number % 7 == 3:
-            bench.back(out[number * 5 % len(out)], [model.COMPLETED, model.RESET][number % 2])
+            bench.end_leg(out[number * 5 % len(out)], [model.COMPLETED, model.RESET][number % 2])
         if number in (40, 60):
             fleet[4].state, fleet[4].since = [model.DRAINING, model.READY][number > 40], bench.now
-            bench.balancer.listed([fleet[4]])
+            bench.balancer.on_servers_listed([fleet[4]])
     chosen = "".join(str(fleet.index(leg.server)) for leg, _ in bench.sent)
     assert chosen == story
     assert not bench.probes
@@ -293,7 +293,7 @@
     home, *away = bench.fleet(0, 1, 1, 1)
     for server in away:
         server.since = bench.now
-    bench.balancer.listed(away)
+    bench.balancer.on_servers_listed(away)
     looked, room = [], bench.balancer.cold.room
     bench.balancer.cold.room = lambda server: looked.append(server) or room(server)
     assert place(bench, 5) == [home] * 5 and not looked
@@ -308,7 +308,7 @@
         fleet = bench.fleet(*[0] * 10)
         for server in fleet:
             server.since = bench.now
-        bench.balancer.listed(fleet)
+        bench.balancer.on_servers_listed(fleet)
         bench.run(bench.now + bench.rules.ramp_time / 6)
         bench.call(group=77)
         bench.run(bench.now + 0.3)
@@ -324,11 +324,11 @@
         bench = Bench(settings(peers=40), seed=number)
         [server] = bench.fleet(0)
         bench.call()
-        bench.stand(leg := bench.sent[0][0])
-        bench.balancer.delayed(leg, choice.MOVE_MOST * bench.rules.quickest)
+        bench.establish(leg := bench.sent[0][0])
+        bench.balancer.on_delay_reported(leg, choice.MOVE_MOST * bench.rules.quickest)
         if bench.moved:
             moved += 1
-            bench.back(leg, model.CANCELLED)
+            bench.end_leg(leg, model.CANCELLED)
         bench.run(bench.now + 2 * choice.SWAMPED_FOR)
         refilled += bench.balancer.draw.room(server) and not server.stand.open
     share = choice.MOVE_SHARE * choice.MOVE_MOST
@@ -343,12 +343,12 @@
         bench.call()
     standing = [leg for leg, _ in bench.sent if leg.server is first]
     for leg, _ in bench.sent:
-        bench.stand(leg)
+        bench.establish(leg)
     assert len(standing) > 3
-    bench.balancer.withheld(first, True)
+    bench.balancer.on_cordoned(first, True)
     for state in (model.DRAINING, model.GONE, model.READY):
         first.state, first.since = state, bench.now
-        bench.balancer.listed([first])
+        bench.balancer.on_servers_listed([first])
         bench.run(bench.now + 1.0)
         before = len(bench.sent)
         bench.call(), bench.call()
@@ -362,9 +362,9 @@
     (server,) = bench.fleet(0)
     bench.call()
     leg = bench.sent[0][0]
-    bench.balancer.withheld(server, True)
+    bench.balancer.on_cordoned(server, True)
     bench.run(bench.now + 0.5)
-    bench.stand(leg)
+    bench.establish(leg)
     bench.run(bench.now + 3.0)
     assert bench.moved == [leg.call]
 
@@ -374,7 +374,7 @@
     fleet = bench.fleet(0, 0, 0, 0, 0, 0)
     back = fleet[2]
     for out in (True, True, False):  # the call out may come twice
-        bench.balancer.withheld(back, out)
+        bench.balancer.on_cordoned(back, out)
         bench.run(bench.now + 1.0)
     assert back.stand.warm_at > bench.now and bench.balancer.cold.warm(back) < 0.3
     put, sent = bench.now, len(bench.sent)
@@ -388,12 +388,12 @@
 def test_a_restart_that_the_list_told_while_a_server_was_out_counts_from_then():
     bench = Bench(settings())
     (server,) = bench.fleet(0)
-    bench.balancer.withheld(server, True)
+    bench.balancer.on_cordoned(server, True)
     bench.run(bench.now + 2.0)
     server.since = bench.now
-    bench.balancer.listed([server])
+    bench.balancer.on_servers_listed([server])
     bench.run(bench.now + 3.0)
-    bench.balancer.withheld(server, False)
+    bench.balancer.on_cordoned(server, False)
     assert server.stand.warm_at == server.since + bench.rules.ramp_time
 
 
@@ -402,7 +402,7 @@
     fleet = bench.fleet(0, 0, 0)
     for _ in range(2):
         bench.call(group=7)
-        bench.stand(bench.sent[-1][0])
+        bench.establish(bench.sent[-1][0])
         bench.run(bench.now + 0.5)
     bench.call(group=3), bench.call(group=4), bench.call(group=5)
     bench.run(bench.now + 0.5)
@@ -420,11 +420,11 @@
     bench = Bench(settings())
     fleet = bench.fleet(0, 1)
     for server in fleet:
-        bench.balancer.withheld(server, True)
+        bench.balancer.on_cordoned(server, True)
     call = bench.call()
     bench.run(bench.now + 3.0)
     assert [how for _, how, _ in bench.done] == ["rejected"] and not call.legs
-    bench.balancer.withheld(fleet[0], False)
+    bench.balancer.on_cordoned(fleet[0], False)
     bench.run(bench.now + 5.0)
     assert bench.call().legs[0].server is fleet[0]
 
@@ -439,7 +439,7 @@
     known = bench.balancer.cold.usual()
     for server in fleet[2:]:
         server.doubtful = True
-    bench.balancer.refresh()
+    bench.balancer.refresh_usable()
     bench.run(bench.now + 1)
     assert bench.balancer.listing.ready == fleet[:2] and bench.balancer.cold.usual() == known == 1.6
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -154,10 +154,10 @@
         self.world.after(self, wait, what, *values)
 
     def set_timer(self, when, what):
-        self.world.after(self, when - self.now, self.woke, what)
+        self.world.after(self, when - self.now, self.on_timer, what)
 
-    def woke(self, what):
-        self.balancer.woke(what)
+    def on_timer(self, what):
+        self.balancer.on_timer(what)
 
     def watch(self, on=True):
         self.discovery.watch(on)
@@ -165,7 +165,7 @@
     def comes(self):
         """A client."""
         self.after(0.4 + 0.2 * self.draws.uniform(), self.comes)
-        self.balancer.arrived(Call(self.settings.types[0], self.now + 3.0, self.now))
+        self.balancer.on_call(Call(self.settings.types[0], self.now + 3.0, self.now))
 
     def send(self, call, server, until):
         leg = self.begin_leg(call, server)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -95,7 +95,7 @@
         client = await world.call()
         _, server, _ = await world.leg()
         call = next(iter(world.node.clients)).call
-        due = (world.node.balancer.woke, call)
+        due = (world.node.balancer.on_timer, call)
         batch.of(*((due, "server") if first == "time" else ("server", due)))
         server.say("UP 1")
         assert await client.line() == told
@@ -115,7 +115,7 @@
         batch = Batch(monkeypatch, world.node)
         client = await world.call()
         _, server, _ = await world.leg()
-        batch.of((world.node.balancer.woke, next(iter(world.node.clients)).call), "server")
+        batch.of((world.node.balancer.on_timer, next(iter(world.node.clients)).call), "server")
         server.say("ERR")
         assert [await client.line(), await client.line()] == [told, "fin"]
         assert world.arrived.empty() and world.node.counters["legs"] == 1
@@ -445,7 +445,7 @@
     bench = Bench(settings(ask_within=1.0))
     for _ in range(40):
         bench.wakes.clear()
-        bench.balancer.unlisted()
+        bench.balancer.on_discovery_failed()
         ((when, what),) = bench.wakes
         assert what == "watch" and when - bench.now <= 1.5  # four times that holds after a call that failed
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -462,7 +462,9 @@
 def told(bench, fleet, counts, late=()):
     for peer in range(1, 6):
         polled = [(server.mark & gossip.ID, count) for server, count in zip(fleet, counts)]
-        bench.balancer.heard(peer, gossip.pack(sum(counts), list(late), polled, random.Random(peer).random))
+        bench.balancer.on_datagram(
+            peer, gossip.pack(sum(counts), list(late), polled, random.Random(peer).random)
+        )
 
 
 def test_a_server_far_over_what_mates_hold_is_passed_over_by_one_that_holds_nothing():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -59,7 +59,7 @@
     def __init__(self, settings, seed, host):
         self.settings, self.host, self.fleet = settings, host, []
 
-    def listed(self, servers):
+    def on_servers_listed(self, servers):
         for server in servers:
             server.stand = self
             if server not in self.fleet:
@@ -85,10 +85,10 @@
 @pytest.mark.parametrize("late, in_time", [(0.0, True), (1e-6, False)])
 def test_an_answer_at_the_very_guard_time_has_come_in_time(late, in_time):
     class Punctual(Scripted):
-        def arrived(self, call):
+        def on_call(self, call):
             self.host.set_timer(call.guard - 0.0007 + late, call)  # the client hears it a delay later
 
-        def woke(self, call):
+        def on_timer(self, call):
             if not call.done:
                 self.host.reject(call)
 
@@ -496,11 +496,11 @@
     class Talks(Scripted):
         heard_at: list = []
 
-        def arrived(self, call):
+        def on_call(self, call):
             self.host.reject(call)
             self.host.send_datagram(None, f"{self.host.number} {self.host.now:.6f}".encode())
 
-        def heard(self, peer, data):
+        def on_datagram(self, peer, data):
             self.heard_at.append((self.host.now, self.settings.zone, peer, data))
 
     def heard(**form):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -683,8 +683,8 @@
 async def test_probes_and_datagrams():
     async with World() as world:
         found, heard = [], []
-        world.node.balancer.probed = lambda server, result: found.append(result.kind)
-        world.node.balancer.heard = lambda peer, data: heard.append((peer, data))
+        world.node.balancer.on_probe_result = lambda server, result: found.append(result.kind)
+        world.node.balancer.on_datagram = lambda peer, data: heard.append((peer, data))
         server = next(iter(world.node.servers.values()))
         for answer in ("PONG", "NO", ""):
             world.node.probe(server)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -178,7 +178,7 @@
     """One that has heard the aggregator once, before ten servers."""
     bench = Bench(settings(peers=peers, number=number, may_publish=True))
     fleet = bench.fleet(*[0] * 10)
-    bench.balancer.heard(0, next(sums.pack(sums.BROADCAST, [])))
+    bench.balancer.on_datagram(0, next(sums.pack(sums.BROADCAST, [])))
     return bench, fleet
 
 
@@ -188,23 +188,23 @@
 
 def test_a_server_far_over_what_others_hold_is_passed_over_by_one_that_holds_nothing():
     bench, fleet = balancer()
-    bench.balancer.heard(0, held(fleet, [60] + [10] * 9))
+    bench.balancer.on_datagram(0, held(fleet, [60] + [10] * 9))
     for _ in range(100):
         bench.call()
         bench.now += 0.5
-        bench.balancer.heard(0, held(fleet, [60] + [10] * 9))
+        bench.balancer.on_datagram(0, held(fleet, [60] + [10] * 9))
     assert len(bench.sent) >= 90 and fleet[0] not in [leg.server for leg, _ in bench.sent]
 
 
 def test_a_group_goes_where_others_have_it():
     bench, fleet = balancer()
-    bench.balancer.heard(0, held(fleet, [10] * 10))
+    bench.balancer.on_datagram(0, held(fleet, [10] * 10))
     home = fleet[7]
-    bench.balancer.heard(0, next(sums.pack_pairs(sums.PLACEMENTS, [(home.mark & sums.MARK, 41)], [1])))
+    bench.balancer.on_datagram(0, next(sums.pack_pairs(sums.PLACEMENTS, [(home.mark & sums.MARK, 41)], [1])))
     for _ in range(20):
         bench.call(group=41)
         bench.now += 3
-        bench.balancer.heard(0, held(fleet, [10] * 10))
+        bench.balancer.on_datagram(0, held(fleet, [10] * 10))
     assert {leg.server for leg, _ in bench.sent} == {home}
 
 
@@ -212,7 +212,7 @@
     bench, fleet = balancer()
     late = next(sums.pack(sums.BROADCAST, [(sums.LATE, fleet[4].mark, 0.8)]))
     for _ in range(20):
-        bench.balancer.heard(0, late)
+        bench.balancer.on_datagram(0, late)
         bench.call()
         bench.now += 0.5
     assert bench.sent and fleet[4] not in [leg.server for leg, _ in bench.sent]
@@ -221,7 +221,7 @@
 def test_a_jam_does_not_shut_out_all_spills_of_one_that_holds_a_connection():
     bench, fleet = balancer()
     leg = bench.call().legs[0]
-    bench.stand(leg)
+    bench.establish(leg)
     for server in fleet:
         server.stand.delay, server.stand.told, server.stand.holds = 0.7, bench.now, 1.5
     bench.balancer.draw.look()
@@ -231,7 +231,9 @@
 
 def test_broadcasts_of_servers_that_no_list_names_count_for_nothing():
     bench, fleet = balancer()
-    bench.balancer.heard(0, next(sums.pack(sums.BROADCAST, [(sums.SUM, 12345, 9), (sums.LATE, 12345, 3)])))
+    bench.balancer.on_datagram(
+        0, next(sums.pack(sums.BROADCAST, [(sums.SUM, 12345, 9), (sums.LATE, 12345, 3)]))
+    )
     assert not bench.balancer.overload.sums.sums and len(bench.balancer.fleet) == 10
 
 
@@ -239,7 +241,7 @@
     first, after = (Accounting(settings(), 7, 100.0, lambda *_: Bench(settings()).balancer) for _ in range(2))
     for books in first, after:
         books.apply_entries([(5, model.READY, 0, 0, 1.0, 0.0, 0)], True)
-    first.balancer.draw.delayed(first.servers[5], 0.8)
+    first.balancer.draw.record_delay(first.servers[5], 0.8)
     after.import_learned(first.export_learned())
     after.balancer.host.now += 1
     assert after.balancer.avoids(after.servers[5])
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -12,7 +12,7 @@
 def test_a_live_weight_leaves_sizes_and_the_order_of_lots_as_they_are():
     bench = Bench(settings(asks=False, live=True))
     fleet = [Server(mark * 77 + 5, kind=mark % 2, weight=[8.5, 5.0][mark % 2]) for mark in range(6)]
-    bench.balancer.listed(fleet)
+    bench.balancer.on_servers_listed(fleet)
     call = bench.call(group=9)
 
     def order():
@@ -22,7 +22,7 @@
     for server in fleet:
         server.weight = server.weight / (2 + server.mark % 5)
     late = Server(4000, kind=0, weight=1.2)  # comes while it is full: its kind tells its size
-    bench.balancer.listed([*fleet, late])
+    bench.balancer.on_servers_listed([*fleet, late])
     assert [server.size for server in [*fleet, late]] == [8.5, 5.0, 8.5, 5.0, 8.5, 5.0, 8.5]
     assert order() == before
 
@@ -30,8 +30,8 @@
 def test_a_size_known_too_small_grows_with_the_first_empty_server_of_its_kind():
     bench = Bench(settings(asks=False, live=True))
     full, other = Server(1, kind=0, weight=0.4), Server(2, kind=1, weight=0.5)
-    bench.balancer.listed([full, other])
-    bench.balancer.listed([Server(3, kind=0, weight=3.5)])
+    bench.balancer.on_servers_listed([full, other])
+    bench.balancer.on_servers_listed([Server(3, kind=0, weight=3.5)])
     assert (full.size, other.size) == (3.5, 0.5)
 
 
@@ -112,13 +112,13 @@
     bench = Bench(settings(**PROBED))
     bench.fleet(0, 0)
     (first,) = asked(bench, 0.1)
-    bench.stand(bench.sent[0][0])
+    bench.establish(bench.sent[0][0])
     assert bench.balancer.draw.reported(first)
-    bench.back(bench.sent[0][0], kind)
+    bench.end_leg(bench.sent[0][0], kind)
     assert not bench.balancer.draw.reported(first)
     bench.run(bench.now + 1.1)
     asked(bench, 0.1)
-    bench.back(bench.sent[-1][0], kind)  # this one while it is set up
+    bench.end_leg(bench.sent[-1][0], kind)  # this one while it is set up
     assert sent(bench) == [first, first] and not bench.balancer.draw.reported(first)
 
 
@@ -140,5 +140,5 @@
     (server,) = bench.fleet(0)
     bench.call()
     assert len(bench.probes) == probes
-    bench.balancer.probed(server, Result(model.COMPLETED, 0.001, (7.0, 0.95)[: len(report)]))
+    bench.balancer.on_probe_result(server, Result(model.COMPLETED, 0.001, (7.0, 0.95)[: len(report)]))
     assert server.stand.full == 0.95 * probes and len(bench.sent) == 1 - probes
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -90,7 +90,7 @@
 def test_module_keeps_the_rules(story, live):
     bench = Watched(settings(types=KINDS, asks=not live, live=live, report=(model.FULLNESS,) * live))
     fleet = [Server(mark * 31 + 1, mark % 2, mark // 2) for mark in range(6)]
-    bench.balancer.listed(fleet)
+    bench.balancer.on_servers_listed(fleet)
     calls = []
     for what, which, how in story:
         out = [leg for leg, _ in bench.sent if leg.result is None]
@@ -100,10 +100,10 @@
             bench.run(bench.now + which)
         elif what == "list":
             fleet[which].state = how
-            bench.balancer.listed([fleet[which]])
+            bench.balancer.on_servers_listed([fleet[which]])
         elif what == "weight":
             fleet[which].weight = how
-            bench.balancer.listed([fleet[which]])
+            bench.balancer.on_servers_listed([fleet[which]])
         elif what == "probed" and bench.probes:
             bench.answer(
                 bench.probes[which % len(bench.probes)], *[which / 50] * (how == model.COMPLETED), kind=how
@@ -111,18 +111,18 @@
         elif what == "left":
             for call in [call for call in calls if not call.done][-1:]:
                 call.done = True
-                bench.balancer.left(call)
+                bench.balancer.on_client_left(call)
         elif what == "restart":
             fleet[which].since = bench.now
-            bench.balancer.listed([fleet[which]])
+            bench.balancer.on_servers_listed([fleet[which]])
         elif out and what == "end":
-            bench.back(out[which % len(out)], how)
+            bench.end_leg(out[which % len(out)], how)
         elif out and what == "delay" and (up := [leg for leg in out if leg.standing]):
-            bench.balancer.delayed(up[which % len(up)], how)
+            bench.balancer.on_delay_reported(up[which % len(up)], how)
         elif out and what == "stand" and not out[which % len(out)].standing:
-            bench.stand(out[which % len(out)])
+            bench.establish(out[which % len(out)])
     for leg in [leg for leg, _ in bench.sent if leg.result is None and not leg.standing]:
-        bench.back(leg, model.TIMEOUT)
+        bench.end_leg(leg, model.TIMEOUT)
     bench.run(bench.now + 60)
     for call in calls:  # rule 1: answered by the guard time, or standing
         assert call.done or any(leg.standing for leg in call.legs)
@@ -138,17 +138,17 @@
     for _ in range(40):
         bench.run(bench.now + 0.13)
         bench.call()
-        bench.stand(bench.sent[-1][0])
+        bench.establish(bench.sent[-1][0])
     for leg in [leg for leg, _ in bench.sent if leg.server is cold]:
-        bench.back(leg, model.RESET)
+        bench.end_leg(leg, model.RESET)
     cold.since = start = bench.now
     for server in warm if live else []:
         server.weight /= 1 + server.stand.open
-    bench.balancer.listed([cold, *warm])
+    bench.balancer.on_servers_listed([cold, *warm])
     for step in range(100):
         bench.run(start + max(0, step - 50) * 0.2)  # half of them at once
         bench.call()
-        bench.stand(bench.sent[-1][0])
+        bench.establish(bench.sent[-1][0])
         usual = sum(server.stand.open for server in warm) / 2
         assert cold.stand.open <= 1 + choice.AHEAD * usual * (bench.now - start) / bench.rules.ramp_time
     assert cold.stand.open > 3
@@ -164,16 +164,16 @@
         cold, *warm = fleet = bench.fleet(*[0] * servers)
         for index in range(held * (number % 3)):  # uneven: some balancers hold nothing
             leg = bench.send(Call(rules.types[0], 1e9), warm[index % len(warm)], 1e9)
-            bench.balancer.resumed(leg)
+            bench.balancer.on_resumed(leg)
         cold.since = start = bench.now
-        bench.balancer.listed(fleet)
+        bench.balancer.on_servers_listed(fleet)
         for step in range(8):  # it takes all that may come, and what it took ends at once
             bench.run(start + 0.4 * (step + 1))
             while bench.balancer.cold.room(cold):
                 bench.balancer.draw.send(Call(rules.types[0], 1e9), cold)
                 sent += 1
                 if step % 2:
-                    bench.back(bench.sent[-1][0], model.RESET)
+                    bench.end_leg(bench.sent[-1][0], model.RESET)
         total += sum(server.stand.open for server in warm) / len(warm)
     # Of what servers bear in all, or eight before any was seen.
     even = choice.AHEAD * (total + 8.0) * 3.2 / rules.ramp_time
@@ -188,7 +188,7 @@
         bench = Bench(rules, 11 + number)
         cold, *warm = fleet = bench.fleet(0, 0, 0)
         cold.since = start = bench.now
-        bench.balancer.listed(fleet)
+        bench.balancer.on_servers_listed(fleet)
         for _ in range(20):
             bench.run(bench.now + warm_share * rules.ramp_time / 20)
             if bench.balancer.cold.room(cold):
