--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -489,7 +489,7 @@
             self.balancer.zone.looked = -math.inf
 
 
-class Balancer(model.Told):
+class Balancer(model.OptionalEvents):
     """One instance."""
 
     def __init__(self, settings: Settings, seed: int, host: Host):
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -214,7 +214,7 @@
     report: tuple[float, ...] = ()
 
 
-class Told:
+class OptionalEvents:
     """What a balancer may be told and need not heed."""
 
     def on_client_left(self, call: Call) -> None: ...
