--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -86,7 +86,7 @@
         return {
             "bears": self.balancer.cold.borne,
             "servers": {
-                str(mark): {name: getattr(server.stand, name) for name in LEARNED}
+                str(mark): {name: getattr(server.local_state, name) for name in LEARNED}
                 for mark, server in self.servers.items()
                 if server.state != model.GONE
             },
@@ -103,12 +103,12 @@
             for name in LEARNED if server else ():
                 if type(values.get(name)) in (int, float):
                     shift = later if name in TIMES else 0
-                    setattr(server.stand, name, values[name] + shift)
+                    setattr(server.local_state, name, values[name] + shift)
 
     def may_move_later(self, leg: Leg) -> None:
         """The host did not carry out a move: the decisions may choose this connection again."""
         if leg.standing and leg.result is None:
-            leg.server.stand.legs[leg] = None
+            leg.server.local_state.legs[leg] = None
 
     def forget_server(self, server: Server) -> None:
         """One that is gone and holds nothing of ours; listed again, it is a new one."""
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -144,11 +144,11 @@
 
     def bears(self, server: Server) -> bool:
         """Is it warm, or may it take one more?"""
-        return server.stand.warm_at <= self.host.now or self.room(server)
+        return server.local_state.warm_at <= self.host.now or self.room(server)
 
     def warm(self, server: Server) -> float:
         """The share of its capacity that a server surely has by now."""
-        left = (server.stand.warm_at - self.host.now) / self.settings.ramp_time
+        left = (server.local_state.warm_at - self.host.now) / self.settings.ramp_time
         return 1.0 - (1.0 - self.settings.cold_share) * min(1.0, left) if left > 0 else 1.0
 
     def usual(self) -> float:
@@ -156,15 +156,17 @@
         if self.host.now >= self.looked + LOOK:
             self.looked, late = self.host.now, self.balancer.draw.told_late
             warm = [
-                s for s in self.balancer.fleet if s.ready and s.stand.warm_at <= self.looked and not late(s)
+                s
+                for s in self.balancer.fleet
+                if s.ready and s.local_state.warm_at <= self.looked and not late(s)
             ]
             size = sum(s.size for s in warm)
-            self.borne = max(self.borne, sum(s.stand.open for s in warm) / size if size else 0.0)
+            self.borne = max(self.borne, sum(s.local_state.open for s in warm) / size if size else 0.0)
         return max(self.borne, FIRST_FILL / self.settings.peers)
 
     def room(self, server: Server) -> bool:
-        under = server.stand.open + server.stand.part < self.usual() * server.size
-        calm = self.host.now - server.stand.told > SWAMPED_FOR and self.balancer.draw.room(server)
+        under = server.local_state.open + server.local_state.part < self.usual() * server.size
+        calm = self.host.now - server.local_state.told > SWAMPED_FOR and self.balancer.draw.room(server)
         return under and calm and self.tokens(server) > 0
 
     def tokens(self, server: Server) -> int:
@@ -172,7 +174,12 @@
         from when we were told; those not used in time are lost, lest a rush find all of them kept."""
         if self.withheld:
             return 0
-        stand, rules, now, bears = server.stand, self.settings, self.host.now, self.usual() * server.size
+        stand, rules, now, bears = (
+            server.local_state,
+            self.settings,
+            self.host.now,
+            self.usual() * server.size,
+        )
         budget, anew = rules.cold_budget(self.borne, server.size * self.warm(server))
         rate = min(AHEAD * bears / rules.ramp_time, anew / rules.fall_time)
         kept = (budget - rate * rules.fall_time) * max(1.0, 1 / (RUSH * bears))
@@ -195,7 +202,7 @@
     def may_write(self, server: Server) -> bool:
         """May a set-up that was sent earlier go out now? Counts it if so. Guards against connections that
         come up late, and then together: what a cold server bears counts when lines come there."""
-        now, rules, stand = self.host.now, self.settings, server.stand
+        now, rules, stand = self.host.now, self.settings, server.local_state
         if stand.warm_at <= now:
             return True
         budget, _ = rules.cold_budget(self.borne, server.size * self.warm(server))
@@ -208,17 +215,20 @@
 
     def spend(self, server: Server) -> None:
         """What was issued so far may have been used by a process before us."""
-        if server.stand.warm_at > self.host.now:
-            server.stand.taken += max(0, self.tokens(server))
+        if server.local_state.warm_at > self.host.now:
+            server.local_state.taken += max(0, self.tokens(server))
 
     def sent(self, server: Server) -> None:
         """Slower the more servers are late: guards against a fleet that sheds and is filled at once again."""
         sure, calm = self.usual() * server.size, self.balancer.draw.calm(server.zone)
-        gap = 1 / max(GROWTH * max(server.stand.open, sure), LEAST_PACE / self.settings.peers) / calm
+        gap = 1 / max(GROWTH * max(server.local_state.open, sure), LEAST_PACE / self.settings.peers) / calm
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
         sure = max(sure, 2) if self.balancer.overload.hears(self.host.now) else sure
-        gap *= self.warm(server) == 1.0 and (server.stand.open >= sure or calm < SPILLOVER_RATIO)
-        server.stand.taken, server.stand.next_leg = server.stand.taken + 1, self.host.now + gap
+        gap *= self.warm(server) == 1.0 and (server.local_state.open >= sure or calm < SPILLOVER_RATIO)
+        server.local_state.taken, server.local_state.next_leg = (
+            server.local_state.taken + 1,
+            self.host.now + gap,
+        )
 
 
 class Zone(Stage):
@@ -231,12 +241,12 @@
         now, draw, server = self.host.now, self.balancer.draw, None
         home = [s for s in call.places if s.zone == self.settings.zone]
         if self.share() >= SPILLOVER_RATIO:
-            server = draw.pick(call, [s for s in home if s.stand.bad_until <= now])
+            server = draw.pick(call, [s for s in home if s.local_state.bad_until <= now])
         most = self.ceiling * (1 + CEILING_GROWTH * (now - self.cut)) - 0.5
         if not server and self.balancer.held < most and not any(map(draw.awaited, call.waits)):
             # Guards against a zone whose servers stand but drown: what finds no room in it leaves; and what
             # finds no room anywhere is kept, lest it be shed and come again.
-            healthy = [s for s in call.places if s.stand.bad_until <= now]
+            healthy = [s for s in call.places if s.local_state.bad_until <= now]
             server = draw.pick(call, healthy or home or call.places)
         call.places = [server] if server else []
         self.forward_or_queue(call)
@@ -251,9 +261,15 @@
     def tidy(self) -> None:
         """Guards against connections that cross zones for life: a few come again while our zone is calm."""
         home, now, draw = self.matched(), self.host.now, self.balancer.draw
-        calm = [s for s in home if draw.healthy(s) and s.stand.warm_at <= now and now - s.stand.told > CALM]
+        calm = [
+            s
+            for s in home
+            if draw.healthy(s) and s.local_state.warm_at <= now and now - s.local_state.told > CALM
+        ]
         if home and len(calm) == len(home) and all(map(draw.room, home)):
-            away = [leg for s in self.balancer.fleet if s.zone != self.settings.zone for leg in s.stand.legs]
+            away = [
+                leg for s in self.balancer.fleet if s.zone != self.settings.zone for leg in s.local_state.legs
+            ]
             draw.move(away, TIDY_SHARE)
 
     def matched(self) -> list[Server]:
@@ -278,11 +294,11 @@
         self.fullness = next((report.index(one) for one in tell if one in report), None)
 
     def healthy(self, server: Server) -> bool:
-        return server.stand.bad_until <= self.host.now
+        return server.local_state.bad_until <= self.host.now
 
     def room(self, server: Server, full: float = 1.0) -> bool:
         """Not swamped, and under the ceiling found when it last was."""
-        stand, cold = server.stand, self.balancer.cold
+        stand, cold = server.local_state, self.balancer.cold
         # Grows as what is usual does: guards against a small holder that was cut for what others hold there.
         grown = CEILING_GROWTH * (self.host.now - stand.cut) * max(stand.ceiling, cold.usual() * server.size)
         if self.reported(server) and stand.full >= full:
@@ -291,14 +307,17 @@
 
     def late(self, server: Server) -> bool:
         """Told of late messages lately; where we hold nothing and so are told nothing, as its zone fares."""
-        stand = server.stand
+        stand = server.local_state
         if self.told_late(server) or self.reported(server):
             return self.told_late(server) or stand.full >= 1.0
         unseen = not stand.legs and stand.warm_at <= self.host.now and stand.part > self.calm(server.zone)
         return unseen and not self.balancer.overload.hears(self.host.now)
 
     def told_late(self, server: Server) -> bool:
-        return server.stand.delay >= SWAMPED and self.host.now - server.stand.told <= server.stand.holds
+        return (
+            server.local_state.delay >= SWAMPED
+            and self.host.now - server.local_state.told <= server.local_state.holds
+        )
 
     def look(self) -> None:
         """Count, by zone, the servers of which we would be told: those with late messages and all."""
@@ -306,7 +325,7 @@
             seen[0], seen[1] = seen[0] / 2, seen[1] / 2
         hears = self.balancer.overload.hears(self.host.now)
         for server in self.balancer.listing.ready:
-            if server.stand.legs or hears or self.host.now - server.stand.told <= SWAMPED_FOR:
+            if server.local_state.legs or hears or self.host.now - server.local_state.told <= SWAMPED_FOR:
                 seen = self.balancer.seen.setdefault(server.zone, [0.0, 0.0])
                 seen[0] += self.told_late(server)
                 seen[1] += 1
@@ -323,29 +342,33 @@
         if delay >= 1:
             # Guards against connections that stay where their messages are late: the paper's rule is for new
             # ones, so a few are asked to come again, those first whose group's lots belong here least.
-            rest = sorted(server.stand.legs, key=lambda leg: -self.lot(leg.call, server))
+            rest = sorted(server.local_state.legs, key=lambda leg: -self.lot(leg.call, server))
             share = MOVE_SHARE * min(delay, MOVE_MOST)
             # What is moved lowers the ceiling with it: guards against many balancers with a connection each,
             # which hear no more of the server once theirs is moved, and together fill it up again.
-            held = server.stand.open / self.balancer.cold.warm(server)
+            held = server.local_state.open / self.balancer.cold.warm(server)
             self.lower(server, CEILING * (1 - share) * held)
             self.move(rest, share)
-        server.stand.delay, server.stand.told, server.stand.holds = delay, self.host.now, holds
+        server.local_state.delay, server.local_state.told, server.local_state.holds = (
+            delay,
+            self.host.now,
+            holds,
+        )
 
     def move(self, legs: list[Leg], share: float) -> None:
         """The first of them, rounded by chance: guards against many balancers that each take a whole one."""
         for leg in legs[: int(share * len(legs) + self.balancer.rng.uniform())]:
             self.host.move(leg.call)
-            del leg.server.stand.legs[leg]
+            del leg.server.local_state.legs[leg]
 
     def lower(self, server: Server, ceiling: float) -> None:
         """Not where one of many that know of each other holds one: that is no measure of the server."""
-        if server.stand.open > 1 or not self.balancer.overload.hears(self.host.now):
-            server.stand.ceiling = min(server.stand.ceiling, ceiling)
+        if server.local_state.open > 1 or not self.balancer.overload.hears(self.host.now):
+            server.local_state.ceiling = min(server.local_state.ceiling, ceiling)
 
     def cut(self, server: Server) -> None:
         """Lower the server's ceiling, at most once in the time that a notice holds."""
-        stand, now, balancer = server.stand, self.host.now, self.balancer
+        stand, now, balancer = server.local_state, self.host.now, self.balancer
         if now - stand.cut > CUT_EVERY:
             # As if warm: guards against a ceiling found while cold that would outlast the warm-up.
             held = stand.open / balancer.cold.warm(server)
@@ -363,16 +386,16 @@
         if not (places := [s for s in places if s not in tried] or places):
             return None
         now, warm = self.host.now, self.balancer.cold.warm
-        sizes = [s.size if s.stand.warm_at <= now else s.size * warm(s) for s in places]
-        held = self.balancer.fill() or {s: s.stand.open for s in places}
+        sizes = [s.size if s.local_state.warm_at <= now else s.size * warm(s) for s in places]
+        held = self.balancer.fill() or {s: s.local_state.open for s in places}
         mean = ABOVE_MEAN * sum([held[s] for s in places]) / sum(sizes)
         low = [s for s, size in zip(places, sizes) if held[s] < 1 + mean * size] or places
         # Guards against a server put back that waits long for its lot, by the weight of a cold one.
-        missed = [s for s in low if s.stand.missed or s.unproved and not call.group]
+        missed = [s for s in low if s.local_state.missed or s.unproved and not call.group]
         missed = [
             s
             for s in missed
-            if now >= s.stand.next_leg and self.balancer.cold.bears(s) and self.room(s, FULL)
+            if now >= s.local_state.next_leg and self.balancer.cold.bears(s) and self.room(s, FULL)
         ]
         held = missed or self.holders(call, low)
         for server in held or low:  # kept with the call while it is kept: lots are dear
@@ -396,29 +419,29 @@
         if not call.group or self.beyond(call):
             return []
         group, now, holder = call.group, self.host.now, self.balancer.overload.holder
-        return [s for s in places if s.stand.groups.get(group, 0) >= HOLDS or holder(s, group, now)]
+        return [s for s in places if s.local_state.groups.get(group, 0) >= HOLDS or holder(s, group, now)]
 
     def beyond(self, call: Call) -> bool:
         """Guards against calls that are rejected for a full holder of their group while others have room."""
         return self.host.now >= call.arrived + HOLDERS_FOR * call.type.setup_target
 
     def reported(self, server: Server) -> bool:
-        return self.host.now <= server.stand.full_until
+        return self.host.now <= server.local_state.full_until
 
     def ask(self, server: Server) -> None:
         """Guards against placing blindly where we hold nothing, and so are told nothing."""
-        stand, now = server.stand, self.host.now
+        stand, now = server.local_state, self.host.now
         if self.fullness is not None and not self.reported(server) and now - stand.asked > FRESH:
             stand.asked = now
             self.host.probe(server)
 
     def awaited(self, server: Server) -> bool:
         """Was it asked, and may the answer still come in time?"""
-        return not self.reported(server) and self.host.now - server.stand.asked < ASKED_FOR
+        return not self.reported(server) and self.host.now - server.local_state.asked < ASKED_FOR
 
     def on_probe_result(self, server: Server, result: Result) -> None:
         """What it found. No connection is no failure of the server, but no call is sent there for a while."""
-        stand, whole = server.stand, len(result.report) == len(self.settings.report)
+        stand, whole = server.local_state, len(result.report) == len(self.settings.report)
         if result.kind == model.COMPLETED and whole and self.fullness is not None:
             stand.full = result.report[self.fullness]
         elif result.kind == model.NO_CONN:
@@ -430,7 +453,7 @@
 
     def handle(self, call: Call) -> None:
         server = call.places[0]
-        if self.host.now >= server.stand.next_leg:
+        if self.host.now >= server.local_state.next_leg:
             self.send(call, server)
         else:
             call.waits = [server]
@@ -439,7 +462,7 @@
     def lot(self, call: Call, server: Server) -> float:
         """A lot whose least value falls on servers in proportion to their weights. A group's lots are the
         same at every draw and balancer, so its connections gather and share what they cost a server."""
-        weight = server.stand.weight * server.size * self.balancer.cold.warm(server)
+        weight = server.local_state.weight * server.size * self.balancer.cold.warm(server)
         if not call.group:
             return -math.log(self.balancer.rng.uniform() + 1e-12) / weight
         even = lcg_step(lcg_step(call.group ^ server.mark * 0x9E3779B97F4A7C15))
@@ -449,38 +472,38 @@
         until, call.lots, call.waits = self.balancer.answer.last_moment(call), {}, []
         self.count(call, server, 1)
         self.balancer.cold.sent(server)
-        server.stand.missed = False
+        server.local_state.missed = False
         self.host.send(call, server, until)
 
     def count(self, call: Call, server: Server, by: int) -> None:
-        server.stand.open += by
+        server.local_state.open += by
         self.balancer.held += by
-        server.stand.groups[call.group] = left = server.stand.groups.get(call.group, 0) + by
+        server.local_state.groups[call.group] = left = server.local_state.groups.get(call.group, 0) + by
         if not left:
-            del server.stand.groups[call.group]
-        self.balancer.overload.sums.holds(server.mark, server.stand.open, call.group, left)
+            del server.local_state.groups[call.group]
+        self.balancer.overload.sums.holds(server.mark, server.local_state.open, call.group, left)
 
     def on_established(self, leg: Leg) -> None:
         self.balancer.overload.stood(leg.server, self.host.now - leg.sent, self.host.now)
-        stand = leg.server.stand
+        stand = leg.server.local_state
         stand.fails, stand.legs[leg], stand.weight = 0, None, min(1.0, stand.weight + REGAIN)
         self.previous.on_established(leg)
 
     def on_leg_ended(self, leg: Leg, result: Result) -> None:
         if result.kind in (model.RESET, model.NO_CONN):
-            leg.server.stand.full_until = -math.inf  # guards against a report from before it broke
+            leg.server.local_state.full_until = -math.inf  # guards against a report from before it broke
         if leg.standing and result.kind == model.RESET:
             self.cut(leg.server)  # guards against a server that sheds what it cannot carry
             self.balancer.overload.dropped(leg.server, self.host.now)
         self.count(leg.call, leg.server, -1)
-        leg.server.stand.legs.pop(leg, None)
+        leg.server.local_state.legs.pop(leg, None)
         soon = not leg.standing or self.host.now - leg.sent < SOON
         if result.kind not in (model.COMPLETED, model.CANCELLED, model.MOOT) and soon:
             self.failed(leg.server)
         self.previous.on_leg_ended(leg, result)
 
     def failed(self, server: Server) -> None:
-        stand = server.stand
+        stand = server.local_state
         stand.weight, stand.fails = max(FLOOR, stand.weight / 2), stand.fails + 1
         if stand.fails >= FAILURES and self.healthy(server):
             self.host.log(f"server unhealthy for {HOLD:g} s after {stand.fails} failures in a row")
@@ -520,7 +543,7 @@
 
     def on_resumed(self, leg: Leg) -> None:
         self.draw.count(leg.call, leg.server, 1)
-        leg.server.stand.legs[leg] = None
+        leg.server.local_state.legs[leg] = None
 
     def on_established(self, leg: Leg) -> None:
         self.draw.on_established(leg)
@@ -552,7 +575,7 @@
         if isinstance(what, Call):
             self.answer.due(what)
         elif isinstance(what, Server) and what.out:
-            self.draw.move(list(what.stand.legs), OUT_SHARE)
+            self.draw.move(list(what.local_state.legs), OUT_SHARE)
             self.host.set_timer(self.host.now + OUT_EVERY, what)
         elif what == "kept":
             waiting, self.kept, self.looks = self.kept, [], False
@@ -580,7 +603,7 @@
         return (
             not call.waits
             or draw.beyond(call)
-            or any(now >= s.stand.next_leg and draw.room(s) and cold.bears(s) for s in call.waits)
+            or any(now >= s.local_state.next_leg and draw.room(s) and cold.bears(s) for s in call.waits)
         )
 
     def again(self, call: Call) -> None:
@@ -603,14 +626,14 @@
         self.retry.answered()
         first = not self.fleet
         for server in servers:
-            if server.stand is None:
-                server.stand = model.Stand(self.rng.stratified(self.settings.number, server.mark))
+            if server.local_state is None:
+                server.local_state = model.ServerState(self.rng.stratified(self.settings.number, server.mark))
                 self.fleet.append(server)
             self.sized(server)
-            if server.since != server.stand.since:  # restarted under the same id
+            if server.since != server.local_state.since:  # restarted under the same id
                 # Guards against a restart that takes servers half warm for cold: others knew them before us.
                 self.starts(server, server.since if first else self.host.now, server.since)
-                server.stand.since = server.since
+                server.local_state.since = server.since
                 if first:
                     self.cold.spend(server)
         self.refresh_usable()
@@ -623,7 +646,7 @@
 
     def starts(self, server: Server, told: float, since: float) -> None:
         """It is cold since then, and we were told then; what it did before counts no more."""
-        stand = server.stand
+        stand = server.local_state
         if stand.warm_at <= self.host.now:
             # Not while it is cold already: guards against starts told one after another, each with a budget.
             stand.issued, stand.issued_at, stand.taken = 1 - stand.part, told, 0
@@ -632,7 +655,7 @@
 
     def on_cordoned(self, server: Server, out: bool) -> None:
         """Taken out by hand, it gets nothing new and what stands is moved. Put back, it is cold."""
-        stand, now, before, server.out = server.stand, self.host.now, server.out, out
+        stand, now, before, server.out = server.local_state, self.host.now, server.out, out
         if out and not before:
             stand.out_since = now
             self.on_timer(server)
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -282,7 +282,7 @@
         seat.turn(seat.calls, self.start.retries, group)
 
     def holds(self, mark: int) -> int:
-        return sum(seat.servers[mark].stand.open for seat in self.seats if mark in seat.servers)
+        return sum(seat.servers[mark].local_state.open for seat in self.seats if mark in seat.servers)
 
     def full(self, server: Server) -> bool:
         return server.mark not in self.cold and self.holds(server.mark) > CAP * self.fills
@@ -293,7 +293,9 @@
         for mark in warm:
             if self.start.drowning or self.holds(mark) > self.fills:
                 for seat in self.seats:
-                    if mark in seat.servers and (leg := next(iter(seat.servers[mark].stand.legs), None)):
+                    if mark in seat.servers and (
+                        leg := next(iter(seat.servers[mark].local_state.legs), None)
+                    ):
                         seat.turn(seat.balancer.on_delay_reported, leg, LATE * AIM)
         self.at(self.now + 1.0, self.drowns, warm)
 
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -118,7 +118,7 @@
 
 @dataclass(eq=False)
 class Server:
-    """A listed server; `stand` is the balancer's own record of it."""
+    """A listed server; `local_state` is the balancer's own record of it."""
 
     mark: int  # the same number at every balancer
     zone: int = 0
@@ -133,7 +133,7 @@
     doubtful: bool = False  # the list is, and this server proved too little since
     tried: float = -math.inf  # when a new connection was last sent to it
     unproved: bool = False  # neither for long, while the list ages: a call without a group goes there first
-    stand: Any = None
+    local_state: Any = None
     host_record: Any = None  # the host's own record of it
 
     @property
@@ -147,7 +147,7 @@
         return self.ready and not self.doubtful
 
 
-class Stand:
+class ServerState:
     """What the decisions keep of one server: what this balancer has seen of it."""
 
     def __init__(self, part: float) -> None:
--- a/bellrack/net/invariants.py
+++ b/bellrack/net/invariants.py
@@ -52,7 +52,7 @@
         broken = list(broken_by(leg, now, answered))
         for invariant in broken:
             self.violated(invariant, request_id, server=f"{leg.server.mark:016x}")
-        if not broken and leg.server.stand.warm_at > now:
+        if not broken and leg.server.local_state.warm_at > now:
             self.check_cold(leg.server, request_id, now, allowed)
         return not broken
 
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -128,7 +128,7 @@
         server.host_record = server.host_record or Place(entry.name, entry.address)
         server.host_record.address = entry.address or server.host_record.address
         started = self.started(server.host_record, stamp, newest)
-        if server.stand and (state != server.state or started != server.since):
+        if server.local_state and (state != server.state or started != server.since):
             log.tell("server", name=entry.name, state=state, was=server.state, started=started)
         zones, zone = self.node.names.zones, server.zone
         if entry.zone:
--- a/bellrack/simulator/tally.py
+++ b/bellrack/simulator/tally.py
@@ -50,7 +50,7 @@
             return super().room(server)
         found = super().room(server, full)
         if not found:
-            reported = self.reported(server) and server.stand.full >= full
+            reported = self.reported(server) and server.local_state.full >= full
             self.seen.refused[
                 "load"
                 if reported
@@ -63,11 +63,11 @@
         return found
 
     def ask(self, server: Server) -> None:
-        before = server.stand.asked
+        before = server.local_state.asked
         super().ask(server)
-        if server.stand.asked != before:
+        if server.local_state.asked != before:
             self.seen.probes[server.mark, int(self.host.now)] += 1
-            self.seen.cold[server.mark, int(self.host.now)] += server.stand.warm_at > self.host.now
+            self.seen.cold[server.mark, int(self.host.now)] += server.local_state.warm_at > self.host.now
 
     def on_probe_result(self, server: Server, result: choice.Result) -> None:
         super().on_probe_result(server, result)
@@ -106,7 +106,7 @@
 
 
 def legs(balancer: choice.Balancer) -> Iterator[Leg]:
-    return (leg for server in balancer.fleet for leg in server.stand.legs)
+    return (leg for server in balancer.fleet for leg in server.local_state.legs)
 
 
 def play(lines: Iterable[str]) -> Seen:
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -114,7 +114,7 @@
     Mutant(
         "each process has a cold server's budget",
         (
-            ("choice.py", "server.stand.taken += max(0, self.tokens(server))", "pass"),
+            ("choice.py", "server.local_state.taken += max(0, self.tokens(server))", "pass"),
             ("choice.py", "        self.withheld = on\n", "        self.withheld = False\n"),
         ),
         "cold",
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -111,7 +111,7 @@
     bench = Bench(settings())
     cold, *_ = bench.fleet(0, 0, 0)
     place(bench, 90)
-    for leg in list(cold.stand.legs):
+    for leg in list(cold.local_state.legs):
         bench.end_leg(leg, model.RESET)
     cold.since = bench.now
     bench.balancer.on_servers_listed([cold])
@@ -141,12 +141,12 @@
     bench = Bench(settings())
     (known,) = bench.fleet(0, since=bench.now - 10)
     bench.call()
-    assert known.stand.open == 1
+    assert known.local_state.open == 1
     late = Server(9, 0, since=bench.now - 10)  # told late: this one counts from now
     bench.balancer.on_servers_listed([late])
     for _ in range(4):
         bench.call()
-    assert not late.stand.open
+    assert not late.local_state.open
 
 
 def test_a_small_holder_that_was_cut_takes_more_again_as_is_usual():
@@ -154,10 +154,10 @@
     bench = Bench(settings(peers=2))
     (server,) = bench.fleet(0)
     place(bench, 1)
-    bench.balancer.on_delay_reported(next(iter(server.stand.legs)), 0.07)
+    bench.balancer.on_delay_reported(next(iter(server.local_state.legs)), 0.07)
     assert not bench.balancer.draw.room(server)
     bench.run(bench.now + 20)
-    assert server.stand.open == 1 and bench.balancer.draw.room(server)
+    assert server.local_state.open == 1 and bench.balancer.draw.room(server)
 
 
 def test_a_rejected_call_comes_again_before_the_longest_wait():
@@ -184,7 +184,9 @@
     for bench in benches:
         bench.run(bench.now + 5)
         place(bench, 3)
-    assert 300 <= sum(bench.balancer.fleet[0].stand.open for bench in benches) < 380  # no second one each
+    assert (
+        300 <= sum(bench.balancer.fleet[0].local_state.open for bench in benches) < 380
+    )  # no second one each
 
 
 def test_a_drowned_zone_spills_also_from_servers_on_which_nothing_is_held():
@@ -203,7 +205,7 @@
     for bench in benches:
         for _ in range(12):  # each balancer finds other servers late
             server = bench.balancer.fleet[int(bench.balancer.rng.uniform() * 12)]
-            server.stand.delay, server.stand.told = 1.0, bench.now + 9
+            server.local_state.delay, server.local_state.told = 1.0, bench.now + 9
         for _ in range(3):
             bench.call(group=5)
     assert len({leg.server.mark for bench in benches for leg, _ in bench.sent}) <= 3
@@ -229,7 +231,7 @@
     bench = Bench(settings())
     fleet = bench.fleet(*[0] * 40)
     for server in fleet:
-        server.stand.delay, server.stand.told = 1.0, bench.now
+        server.local_state.delay, server.local_state.told = 1.0, bench.now
     call, asked = bench.call(), []
     bench.balancer.draw.room = asked.append
     bench.run(bench.now + 0.1)
@@ -330,7 +332,7 @@
             moved += 1
             bench.end_leg(leg, model.CANCELLED)
         bench.run(bench.now + 2 * choice.SWAMPED_FOR)
-        refilled += bench.balancer.draw.room(server) and not server.stand.open
+        refilled += bench.balancer.draw.room(server) and not server.local_state.open
     share = choice.MOVE_SHARE * choice.MOVE_MOST
     assert 0.4 * 40 * share <= moved
     assert 0 < refilled <= 1.5 * (1 - share) * moved
@@ -376,13 +378,13 @@
     for out in (True, True, False):  # the call out may come twice
         bench.balancer.on_cordoned(back, out)
         bench.run(bench.now + 1.0)
-    assert back.stand.warm_at > bench.now and bench.balancer.cold.warm(back) < 0.3
+    assert back.local_state.warm_at > bench.now and bench.balancer.cold.warm(back) < 0.3
     put, sent = bench.now, len(bench.sent)
     while bench.now < put + 5.0 and back not in [leg.server for leg, _ in bench.sent[sent:]]:
         bench.call()
         bench.run(bench.now + 0.5)
     assert back in [leg.server for leg, _ in bench.sent[sent:]]
-    assert not back.stand.missed
+    assert not back.local_state.missed
 
 
 def test_a_restart_that_the_list_told_while_a_server_was_out_counts_from_then():
@@ -394,7 +396,7 @@
     bench.balancer.on_servers_listed([server])
     bench.run(bench.now + 3.0)
     bench.balancer.on_cordoned(server, False)
-    assert server.stand.warm_at == server.since + bench.rules.ramp_time
+    assert server.local_state.warm_at == server.since + bench.rules.ramp_time
 
 
 def test_a_call_whose_holder_is_full_goes_elsewhere_before_it_is_rejected():
@@ -407,7 +409,7 @@
     bench.call(group=3), bench.call(group=4), bench.call(group=5)
     bench.run(bench.now + 0.5)
     (holder,) = {leg.server for leg, _ in bench.sent[:2]}
-    holder.stand.ceiling, holder.stand.cut = 0.0, bench.now  # full, and the others are not
+    holder.local_state.ceiling, holder.local_state.cut = 0.0, bench.now  # full, and the others are not
     call = bench.call(group=7)
     kind = call.type
     bench.run(call.arrived + choice.HOLDERS_FOR * kind.setup_target - 0.01)
@@ -434,7 +436,7 @@
     bench = Bench(settings(peers=20))
     fleet = bench.fleet(*[0] * 10)
     for server in fleet[:2]:
-        server.stand.open = 8
+        server.local_state.open = 8
     bench.run(bench.now + 1)
     known = bench.balancer.cold.usual()
     for server in fleet[2:]:
@@ -448,5 +450,5 @@
     bench = Bench(settings(peers=3, ramp_time=20.0))
     (one,) = bench.fleet(0)
     bench.balancer.starts(one, bench.now, bench.now)
-    one.stand.issued, one.stand.taken, one.stand.issued_at = 0.0, 5, bench.now + 100
-    assert not bench.balancer.cold.room(one) and one.stand.issued == 0.0
+    one.local_state.issued, one.local_state.taken, one.local_state.issued_at = 0.0, 5, bench.now + 100
+    assert not bench.balancer.cold.room(one) and one.local_state.issued == 0.0
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -54,7 +54,7 @@
     host.discovery.confirmed(host.now)
     host.now += 1.0
     tell(host, 2, entry("s-0", true + 6.0 + step))
-    stand = host.servers[lines.mark("s-0")].stand
+    stand = host.servers[lines.mark("s-0")].local_state
     assert stand.warm_at - host.now == pytest.approx(RAMP, abs=1e-6)
 
 
@@ -64,7 +64,7 @@
     host, stamp = host_at(monkeypatch), time.time() + step
     tell(host, 1, entry("s-0", 0), entry("s-1", 0), reset=True)
     tell(host, 2, entry("s-0", stamp))
-    stand = host.servers[lines.mark("s-0")].stand
+    stand = host.servers[lines.mark("s-0")].local_state
     warm_at, stand.taken = stand.warm_at, 41
     for generation in (3, 4):
         host.now += 3.0
@@ -77,10 +77,10 @@
 async def test_who_starts_with_a_clock_that_is_off_takes_no_cold_server_for_warm(monkeypatch, step):
     host, true = host_at(monkeypatch, offset=step), time.time()
     tell(host, 7, entry("s-0", true - 1.0), entry("s-1", true - 4.0), entry("s-2", 0), reset=True)
-    cold = [host.servers[lines.mark(name)].stand.warm_at - host.now for name in ("s-0", "s-1")]
+    cold = [host.servers[lines.mark(name)].local_state.warm_at - host.now for name in ("s-0", "s-1")]
     assert cold[0] >= RAMP - 1.1 and cold[1] >= RAMP - 4.1
     assert max(cold) <= RAMP
-    assert host.servers[lines.mark("s-2")].stand.warm_at <= host.now
+    assert host.servers[lines.mark("s-2")].local_state.warm_at <= host.now
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -91,7 +91,7 @@
     known = [entry("s-0", 0), entry("s-1", 0), entry("s-2", true - 2.0)]
     host.server_list.load(lines.listing({"generation": 5, "reset": True, "instances": known}))
     tell(host, 7, entry("s-0", true - 1.0 + step), *known[1:], reset=True)
-    s_0, s_1 = (host.servers[lines.mark(name)].stand.warm_at - host.now for name in ("s-0", "s-1"))
+    s_0, s_1 = (host.servers[lines.mark(name)].local_state.warm_at - host.now for name in ("s-0", "s-1"))
     assert s_0 == pytest.approx(RAMP, abs=1e-6) and s_1 <= 0
 
 
@@ -104,7 +104,7 @@
         lines.listing({"generation": 5, "reset": True, "instances": [entry("s-1", true - 500.0)]})
     )
     tell(host, 7, entry("s-0", true - 1.0 + step), entry("s-1", true - 500.0), reset=True)
-    assert host.servers[lines.mark("s-0")].stand.warm_at >= host.now + RAMP - 1.1
+    assert host.servers[lines.mark("s-0")].local_state.warm_at >= host.now + RAMP - 1.1
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
@@ -116,12 +116,12 @@
         link = next(iter(next(s for s in old.servers.values() if s.host_record.legs).host_record.legs))
         link.asked.append(old.clock())  # a line of the client that is still unanswered
         first, second = old.servers.values()
-        first.stand.bad_until, second.stand.warm_at = old.clock() + 60, old.clock() + 8
+        first.local_state.bad_until, second.local_state.warm_at = old.clock() + 60, old.clock() + 8
         old.resumed.window.started = old.begun - 11.0
         real = time.time
         monkeypatch.setattr(turns.time, "time", lambda: real() + step)
         async with world.beside() as new:
-            known = [new.servers[one.mark].stand for one in (first, second)]
+            known = [new.servers[one.mark].local_state for one in (first, second)]
             assert 50 < known[0].bad_until - new.clock() <= 60
             assert 5 < known[1].warm_at - new.clock() <= 8
             assert 10.5 < new.begun - new.resumed.window.started < 12
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -103,7 +103,9 @@
         assert await server.line() in ("fin", "rst")
         await nothing_left(world)
         assert not world.node.counters["upstream_requests"] and world.node.counters["leg_cancelled"] == 1
-        assert next(iter(world.node.servers.values())).stand.fails == 0  # it is no failure of the server
+        assert (
+            next(iter(world.node.servers.values())).local_state.fails == 0
+        )  # it is no failure of the server
 
 
 @ENDS
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -88,7 +88,7 @@
 async def test_what_stands_goes_over_and_no_byte_is_lost_or_twice(folder):
     async with World(servers=3, control=True, listen=free()) as world:
         old, pairs = world.node, [await world.standing() for _ in range(40)]
-        held = {server.mark: server.stand.open for server in old.servers.values()}
+        held = {server.mark: server.local_state.open for server in old.servers.values()}
         for number, (client, server) in enumerate(pairs):
             client.writer.write(b"first half %d, " % number)
             server.writer.write(b"answer %d " % number)
@@ -106,7 +106,7 @@
         await world.first_ends(serving)
         new = world.node
         assert (old.counters["moved"], new.counters["taken_over"], old.balancer.held) == (0, 40, 0)
-        assert {s.mark: s.stand.open for s in new.servers.values()} == held and new.balancer.held == 40
+        assert {s.mark: s.local_state.open for s in new.servers.values()} == held and new.balancer.held == 40
         assert (await world.figures())["pending"] == 40
         pairs[0][0].end("fin")
         pairs[1][1].end("rst")
@@ -191,7 +191,9 @@
         assert (await world.ask("/_servers/attach", "s-0"))[0] == 200
         await world.until(lambda: len(new.server_list.cordoned) == 1)
         (server,) = (s for s in new.servers.values() if s.host_record.name == "s-0")
-        assert not server.out and server.stand.warm_at > new.now  # restarted meanwhile, as far as we know
+        assert (
+            not server.out and server.local_state.warm_at > new.now
+        )  # restarted meanwhile, as far as we know
         new.over.set()
         await serving
 
@@ -201,10 +203,14 @@
     async with World(servers=2, control=True, listen=free()) as world:
         first, _ = world.node.servers.values()
         world.node.balancer.cold.borne = 17.5
-        first.stand.weight, first.stand.ceiling, first.stand.bad_until = 0.25, 9.5, world.node.now + 60
+        first.local_state.weight, first.local_state.ceiling, first.local_state.bad_until = (
+            0.25,
+            9.5,
+            world.node.now + 60,
+        )
         async with world.beside() as second:
-            same = second.servers[first.mark].stand
-            assert (same.weight, same.ceiling, same.bad_until) == (0.25, 9.5, first.stand.bad_until)
+            same = second.servers[first.mark].local_state
+            assert (same.weight, same.ceiling, same.bad_until) == (0.25, 9.5, first.local_state.bad_until)
             assert second.balancer.cold.usual() >= 17.5 and second.balancer.avoids(second.servers[first.mark])
             for odd in (5, {"x": {}}, {first.mark: {"weight": "1"}}, {}):
                 with contextlib.suppress(AttributeError, ValueError):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -61,7 +61,7 @@
 
     def on_servers_listed(self, servers):
         for server in servers:
-            server.stand = self
+            server.local_state = self
             if server not in self.fleet:
                 self.fleet.append(server)
 
@@ -159,7 +159,7 @@
     node = world.nodes[0]
     told = node.servers[world.marks[machine]]
     assert told.state == model.READY and told.since == pytest.approx(START + 7.0 - 900.0)
-    assert machine.started == START + 7.0 and told.stand.since == told.since
+    assert machine.started == START + 7.0 and told.local_state.since == told.since
     assert kept(world) and not world.counters["fell"]
 
 
@@ -169,7 +169,7 @@
     assert kept(world)
     for node in world.nodes:
         assert not node.attempts and not node.balancer.held
-        assert not any(server.stand.open or server.stand.legs for server in node.servers.values())
+        assert not any(server.local_state.open or server.local_state.legs for server in node.servers.values())
     assert not any(machine.held or machine.setups for machine in world.machines)
     assert not world.ledger.held.any() and not world.ledger.wanting.any()
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -223,7 +223,7 @@
     leg = bench.call().legs[0]
     bench.establish(leg)
     for server in fleet:
-        server.stand.delay, server.stand.told, server.stand.holds = 0.7, bench.now, 1.5
+        server.local_state.delay, server.local_state.told, server.local_state.holds = 0.7, bench.now, 1.5
     bench.balancer.draw.look()
     bench.balancer.zone.jam()
     assert bench.balancer.zone.ceiling > 2
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -112,8 +112,8 @@
         tell(second, 60, world.entries[0] | {"startedAtMs": STARTED})
         mark = lines.mark("s-0")
         await take_over()
-        assert second.servers[mark].stand.warm_at > second.clock()
-        await world.until(lambda: world.node.servers[mark].stand.warm_at > world.node.clock())
+        assert second.servers[mark].local_state.warm_at > second.clock()
+        await world.until(lambda: world.node.servers[mark].local_state.warm_at > world.node.clock())
 
 
 @pytest.mark.parametrize("whole", [False, True])
