--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -76,7 +76,7 @@
         if whole:
             named = set(changed)
             for server in self.servers.values():
-                if server not in named and server.state != model.GONE and server.mark not in kept:
+                if server not in named and server.state != model.GONE and server.id_hash not in kept:
                     server.state = model.GONE
                     changed.append(server)
         self.balancer.on_servers_listed(changed)
@@ -112,7 +112,7 @@
 
     def forget_server(self, server: Server) -> None:
         """One that is gone and holds nothing of ours; listed again, it is a new one."""
-        del self.servers[server.mark]
+        del self.servers[server.id_hash]
         self.balancer.fleet.remove(server)
 
     def server(self, mark: int) -> Server:
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -465,7 +465,7 @@
         weight = server.local_state.weight * server.size * self.balancer.cold.warm(server)
         if not call.group:
             return -math.log(self.balancer.rng.uniform() + 1e-12) / weight
-        even = lcg_step(lcg_step(call.group ^ server.mark * 0x9E3779B97F4A7C15))
+        even = lcg_step(lcg_step(call.group ^ server.id_hash * 0x9E3779B97F4A7C15))
         return -math.log((even >> 33) / 2147483648.0 + 1e-12) / weight
 
     def send(self, call: Call, server: Server) -> None:
@@ -481,7 +481,7 @@
         server.local_state.groups[call.group] = left = server.local_state.groups.get(call.group, 0) + by
         if not left:
             del server.local_state.groups[call.group]
-        self.balancer.overload.sums.holds(server.mark, server.local_state.open, call.group, left)
+        self.balancer.overload.sums.holds(server.id_hash, server.local_state.open, call.group, left)
 
     def on_established(self, leg: Leg) -> None:
         self.balancer.overload.stood(leg.server, self.host.now - leg.sent, self.host.now)
@@ -627,7 +627,9 @@
         first = not self.fleet
         for server in servers:
             if server.local_state is None:
-                server.local_state = model.ServerState(self.rng.stratified(self.settings.number, server.mark))
+                server.local_state = model.ServerState(
+                    self.rng.stratified(self.settings.number, server.id_hash)
+                )
                 self.fleet.append(server)
             self.sized(server)
             if server.since != server.local_state.since:  # restarted under the same id
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -76,7 +76,7 @@
             self.listed = len(self.balancer.fleet)
             self.ring = sorted(
                 (
-                    (rng.lcg_step(rng.lcg_step(server.mark ^ n * 0x9E3779B97F4A7C15)), server)
+                    (rng.lcg_step(rng.lcg_step(server.id_hash ^ n * 0x9E3779B97F4A7C15)), server)
                     for server in self.balancer.fleet
                     for n in range(POINTS)
                 ),
@@ -104,7 +104,7 @@
         world, now, want = self.world, self.world.now, call.host_record.want
         found = []
         for server in places:
-            machine = call.host_record.node.machines[server.mark]
+            machine = call.host_record.node.machines[server.id_hash]
             if not machine.up or machine.silent or machine.draining or machine.fallen:
                 continue
             extra = want.load + (machine.group_cost if want.group and want.group not in machine.groups else 0)
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -285,7 +285,7 @@
         return sum(seat.servers[mark].local_state.open for seat in self.seats if mark in seat.servers)
 
     def full(self, server: Server) -> bool:
-        return server.mark not in self.cold and self.holds(server.mark) > CAP * self.fills
+        return server.id_hash not in self.cold and self.holds(server.id_hash) > CAP * self.fills
 
     def drowns(self, warm: list[int]) -> None:
         """Servers that hold more than they bear tell late messages once a second, on one connection of each
@@ -302,9 +302,9 @@
     def counts(self, server: Server) -> None:
         """A set-up is sent to a server: whatever becomes of it, it counts."""
         start, age = self.start, self.now - self.back
-        if server.mark not in self.cold or not 0 <= age < start.ramp_time:
+        if server.id_hash not in self.cold or not 0 <= age < start.ramp_time:
             return
-        recent = self.recent.setdefault(server.mark, deque())
+        recent = self.recent.setdefault(server.id_hash, deque())
         recent.append(self.now)
         while recent[0] <= self.now - start.fall_time:
             recent.popleft()
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -130,7 +130,7 @@
     def send(self, call: Call, server: Server, until: float) -> Leg:
         leg = self.begin_leg(call, server)
         attempt: Attempt = call.host_record
-        machine = self.machines[server.mark]
+        machine = self.machines[server.id_hash]
         out = Out(attempt, leg, machine, len(call.legs), self.now, self.world.delay(self.zone, machine.zone))
         leg.host_record = out
         self.world.legs.goes(out, until)
@@ -164,7 +164,7 @@
 
     def probe(self, server: Server) -> None:
         self.world.counters["probes"] += 1
-        machine, delay = self.machines[server.mark], self.world.delay(self.zone, 0)
+        machine, delay = self.machines[server.id_hash], self.world.delay(self.zone, 0)
         kind = model.COMPLETED if machine.up else model.NO_CONN
         wait = 2 * delay + (machine.delay(self.now) if machine.up else 0.0)
         self.world.agenda.after(
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -183,7 +183,7 @@
             for mark in marks
             if (one := self.shared[mark])
         ]
-        self.servers.update((server.mark, server) for server in own)
+        self.servers.update((server.id_hash, server) for server in own)
         self.balancer.on_servers_listed(own)
         self.know()
 
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -120,7 +120,7 @@
 class Server:
     """A listed server; `local_state` is the balancer's own record of it."""
 
-    mark: int  # the same number at every balancer
+    id_hash: int  # the same number at every balancer
     zone: int = 0
     cell: int = 0
     state: str = READY
--- a/bellrack/net/invariants.py
+++ b/bellrack/net/invariants.py
@@ -51,19 +51,19 @@
         requests that the settings allow its server in `fall_time`, if that is cold."""
         broken = list(broken_by(leg, now, answered))
         for invariant in broken:
-            self.violated(invariant, request_id, server=f"{leg.server.mark:016x}")
+            self.violated(invariant, request_id, server=f"{leg.server.id_hash:016x}")
         if not broken and leg.server.local_state.warm_at > now:
             self.check_cold(leg.server, request_id, now, allowed)
         return not broken
 
     def check_cold(self, server: Server, request_id: str, now: float, allowed: float) -> None:
         """The bound for the whole tier: what this process alone may send lies far under it."""
-        sends = self.cold_sends.setdefault(server.mark, deque())
+        sends = self.cold_sends.setdefault(server.id_hash, deque())
         while sends and sends[0] <= now - self.settings.fall_time:
             sends.popleft()
         sends.append(now)
         if len(sends) > slow_start_bound(allowed):
-            self.violated(Invariant.COLD_BUDGET, request_id, server=f"{server.mark:016x}", sent=len(sends))
+            self.violated(Invariant.COLD_BUDGET, request_id, server=f"{server.id_hash:016x}", sent=len(sends))
 
     def check_close(self, client: Any) -> None:
         """A client's connection ends by our will."""
@@ -81,7 +81,7 @@
                 self.violated(Invariant.EXIT_UNANSWERED, client.request_id)
 
     def forget(self, server: Server) -> None:
-        self.cold_sends.pop(server.mark, None)
+        self.cold_sends.pop(server.id_hash, None)
 
 
 def broken_by(leg: Leg, now: float, answered: bool) -> Iterator[Invariant]:
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -41,7 +41,7 @@
         elif self.node.now - server.host_record.used > FORGET:
             self.node.forget_server(server)
             self.node.invariants.forget(server)
-            self.node.server_list.forget(server.mark)
+            self.node.server_list.forget(server.id_hash)
 
     def time_messages(self, server: Server) -> None:
         node, place = self.node, server.host_record
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -61,11 +61,11 @@
         """The servers that may be spoken of. Guards against evidence taken for another server's."""
         self.servers = {}
         for server in fleet:
-            short = server.mark & self.sums.id_bits
+            short = server.id_hash & self.sums.id_bits
             self.servers[short] = None if short in self.servers else server
         self.sums.listed(self.servers, self.settings.zone)
         self.filled = -math.inf, {}
-        known = {server.mark for server in self.servers.values() if server}
+        known = {server.id_hash for server in self.servers.values() if server}
         self.slow = {mark: seen for mark, seen in self.slow.items() if mark in known}
         self.said = {mark: seen for mark, seen in self.said.items() if mark in known}
 
@@ -83,7 +83,7 @@
 
     def holder(self, server: Server, group: int, now: float) -> bool:
         """Is this group known to stand there?"""
-        return self.hears(now) and self.sums.holder(server.mark, group, now)
+        return self.hears(now) and self.sums.holder(server.id_hash, group, now)
 
     def usual(self, now: float) -> float:
         """What a set-up takes just now at a server that is not late, in seconds."""
@@ -96,7 +96,7 @@
     def stood(self, server: Server, took: float, now: float) -> None:
         """A set-up of ours took so long."""
         if self.settings.may_publish:
-            self.sums.report(sums.TOOK, server.mark, took * 1000)
+            self.sums.report(sums.TOOK, server.id_hash, took * 1000)
         self.set_up(server, took, now)
 
     def set_up(self, server: Server, took: float, now: float) -> None:
@@ -107,23 +107,23 @@
     def dropped(self, server: Server, now: float) -> None:
         """It reset what stood. What one balancer meets is the decisions' own; here, that several do."""
         if self.hears(now):
-            self.sums.report(sums.LATE, server.mark, DROPPED)
+            self.sums.report(sums.LATE, server.id_hash, DROPPED)
             self.sign(server, DROPPED, now)
         elif self.unsaid(now):
             self.judged += 1
             self.late(server, DROPPED)
 
     def sign(self, server: Server, late: float, now: float) -> None:
-        before, when = self.slow.get(server.mark, (0.0, -math.inf))
+        before, when = self.slow.get(server.id_hash, (0.0, -math.inf))
         late = (late + (before if now - when < SEEN_FOR else 0.0)) / 2
-        self.slow[server.mark] = late, now
+        self.slow[server.id_hash] = late, now
         aggregator = self.sums.aggregator == self.sums.own
         if late < (LATE if aggregator else ALONE):
             return
-        before, when = self.said.get(server.mark, (0.0, -math.inf))
+        before, when = self.said.get(server.id_hash, (0.0, -math.inf))
         if aggregator and (now - when > AGAIN or late > 2 * before):
-            self.said[server.mark] = late, now
-            self.sums.passes_on(server.mark, late)
+            self.said[server.id_hash] = late, now
+            self.sums.passes_on(server.id_hash, late)
         self.found(server, late, now)
 
     def found(self, server: Server, late: float, now: float) -> None:
@@ -157,7 +157,9 @@
         if now < self.filled[0] + self.sums.refresh:
             return self.filled[1]
         known = {
-            server: self.sums.total(server.mark, now) for server in servers if self.sums.covers(server.mark)
+            server: self.sums.total(server.id_hash, now)
+            for server in servers
+            if self.sums.covers(server.id_hash)
         }
         told = {server: total for server, total in known.items() if total is not None}
         if not told or len(told) < LEAST_KNOWN * len(known):
--- a/bellrack/simulator/adapter.py
+++ b/bellrack/simulator/adapter.py
@@ -52,7 +52,7 @@
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
         leg = self.begin_leg(call, server)
-        self.reply.add(self.who, "Forward", self._numbers[call], server.mark, _micros(until))
+        self.reply.add(self.who, "Forward", self._numbers[call], server.id_hash, _micros(until))
         return leg
 
     def cancel(self, leg: Leg) -> None:
@@ -74,7 +74,7 @@
         self.reply.add(self.who, "Fetch")
 
     def probe(self, server: Server) -> None:
-        self.reply.add(self.who, "HealthCheck", server.mark)
+        self.reply.add(self.who, "HealthCheck", server.id_hash)
 
     def send_datagram(self, peer: int | None, data: bytes) -> None:
         self.reply.add_data(self.who, "Notify", data, wire.EVERY_PEER if peer is None else peer)
--- a/bellrack/simulator/tally.py
+++ b/bellrack/simulator/tally.py
@@ -66,8 +66,8 @@
         before = server.local_state.asked
         super().ask(server)
         if server.local_state.asked != before:
-            self.seen.probes[server.mark, int(self.host.now)] += 1
-            self.seen.cold[server.mark, int(self.host.now)] += server.local_state.warm_at > self.host.now
+            self.seen.probes[server.id_hash, int(self.host.now)] += 1
+            self.seen.cold[server.id_hash, int(self.host.now)] += server.local_state.warm_at > self.host.now
 
     def on_probe_result(self, server: Server, result: choice.Result) -> None:
         super().on_probe_result(server, result)
@@ -124,7 +124,7 @@
         if any(host.instances for host in hosts.values()) and (look is None or now >= look):
             start, look = start or now, now + EACH
             groups = {
-                (leg.call.group, leg.server.zone, leg.server.mark)
+                (leg.call.group, leg.server.zone, leg.server.id_hash)
                 for host in hosts.values()
                 for one in host.instances.values()
                 for leg in legs(one.balancer)
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -208,7 +208,7 @@
             server.local_state.delay, server.local_state.told = 1.0, bench.now + 9
         for _ in range(3):
             bench.call(group=5)
-    assert len({leg.server.mark for bench in benches for leg, _ in bench.sent}) <= 3
+    assert len({leg.server.id_hash for bench in benches for leg, _ in bench.sent}) <= 3
 
 
 def test_a_balancer_whose_connections_were_shed_still_takes_the_zone_for_late():
@@ -314,7 +314,7 @@
         bench.run(bench.now + bench.rules.ramp_time / 6)
         bench.call(group=77)
         bench.run(bench.now + 0.3)
-        chosen |= {leg.server.mark for leg, _ in bench.sent}
+        chosen |= {leg.server.id_hash for leg, _ in bench.sent}
     assert 1 <= len(chosen) <= choice.LOTS
 
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -121,7 +121,7 @@
         real = time.time
         monkeypatch.setattr(turns.time, "time", lambda: real() + step)
         async with world.beside() as new:
-            known = [new.servers[one.mark].local_state for one in (first, second)]
+            known = [new.servers[one.id_hash].local_state for one in (first, second)]
             assert 50 < known[0].bad_until - new.clock() <= 60
             assert 5 < known[1].warm_at - new.clock() <= 8
             assert 10.5 < new.begun - new.resumed.window.started < 12
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -169,12 +169,12 @@
 
     def send(self, call, server, until):
         leg = self.begin_leg(call, server)
-        self.sent.append((self.now, server.mark))
+        self.sent.append((self.now, server.id_hash))
         self.after(0.005, self.settles, leg)
         return leg
 
     def settles(self, leg):
-        if leg.server.mark == DRAINS and self.now > self.world.drain_at:
+        if leg.server.id_hash == DRAINS and self.now > self.world.drain_at:
             self.leg_ended(leg, Result(model.FULL), leg.call.done)  # a server that drains turns new ones away
         else:
             leg.server.proved = max(leg.server.proved, leg.sent)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -61,7 +61,7 @@
         )
         node.listed(self.listed, 0)
         for server, share in self.share.items():
-            node.holds(server.mark, self.about(share * held), 0, 0)
+            node.holds(server.id_hash, self.about(share * held), 0, 0)
         return node
 
     def about(self, mean):
@@ -88,7 +88,7 @@
         """How far each estimate, over the mean estimate, is from the true one over the true mean."""
         off = []
         for number in numbers:
-            told = [self.nodes[number].total(server.mark, self.now) for server in self.near]
+            told = [self.nodes[number].total(server.id_hash, self.now) for server in self.near]
             assert None not in told
             off += [abs(total / sum(told) / share - 1) for total, share in zip(told, self.share.values())]
         return sorted(off)
@@ -139,10 +139,10 @@
     zone = Zone()
     zone.run(60)
     node = zone.start(0, 0)
-    assert node.total(zone.near[0].mark, zone.now) is None
+    assert node.total(zone.near[0].id_hash, zone.now) is None
     zone.run(30)
     assert node.hears(zone.now) and zone.fair([0])
-    all_held = sum(node.total(server.mark, zone.now) for server in zone.near)
+    all_held = sum(node.total(server.id_hash, zone.now) for server in zone.near)
     assert 0.7 < all_held / (zone.peers * 80 * 50) < 1.4  # the unit is what all hold, not what it holds
 
 
@@ -159,10 +159,10 @@
     before = {number: dict(zone.nodes[number].held) for number in rest[:10]}
     for server in zone.near[:5]:  # one side's connections there go, and that side knows
         for number in before:
-            zone.nodes[number].holds(server.mark, 0, 0, 0)
+            zone.nodes[number].holds(server.id_hash, 0, 0, 0)
     zone.run(gossip.VOTE_STANDS + 5)
     told = [
-        [zone.nodes[number].total(server.mark, zone.now) for number in side]
+        [zone.nodes[number].total(server.id_hash, zone.now) for number in side]
         for server in zone.near[:5]
         for side in (rest[:10], rest[10:])
     ]
@@ -192,8 +192,8 @@
     zone.run(60)
     for node in zone.nodes.values():
         assert len(node.mates) > gossip.FEW_MATES / 2 and not any(peer % 10 for peer in node.mates)
-        assert set(node.votes) <= {server.mark for server in zone.near}
-    assert zone.nodes[0].total(next(s.mark for s in zone.listed.values() if s.zone), zone.now) is None
+        assert set(node.votes) <= {server.id_hash for server in zone.near}
+    assert zone.nodes[0].total(next(s.id_hash for s in zone.listed.values() if s.zone), zone.now) is None
 
 
 def pair(**changes):
@@ -461,7 +461,7 @@
 
 def told(bench, fleet, counts, late=()):
     for peer in range(1, 6):
-        polled = [(server.mark & gossip.ID, count) for server, count in zip(fleet, counts)]
+        polled = [(server.id_hash & gossip.ID, count) for server, count in zip(fleet, counts)]
         bench.balancer.on_datagram(
             peer, gossip.pack(sum(counts), list(late), polled, random.Random(peer).random)
         )
@@ -491,7 +491,7 @@
 def test_a_lateness_told_by_mates_shuts_the_server_for_one_that_saw_nothing_of_it():
     bench, fleet = balancer()
     for _ in range(20):
-        told(bench, fleet, [30] * 10, [(fleet[4].mark & gossip.ID, 1.2)])
+        told(bench, fleet, [30] * 10, [(fleet[4].id_hash & gossip.ID, 1.2)])
         bench.call()
         bench.now += 0.5
         bench.balancer.overload.turn(bench.now)
@@ -519,7 +519,7 @@
         )
         one.listed(fleet)
         for server in fleet:
-            one.sums.holds(server.mark, 20, 0, 0)
+            one.sums.holds(server.id_hash, 20, 0, 0)
         detectors.append(one)
     for turn in range(120):
         now[0] += 0.5
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -88,7 +88,7 @@
 async def test_what_stands_goes_over_and_no_byte_is_lost_or_twice(folder):
     async with World(servers=3, control=True, listen=free()) as world:
         old, pairs = world.node, [await world.standing() for _ in range(40)]
-        held = {server.mark: server.local_state.open for server in old.servers.values()}
+        held = {server.id_hash: server.local_state.open for server in old.servers.values()}
         for number, (client, server) in enumerate(pairs):
             client.writer.write(b"first half %d, " % number)
             server.writer.write(b"answer %d " % number)
@@ -106,7 +106,9 @@
         await world.first_ends(serving)
         new = world.node
         assert (old.counters["moved"], new.counters["taken_over"], old.balancer.held) == (0, 40, 0)
-        assert {s.mark: s.local_state.open for s in new.servers.values()} == held and new.balancer.held == 40
+        assert {
+            s.id_hash: s.local_state.open for s in new.servers.values()
+        } == held and new.balancer.held == 40
         assert (await world.figures())["pending"] == 40
         pairs[0][0].end("fin")
         pairs[1][1].end("rst")
@@ -171,7 +173,9 @@
         world.raw["known"] = {"generation": 3, "reset": True, "instances": []}  # as old as its configuration
         async with world.beside() as second:
             here, there = (
-                sorted((s.mark, s.zone, s.state, s.size, s.host_record.address) for s in one.servers.values())
+                sorted(
+                    (s.id_hash, s.zone, s.state, s.size, s.host_record.address) for s in one.servers.values()
+                )
                 for one in (world.node, second)
             )
             assert here == there and len(here) == 2
@@ -209,10 +213,12 @@
             world.node.now + 60,
         )
         async with world.beside() as second:
-            same = second.servers[first.mark].local_state
+            same = second.servers[first.id_hash].local_state
             assert (same.weight, same.ceiling, same.bad_until) == (0.25, 9.5, first.local_state.bad_until)
-            assert second.balancer.cold.usual() >= 17.5 and second.balancer.avoids(second.servers[first.mark])
-            for odd in (5, {"x": {}}, {first.mark: {"weight": "1"}}, {}):
+            assert second.balancer.cold.usual() >= 17.5 and second.balancer.avoids(
+                second.servers[first.id_hash]
+            )
+            for odd in (5, {"x": {}}, {first.id_hash: {"weight": "1"}}, {}):
                 with contextlib.suppress(AttributeError, ValueError):
                     second.import_learned({"servers": odd})
             assert same.weight == 0.25
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -73,7 +73,7 @@
 def test_all_learn_what_all_hold_also_when_datagrams_get_lost():
     tier = Tier(count=12, loss=0.1)
     for number, detector in enumerate(tier.detectors):
-        detector.sums.holds(tier.fleet[number % 2].mark, 2, 9, 2)
+        detector.sums.holds(tier.fleet[number % 2].id_hash, 2, 9, 2)
     right = {detector: [0, 0] for detector in tier.detectors}
     for look in range(30):  # broadcasts may be lost in a row, and parts run out; none may stay without them
         tier.run(2)
@@ -92,7 +92,7 @@
 def test_another_adds_up_when_the_aggregator_is_gone_and_what_that_one_held_is_forgotten():
     tier = Tier()
     for detector in tier.detectors:
-        detector.sums.holds(tier.fleet[0].mark, 2, 0, 0)
+        detector.sums.holds(tier.fleet[0].id_hash, 2, 0, 0)
     tier.run(6)
     first = tier.detectors[5].sums.aggregator
     tier.cut.add(first)
@@ -112,14 +112,14 @@
 
 def test_two_servers_of_one_short_mark_are_known_by_nothing():
     tier = Tier()
-    twin = model.Server(tier.fleet[0].mark + sums.MARK + 1)
+    twin = model.Server(tier.fleet[0].id_hash + sums.MARK + 1)
     for detector in tier.detectors:
         detector.listed([*tier.fleet, twin])
-        detector.sums.holds(tier.fleet[0].mark, 9, 0, 0)
-        detector.sums.holds(tier.fleet[1].mark, 1, 0, 0)
+        detector.sums.holds(tier.fleet[0].id_hash, 9, 0, 0)
+        detector.sums.holds(tier.fleet[1].id_hash, 1, 0, 0)
     tier.run(10)
     told = tier.detectors[4].sums.sums
-    assert tier.fleet[1].mark & sums.MARK in told and tier.fleet[0].mark & sums.MARK not in told
+    assert tier.fleet[1].id_hash & sums.MARK in told and tier.fleet[0].id_hash & sums.MARK not in told
 
 
 def test_a_server_that_never_says_it_is_late_is_found_out_by_who_saw_nothing_of_it():
@@ -183,7 +183,9 @@
 
 
 def held(fleet, counts):
-    return next(sums.pack(sums.BROADCAST, [(sums.SUM, server.mark, n) for server, n in zip(fleet, counts)]))
+    return next(
+        sums.pack(sums.BROADCAST, [(sums.SUM, server.id_hash, n) for server, n in zip(fleet, counts)])
+    )
 
 
 def test_a_server_far_over_what_others_hold_is_passed_over_by_one_that_holds_nothing():
@@ -200,7 +202,9 @@
     bench, fleet = balancer()
     bench.balancer.on_datagram(0, held(fleet, [10] * 10))
     home = fleet[7]
-    bench.balancer.on_datagram(0, next(sums.pack_pairs(sums.PLACEMENTS, [(home.mark & sums.MARK, 41)], [1])))
+    bench.balancer.on_datagram(
+        0, next(sums.pack_pairs(sums.PLACEMENTS, [(home.id_hash & sums.MARK, 41)], [1]))
+    )
     for _ in range(20):
         bench.call(group=41)
         bench.now += 3
@@ -210,7 +214,7 @@
 
 def test_a_broadcast_of_lateness_shuts_the_server_for_one_that_sees_it_once_in_ten_seconds():
     bench, fleet = balancer()
-    late = next(sums.pack(sums.BROADCAST, [(sums.LATE, fleet[4].mark, 0.8)]))
+    late = next(sums.pack(sums.BROADCAST, [(sums.LATE, fleet[4].id_hash, 0.8)]))
     for _ in range(20):
         bench.balancer.on_datagram(0, late)
         bench.call()
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -20,7 +20,7 @@
 
     before = order()
     for server in fleet:
-        server.weight = server.weight / (2 + server.mark % 5)
+        server.weight = server.weight / (2 + server.id_hash % 5)
     late = Server(4000, kind=0, weight=1.2)  # comes while it is full: its kind tells its size
     bench.balancer.on_servers_listed([*fleet, late])
     assert [server.size for server in [*fleet, late]] == [8.5, 5.0, 8.5, 5.0, 8.5, 5.0, 8.5]
