--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -70,8 +70,8 @@
         changed = []
         for mark, state, cell, zone, weight, since, machine in rows:
             server = self.servers.setdefault(mark, Server(mark))
-            server.state, server.cell, server.zone, server.since = state, cell, zone, since
-            server.weight, server.kind = weight, machine
+            server.state, server.cell, server.zone, server.started_at = state, cell, zone, since
+            server.weight, server.machine_type = weight, machine
             changed.append(server)
         if whole:
             named = set(changed)
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -160,12 +160,12 @@
                 for s in self.balancer.fleet
                 if s.ready and s.local_state.warm_at <= self.looked and not late(s)
             ]
-            size = sum(s.size for s in warm)
+            size = sum(s.capacity for s in warm)
             self.borne = max(self.borne, sum(s.local_state.open for s in warm) / size if size else 0.0)
         return max(self.borne, FIRST_FILL / self.settings.peers)
 
     def room(self, server: Server) -> bool:
-        under = server.local_state.open + server.local_state.part < self.usual() * server.size
+        under = server.local_state.open + server.local_state.part < self.usual() * server.capacity
         calm = self.host.now - server.local_state.told > SWAMPED_FOR and self.balancer.draw.room(server)
         return under and calm and self.tokens(server) > 0
 
@@ -178,9 +178,9 @@
             server.local_state,
             self.settings,
             self.host.now,
-            self.usual() * server.size,
+            self.usual() * server.capacity,
         )
-        budget, anew = rules.cold_budget(self.borne, server.size * self.warm(server))
+        budget, anew = rules.cold_budget(self.borne, server.capacity * self.warm(server))
         rate = min(AHEAD * bears / rules.ramp_time, anew / rules.fall_time)
         kept = (budget - rate * rules.fall_time) * max(1.0, 1 / (RUSH * bears))
         stand.issued, stand.issued_at = stand.issued + rate * max(0.0, now - stand.issued_at), now
@@ -189,7 +189,9 @@
 
     def allowed(self, server: Server) -> float:
         """What all balancers may send a cold server in `fall_time`: N of the rule."""
-        return self.settings.peers * self.settings.cold_allowed(self.borne, server.size * self.warm(server))
+        return self.settings.peers * self.settings.cold_allowed(
+            self.borne, server.capacity * self.warm(server)
+        )
 
     def withhold(self, on: bool) -> None:
         """Whether another process of this balancer sends to cold servers in our place. When that ends, what
@@ -205,7 +207,7 @@
         now, rules, stand = self.host.now, self.settings, server.local_state
         if stand.warm_at <= now:
             return True
-        budget, _ = rules.cold_budget(self.borne, server.size * self.warm(server))
+        budget, _ = rules.cold_budget(self.borne, server.capacity * self.warm(server))
         while stand.written and stand.written[0] <= now - rules.fall_time:
             stand.written.popleft()
         if len(stand.written) >= max(1, math.floor(budget + 1 / rules.peers)):
@@ -220,7 +222,7 @@
 
     def sent(self, server: Server) -> None:
         """Slower the more servers are late: guards against a fleet that sheds and is filled at once again."""
-        sure, calm = self.usual() * server.size, self.balancer.draw.calm(server.zone)
+        sure, calm = self.usual() * server.capacity, self.balancer.draw.calm(server.zone)
         gap = 1 / max(GROWTH * max(server.local_state.open, sure), LEAST_PACE / self.settings.peers) / calm
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
         sure = max(sure, 2) if self.balancer.overload.hears(self.host.now) else sure
@@ -300,7 +302,9 @@
         """Not swamped, and under the ceiling found when it last was."""
         stand, cold = server.local_state, self.balancer.cold
         # Grows as what is usual does: guards against a small holder that was cut for what others hold there.
-        grown = CEILING_GROWTH * (self.host.now - stand.cut) * max(stand.ceiling, cold.usual() * server.size)
+        grown = (
+            CEILING_GROWTH * (self.host.now - stand.cut) * max(stand.ceiling, cold.usual() * server.capacity)
+        )
         if self.reported(server) and stand.full >= full:
             return False
         return not self.late(server) and stand.open + stand.part < cold.warm(server) * (stand.ceiling + grown)
@@ -386,12 +390,12 @@
         if not (places := [s for s in places if s not in tried] or places):
             return None
         now, warm = self.host.now, self.balancer.cold.warm
-        sizes = [s.size if s.local_state.warm_at <= now else s.size * warm(s) for s in places]
+        sizes = [s.capacity if s.local_state.warm_at <= now else s.capacity * warm(s) for s in places]
         held = self.balancer.fill() or {s: s.local_state.open for s in places}
         mean = ABOVE_MEAN * sum([held[s] for s in places]) / sum(sizes)
         low = [s for s, size in zip(places, sizes) if held[s] < 1 + mean * size] or places
         # Guards against a server put back that waits long for its lot, by the weight of a cold one.
-        missed = [s for s in low if s.local_state.missed or s.unproved and not call.group]
+        missed = [s for s in low if s.local_state.missed or s.needs_attempt and not call.group]
         missed = [
             s
             for s in missed
@@ -462,7 +466,7 @@
     def lot(self, call: Call, server: Server) -> float:
         """A lot whose least value falls on servers in proportion to their weights. A group's lots are the
         same at every draw and balancer, so its connections gather and share what they cost a server."""
-        weight = server.local_state.weight * server.size * self.balancer.cold.warm(server)
+        weight = server.local_state.weight * server.capacity * self.balancer.cold.warm(server)
         if not call.group:
             return -math.log(self.balancer.rng.uniform() + 1e-12) / weight
         even = lcg_step(lcg_step(call.group ^ server.id_hash * 0x9E3779B97F4A7C15))
@@ -574,7 +578,7 @@
     def on_timer(self, what: object) -> None:
         if isinstance(what, Call):
             self.answer.due(what)
-        elif isinstance(what, Server) and what.out:
+        elif isinstance(what, Server) and what.cordoned:
             self.draw.move(list(what.local_state.legs), OUT_SHARE)
             self.host.set_timer(self.host.now + OUT_EVERY, what)
         elif what == "kept":
@@ -632,10 +636,10 @@
                 )
                 self.fleet.append(server)
             self.sized(server)
-            if server.since != server.local_state.since:  # restarted under the same id
+            if server.started_at != server.local_state.started_at:  # restarted under the same id
                 # Guards against a restart that takes servers half warm for cold: others knew them before us.
-                self.starts(server, server.since if first else self.host.now, server.since)
-                server.local_state.since = server.since
+                self.starts(server, server.started_at if first else self.host.now, server.started_at)
+                server.local_state.started_at = server.started_at
                 if first:
                     self.cold.spend(server)
         self.refresh_usable()
@@ -657,25 +661,27 @@
 
     def on_cordoned(self, server: Server, out: bool) -> None:
         """Taken out by hand, it gets nothing new and what stands is moved. Put back, it is cold."""
-        stand, now, before, server.out = server.local_state, self.host.now, server.out, out
+        stand, now, before, server.cordoned = server.local_state, self.host.now, server.cordoned, out
         if out and not before:
             stand.out_since = now
             self.on_timer(server)
         elif before and not out:
             stand.missed, stand.ceiling = True, math.inf
-            if stand.since < stand.out_since:  # guards against a list that does not know of the restart yet
+            if (
+                stand.started_at < stand.out_since
+            ):  # guards against a list that does not know of the restart yet
                 self.starts(server, now, now)
         self.on_servers_listed([server])
 
     def sized(self, server: Server) -> None:
         """A live weight falls with what a server holds: its size is the most its kind was ever listed at."""
-        known = self.sizes.get(server.kind, 0.0) if self.settings.live else 0.0
-        server.size = max(server.weight, known)
+        known = self.sizes.get(server.machine_type, 0.0) if self.settings.live else 0.0
+        server.capacity = max(server.weight, known)
         if server.weight > known and self.settings.live:
-            self.sizes[server.kind] = server.weight
+            self.sizes[server.machine_type] = server.weight
             for other in self.fleet:
-                if other.kind == server.kind:
-                    other.size = server.weight
+                if other.machine_type == server.machine_type:
+                    other.capacity = server.weight
 
     def avoids(self, server: Server) -> bool:
         """Is this listed server kept from new calls now, by the list, by hand, for failures or lateness?"""
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -55,14 +55,14 @@
 
 class LeastOpen(Pick):
     def choose(self, call: Call, places: list[Server]) -> Server | None:
-        least = min(server.local_state.open / server.size for server in places)
-        return super().choose(call, [s for s in places if s.local_state.open / s.size == least])
+        least = min(server.local_state.open / server.capacity for server in places)
+        return super().choose(call, [s for s in places if s.local_state.open / s.capacity == least])
 
 
 class TwoChoices(Pick):
     def choose(self, call: Call, places: list[Server]) -> Server | None:
         one, other = (super(TwoChoices, self).choose(call, places) for _ in range(2))
-        return min(one, other, key=lambda server: server.local_state.open / server.size)
+        return min(one, other, key=lambda server: server.local_state.open / server.capacity)
 
 
 class BoundedHash(Pick):
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -179,7 +179,16 @@
     def will_hold(self, marks: list[int]) -> None:
         """Own records of these servers, for what the decisions keep of own connections."""
         own = [
-            Server(mark, one.zone, one.cell, one.state, one.size, one.weight, one.kind, one.since)
+            Server(
+                mark,
+                one.zone,
+                one.cell,
+                one.state,
+                one.capacity,
+                one.weight,
+                one.machine_type,
+                one.started_at,
+            )
             for mark in marks
             if (one := self.shared[mark])
         ]
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -124,15 +124,17 @@
     zone: int = 0
     cell: int = 0
     state: str = READY
-    size: float = 1.0  # nominal capacity, for comparison
+    capacity: float = 1.0  # nominal capacity, for comparison
     weight: float = 1.0  # as last listed: the size, or the size lowered by what the server holds
-    kind: int = 0  # of machine
-    since: float = 0.0  # its last start; 0 for long ago
-    out: bool = False  # taken out by hand, whatever the list says
-    proved: float = -math.inf  # when a new connection was last sent to it that it took
+    machine_type: int = 0  # of machine
+    started_at: float = 0.0  # its last start; 0 for long ago
+    cordoned: bool = False  # taken out by hand, whatever the list says
+    last_accepted: float = -math.inf  # when a new connection was last sent to it that it took
     doubtful: bool = False  # the list is, and this server proved too little since
-    tried: float = -math.inf  # when a new connection was last sent to it
-    unproved: bool = False  # neither for long, while the list ages: a call without a group goes there first
+    last_attempted: float = -math.inf  # when a new connection was last sent to it
+    needs_attempt: bool = (
+        False  # neither for long, while the list ages: a call without a group goes there first
+    )
     local_state: Any = None
     host_record: Any = None  # the host's own record of it
 
@@ -154,7 +156,7 @@
         self.part = part  # of one connection: at many balancers it makes fractions add up
         self.weight, self.fails = 1.0, 0
         self.open = 0  # own connections and legs out
-        self.since = self.out_since = self.bad_until = 0.0
+        self.started_at = self.out_since = self.bad_until = 0.0
         self.warm_at = 0.0  # when it surely is warm
         self.next_leg = 0.0  # not before this
         self.issued = self.issued_at = 0.0  # tokens for set-ups while it is cold, and up to when
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -67,7 +67,7 @@
     # What the balancer may do: each is carried out when the module has had the whole batch.
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
-        leg, server.tried, server.unproved = self.begin_leg(call, server), self.now, False
+        leg, server.last_attempted, server.needs_attempt = self.begin_leg(call, server), self.now, False
         self.act(self.connect, leg, until)
         return leg
 
@@ -194,7 +194,7 @@
             self.resume_leg(leg)
         else:
             leg.call.host_record.counted_as("completed")
-            leg.server.proved = max(leg.server.proved, leg.sent)
+            leg.server.last_accepted = max(leg.server.last_accepted, leg.sent)
             self.leg_established(leg)
         if self.shutdown and not self.hot_restart.giver:
             self.act(leg.call.host_record.move, "moved")
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -33,7 +33,7 @@
         """May the run not have begun? It begins when all resumed connections are up at once, and one that is
         moved before would hold it up. What operators ordered by hand is carried out."""
         held_back = self.window.holds_back_moves(self.node.now, len(self.pending))
-        return held_back and not leg.server.out
+        return held_back and not leg.server.cordoned
 
     def admit(self, client: Any, client_waits: float | None) -> None:
         """A first line with `at=` has come. `client_waits`: for how many seconds, as it says."""
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -113,7 +113,9 @@
         rows = [row for entry in news.entries if (row := self.row(entry, newest))]
         self.node.apply_entries(rows, news.whole, kept)
         for server in map(self.node.servers.get, self.cordoned):
-            if server and not server.out:  # forgotten meanwhile, or told by our other process: it stays out
+            if (
+                server and not server.cordoned
+            ):  # forgotten meanwhile, or told by our other process: it stays out
                 self.node.balancer.on_cordoned(server, True)
 
     def row(self, entry: lines.Entry, newest: float) -> tuple[int, str, int, int, float, float, int] | None:
@@ -128,7 +130,7 @@
         server.host_record = server.host_record or Place(entry.name, entry.address)
         server.host_record.address = entry.address or server.host_record.address
         started = self.started(server.host_record, stamp, newest)
-        if server.local_state and (state != server.state or started != server.since):
+        if server.local_state and (state != server.state or started != server.started_at):
             log.tell("server", name=entry.name, state=state, was=server.state, started=started)
         zones, zone = self.node.names.zones, server.zone
         if entry.zone:
@@ -161,8 +163,8 @@
                 server.state,
                 server.cell,
                 server.weight,
-                server.host_record.start.stamp if server.host_record.start else server.since,
-                machines.get(server.kind, ""),
+                server.host_record.start.stamp if server.host_record.start else server.started_at,
+                machines.get(server.machine_type, ""),
             )
 
     def news_after(self, versions: ListVersions) -> Iterator[dict[str, Any]]:
@@ -187,7 +189,7 @@
         since = max(self.node.now - window, self.node.discovery.age.proofs_from)
         changed = False
         for server in self.node.servers.values():
-            doubtful = server.proved < since
+            doubtful = server.last_accepted < since
             changed = changed or server.doubtful != doubtful
             server.doubtful = doubtful
         if changed:
@@ -199,7 +201,7 @@
         and fewer, may be used. Infinite: the list is young. Groups stay where they are: each server more that
         has one pays its price."""
         for server in self.node.servers.values():
-            server.unproved = self.node.now - max(server.proved, server.tried) > since
+            server.needs_attempt = self.node.now - max(server.last_accepted, server.last_attempted) > since
 
     def cordon(self, name: str, out: bool) -> bool:
         """Take a server out by hand, or put it back; no if none of that name is or was listed."""
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -119,8 +119,8 @@
 
     def listed(self, servers: dict[int, Any], zone: int) -> None:
         """By hashed identifier; None where two share one. Guards against votes from before a restart."""
-        near = {one: server.since for one, server in servers.items() if server and server.zone == zone}
-        near = near or {one: server.since for one, server in servers.items() if server}
+        near = {one: server.started_at for one, server in servers.items() if server and server.zone == zone}
+        near = near or {one: server.started_at for one, server in servers.items() if server}
         self.votes = {one: votes for one, votes in self.votes.items() if near.get(one) == self.near[one]}
         self.signs = {one: sign for one, sign in self.signs.items() if servers.get(one)}
         self.near, self.order = near, sorted(near)
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -164,6 +164,6 @@
         told = {server: total for server, total in known.items() if total is not None}
         if not told or len(told) < LEAST_KNOWN * len(known):
             return {}
-        mean = sum(told.values()) / sum(server.size for server in told)
-        self.filled = now, {server: told.get(server, mean * server.size) for server in servers}
+        mean = sum(told.values()) / sum(server.capacity for server in told)
+        self.filled = now, {server: told.get(server, mean * server.capacity) for server in servers}
         return self.filled[1]
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -192,13 +192,13 @@
     Mutant(
         "moves before the run",
         "net/resumed.py",
-        "return held_back and not leg.server.out",
+        "return held_back and not leg.server.cordoned",
         "return False",
     ),
     Mutant(
         "by hand held back too",
         "net/resumed.py",
-        "return held_back and not leg.server.out",
+        "return held_back and not leg.server.cordoned",
         "return held_back",
     ),
     Mutant(
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -73,7 +73,7 @@
     Mutant(
         "a drain is not heeded",
         (
-            ("choice.py", "[s for s in self.fleet if s.usable]", "[s for s in self.fleet if not s.out]"),
+            ("choice.py", "[s for s in self.fleet if s.usable]", "[s for s in self.fleet if not s.cordoned]"),
             ("net/servers.py", "        if not self.leg.server.usable:\n", "        if False:\n"),
             NOT_PREVENTED,
         ),
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -113,7 +113,7 @@
     place(bench, 90)
     for leg in list(cold.local_state.legs):
         bench.end_leg(leg, model.RESET)
-    cold.since = bench.now
+    cold.started_at = bench.now
     bench.balancer.on_servers_listed([cold])
     bench.run(bench.now + 15)
     before = len(bench.sent)
@@ -139,10 +139,10 @@
 def test_after_a_restart_servers_half_warm_are_not_taken_for_cold():
     # Guards against calls rejected while servers that the others fill stand empty.
     bench = Bench(settings())
-    (known,) = bench.fleet(0, since=bench.now - 10)
+    (known,) = bench.fleet(0, started_at=bench.now - 10)
     bench.call()
     assert known.local_state.open == 1
-    late = Server(9, 0, since=bench.now - 10)  # told late: this one counts from now
+    late = Server(9, 0, started_at=bench.now - 10)  # told late: this one counts from now
     bench.balancer.on_servers_listed([late])
     for _ in range(4):
         bench.call()
@@ -282,7 +282,7 @@
         if number % 7 == 3:
             bench.end_leg(out[number * 5 % len(out)], [model.COMPLETED, model.RESET][number % 2])
         if number in (40, 60):
-            fleet[4].state, fleet[4].since = [model.DRAINING, model.READY][number > 40], bench.now
+            fleet[4].state, fleet[4].started_at = [model.DRAINING, model.READY][number > 40], bench.now
             bench.balancer.on_servers_listed([fleet[4]])
     chosen = "".join(str(fleet.index(leg.server)) for leg, _ in bench.sent)
     assert chosen == story
@@ -294,7 +294,7 @@
     bench = Bench(settings())
     home, *away = bench.fleet(0, 1, 1, 1)
     for server in away:
-        server.since = bench.now
+        server.started_at = bench.now
     bench.balancer.on_servers_listed(away)
     looked, room = [], bench.balancer.cold.room
     bench.balancer.cold.room = lambda server: looked.append(server) or room(server)
@@ -309,7 +309,7 @@
         bench = Bench(settings(peers=40), seed=number)
         fleet = bench.fleet(*[0] * 10)
         for server in fleet:
-            server.since = bench.now
+            server.started_at = bench.now
         bench.balancer.on_servers_listed(fleet)
         bench.run(bench.now + bench.rules.ramp_time / 6)
         bench.call(group=77)
@@ -349,7 +349,7 @@
     assert len(standing) > 3
     bench.balancer.on_cordoned(first, True)
     for state in (model.DRAINING, model.GONE, model.READY):
-        first.state, first.since = state, bench.now
+        first.state, first.started_at = state, bench.now
         bench.balancer.on_servers_listed([first])
         bench.run(bench.now + 1.0)
         before = len(bench.sent)
@@ -392,11 +392,11 @@
     (server,) = bench.fleet(0)
     bench.balancer.on_cordoned(server, True)
     bench.run(bench.now + 2.0)
-    server.since = bench.now
+    server.started_at = bench.now
     bench.balancer.on_servers_listed([server])
     bench.run(bench.now + 3.0)
     bench.balancer.on_cordoned(server, False)
-    assert server.local_state.warm_at == server.since + bench.rules.ramp_time
+    assert server.local_state.warm_at == server.started_at + bench.rules.ramp_time
 
 
 def test_a_call_whose_holder_is_full_goes_elsewhere_before_it_is_rejected():
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -165,7 +165,7 @@
             )
             world.node.server_watch.look()
             world.node.server_watch.look()
-        assert [s.out for s in world.node.balancer.fleet if s.host_record.name == "s-0"] == [True]
+        assert [s.cordoned for s in world.node.balancer.fleet if s.host_record.name == "s-0"] == [True]
         assert len(world.node.balancer.listing.ready) == 1
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -177,7 +177,7 @@
         if leg.server.id_hash == DRAINS and self.now > self.world.drain_at:
             self.leg_ended(leg, Result(model.FULL), leg.call.done)  # a server that drains turns new ones away
         else:
-            leg.server.proved = max(leg.server.proved, leg.sent)
+            leg.server.last_accepted = max(leg.server.last_accepted, leg.sent)
             self.leg_established(leg)
             self.after(0.3, self.leg_ended, leg, Result(model.COMPLETED), True)
 
@@ -292,11 +292,11 @@
     tier.run(0.1)
     tier.service.becomes("silent")
     tier.run(BOUND)
-    marked = [server for node in tier.nodes for server in node.servers.values() if server.unproved]
+    marked = [server for node in tier.nodes for server in node.servers.values() if server.needs_attempt]
     assert len(marked) == 3 * SERVERS and not any(server.local_state.missed for server in marked)
     tier.service.becomes("up")
     tier.run(10.0)
-    assert not any(server.unproved for server in marked)
+    assert not any(server.needs_attempt for server in marked)
 
 
 def sends_after(tier, when):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -253,7 +253,7 @@
     for peer in range(1, 6):
         node.heard(10.0, peer, poll([90] + [30] * 9), listed)
     assert node.total(1, 10.0) > 2 * node.total(2, 10.0)
-    listed[1].since = 11.0
+    listed[1].started_at = 11.0
     node.holds(1, 0, 0, 0)
     node.listed(listed, 0)
     assert node.total(1, 11.0) == 0 < node.total(2, 11.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -174,7 +174,8 @@
         async with world.beside() as second:
             here, there = (
                 sorted(
-                    (s.id_hash, s.zone, s.state, s.size, s.host_record.address) for s in one.servers.values()
+                    (s.id_hash, s.zone, s.state, s.capacity, s.host_record.address)
+                    for s in one.servers.values()
                 )
                 for one in (world.node, second)
             )
@@ -196,7 +197,7 @@
         await world.until(lambda: len(new.server_list.cordoned) == 1)
         (server,) = (s for s in new.servers.values() if s.host_record.name == "s-0")
         assert (
-            not server.out and server.local_state.warm_at > new.now
+            not server.cordoned and server.local_state.warm_at > new.now
         )  # restarted meanwhile, as far as we know
         new.over.set()
         await serving
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -158,8 +158,8 @@
     machine = world.by_name["a-k-1"]
     node = world.nodes[0]
     told = node.servers[world.marks[machine]]
-    assert told.state == model.READY and told.since == pytest.approx(START + 7.0 - 900.0)
-    assert machine.started == START + 7.0 and told.local_state.since == told.since
+    assert told.state == model.READY and told.started_at == pytest.approx(START + 7.0 - 900.0)
+    assert machine.started == START + 7.0 and told.local_state.started_at == told.started_at
     assert kept(world) and not world.counters["fell"]
 
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -11,7 +11,7 @@
 
 def test_a_live_weight_leaves_sizes_and_the_order_of_lots_as_they_are():
     bench = Bench(settings(asks=False, live=True))
-    fleet = [Server(mark * 77 + 5, kind=mark % 2, weight=[8.5, 5.0][mark % 2]) for mark in range(6)]
+    fleet = [Server(mark * 77 + 5, machine_type=mark % 2, weight=[8.5, 5.0][mark % 2]) for mark in range(6)]
     bench.balancer.on_servers_listed(fleet)
     call = bench.call(group=9)
 
@@ -21,18 +21,18 @@
     before = order()
     for server in fleet:
         server.weight = server.weight / (2 + server.id_hash % 5)
-    late = Server(4000, kind=0, weight=1.2)  # comes while it is full: its kind tells its size
+    late = Server(4000, machine_type=0, weight=1.2)  # comes while it is full: its kind tells its size
     bench.balancer.on_servers_listed([*fleet, late])
-    assert [server.size for server in [*fleet, late]] == [8.5, 5.0, 8.5, 5.0, 8.5, 5.0, 8.5]
+    assert [server.capacity for server in [*fleet, late]] == [8.5, 5.0, 8.5, 5.0, 8.5, 5.0, 8.5]
     assert order() == before
 
 
 def test_a_size_known_too_small_grows_with_the_first_empty_server_of_its_kind():
     bench = Bench(settings(asks=False, live=True))
-    full, other = Server(1, kind=0, weight=0.4), Server(2, kind=1, weight=0.5)
+    full, other = Server(1, machine_type=0, weight=0.4), Server(2, machine_type=1, weight=0.5)
     bench.balancer.on_servers_listed([full, other])
-    bench.balancer.on_servers_listed([Server(3, kind=0, weight=3.5)])
-    assert (full.size, other.size) == (3.5, 0.5)
+    bench.balancer.on_servers_listed([Server(3, machine_type=0, weight=3.5)])
+    assert (full.capacity, other.capacity) == (3.5, 0.5)
 
 
 def asked(bench, *loads) -> list[Server]:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -113,7 +113,7 @@
                 call.done = True
                 bench.balancer.on_client_left(call)
         elif what == "restart":
-            fleet[which].since = bench.now
+            fleet[which].started_at = bench.now
             bench.balancer.on_servers_listed([fleet[which]])
         elif out and what == "end":
             bench.end_leg(out[which % len(out)], how)
@@ -141,7 +141,7 @@
         bench.establish(bench.sent[-1][0])
     for leg in [leg for leg, _ in bench.sent if leg.server is cold]:
         bench.end_leg(leg, model.RESET)
-    cold.since = start = bench.now
+    cold.started_at = start = bench.now
     for server in warm if live else []:
         server.weight /= 1 + server.local_state.open
     bench.balancer.on_servers_listed([cold, *warm])
@@ -165,7 +165,7 @@
         for index in range(held * (number % 3)):  # uneven: some balancers hold nothing
             leg = bench.send(Call(rules.types[0], 1e9), warm[index % len(warm)], 1e9)
             bench.balancer.on_resumed(leg)
-        cold.since = start = bench.now
+        cold.started_at = start = bench.now
         bench.balancer.on_servers_listed(fleet)
         for step in range(8):  # it takes all that may come, and what it took ends at once
             bench.run(start + 0.4 * (step + 1))
@@ -187,7 +187,7 @@
     for number in range(40):
         bench = Bench(rules, 11 + number)
         cold, *warm = fleet = bench.fleet(0, 0, 0)
-        cold.since = start = bench.now
+        cold.started_at = start = bench.now
         bench.balancer.on_servers_listed(fleet)
         for _ in range(20):
             bench.run(bench.now + warm_share * rules.ramp_time / 20)
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -126,7 +126,7 @@
             listing.say(f"{len(text):x}\r\n{text}")
             await world.until(lambda number=number: world.node.server_list.version == 50 + number)
             assert server.weight == seen
-        assert server.size == 2.5 and world.node.counters["bad_weights"] == 1
+        assert server.capacity == 2.5 and world.node.counters["bad_weights"] == 1
 
 
 async def probed(world) -> Peer:
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -98,7 +98,7 @@
         await take_over()
         for node in (second, world.node):
             await world.until(lambda node=node: not node.server_list.cordoned)
-            assert not any(server.out for server in node.servers.values())
+            assert not any(server.cordoned for server in node.servers.values())
 
 
 @played
@@ -287,7 +287,7 @@
             assert states(node) == expected
             out = {name: name in node.server_list.cordoned.values() for name in handover.ordered}
             assert out == handover.ordered
-            assert {s.host_record.name for s in node.servers.values() if s.out} == set(
+            assert {s.host_record.name for s in node.servers.values() if s.cordoned} == set(
                 node.server_list.cordoned.values()
             )
     finally:
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -29,7 +29,7 @@
         first.leave()
         await asyncio.wait_for(world.serving, 5)
         await world.until(lambda: second.hot_restart.followed)
-        assert third.servers[lines.mark("s-1")].out and third.can_serve()
+        assert third.servers[lines.mark("s-1")].cordoned and third.can_serve()
         second.leave()
         await asyncio.wait_for(serving_second, 5)
         world.node, world.serving = third, serving
@@ -134,9 +134,9 @@
         turn.set()
         await world.until(lambda: first.hot_restart.followed)
         try:
-            assert second.servers[lines.mark("s-1")].out
+            assert second.servers[lines.mark("s-1")].cordoned
             assert second.hot_restart.snapshot()["out"] == ["s-1"]  # for the process after it
-            await world.until(lambda: first.servers[lines.mark("s-1")].out)
+            await world.until(lambda: first.servers[lines.mark("s-1")].cordoned)
         finally:
             second.over.set()
             await serving
@@ -200,7 +200,7 @@
         async with world.beside() as second:
             await world.until(lambda: first.hot_restart.followed)
             assert len(second.servers) >= 3200
-            assert second.servers[lines.mark("server-00000007")].out
+            assert second.servers[lines.mark("server-00000007")].cordoned
 
 
 RAMP, WINDOW, FACTOR = 60.0, 30.0, 0.8
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -135,7 +135,7 @@
         )
     )
     servers = adapter.instances[3].servers.values()
-    assert [(server.state, server.kind) for server in servers] == [(model.READY, 0), (model.READY, 1)]
+    assert [(server.state, server.machine_type) for server in servers] == [(model.READY, 0), (model.READY, 1)]
 
 
 def test_a_tally_counts_what_a_recorded_run_decided(tmp_path, capsys, monkeypatch):
