--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -49,7 +49,7 @@
     """Rule 1: each call gets one final answer by its guard time, and nothing after it."""
 
     def on_call(self, call: Call) -> None:
-        self.host.set_timer(self.last_moment(call), call)
+        self.host.set_timer(self.answer_by(call), call)
         self.handle(call)
 
     def handle(self, call: Call) -> None:
@@ -57,13 +57,13 @@
             return
         if len(call.legs) >= self.settings.max_legs:
             self.give_up(call, "max-attempts")
-        elif self.host.now >= self.last_moment(call):
+        elif self.host.now >= self.answer_by(call):
             self.give_up(call, "deadline")
         else:
             self.next.handle(call)
 
-    def last_moment(self, call: Call) -> float:
-        return call.guard - min(self.settings.spare, SPARE_SHARE * (call.guard - call.arrived))
+    def answer_by(self, call: Call) -> float:
+        return call.deadline - min(self.settings.spare, SPARE_SHARE * (call.deadline - call.arrived))
 
     def due(self, call: Call) -> None:
         """The guard time is near: answer whatever is still owed."""
@@ -473,7 +473,7 @@
         return -math.log((even >> 33) / 2147483648.0 + 1e-12) / weight
 
     def send(self, call: Call, server: Server) -> None:
-        until, call.lots, call.waits = self.balancer.answer.last_moment(call), {}, []
+        until, call.lots, call.waits = self.balancer.answer.answer_by(call), {}, []
         self.count(call, server, 1)
         self.balancer.cold.sent(server)
         server.local_state.missed = False
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -36,10 +36,10 @@
 
 
 def _answers_late(stage: choice.Answer, call: Call, why: str = "") -> None:
-    if stage.host.now > call.guard:
+    if stage.host.now > call.deadline:
         type(stage).give_up(stage, call, why)
     else:
-        stage.host.set_timer(call.guard + LATE, call)
+        stage.host.set_timer(call.deadline + LATE, call)
 
 
 def _never_answers(stage: choice.Answer, call: Call, why: str = "") -> None: ...
@@ -47,10 +47,10 @@
 
 def _holds_back(stage: choice.Answer, call: Call, why: str = "") -> None:
     """Keeps a call that it has given up until its time is nearly over, to spare a retry."""
-    if stage.host.now >= stage.last_moment(call) - 2 * EARLY:
+    if stage.host.now >= stage.answer_by(call) - 2 * EARLY:
         type(stage).give_up(stage, call, why)
     else:
-        stage.host.set_timer(stage.last_moment(call) - EARLY, call)
+        stage.host.set_timer(stage.answer_by(call) - EARLY, call)
 
 
 def _sends_after_answer(stage: choice.Answer, call: Call, why: str = "") -> None:
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -176,7 +176,7 @@
     """A client's request for a connection."""
 
     type: TrafficType
-    guard: float  # when the client gives up
+    deadline: float  # when the client gives up
     arrived: float = 0.0
     key: int = 0
     group: int = 0
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -517,4 +517,4 @@
     call = bench.call(guard=wait)
     assert bool(bench.sent) == goes and call.done != goes
     for _, until in bench.sent:
-        assert bench.now + 0.7 * wait < until < call.guard
+        assert bench.now + 0.7 * wait < until < call.deadline
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -86,7 +86,7 @@
 def test_an_answer_at_the_very_guard_time_has_come_in_time(late, in_time):
     class Punctual(Scripted):
         def on_call(self, call):
-            self.host.set_timer(call.guard - 0.0007 + late, call)  # the client hears it a delay later
+            self.host.set_timer(call.deadline - 0.0007 + late, call)  # the client hears it a delay later
 
         def on_timer(self, call):
             if not call.done:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -77,7 +77,7 @@
     def send(self, call, server, until):
         leg = super().send(call, server, until)
         assert may_go(leg), "a leg that the rules forbid"
-        assert len(call.legs) <= self.rules.max_legs and until <= call.guard
+        assert len(call.legs) <= self.rules.max_legs and until <= call.deadline
         return leg
 
     def reject(self, call, wait=0.0):
@@ -126,7 +126,7 @@
     bench.run(bench.now + 60)
     for call in calls:  # rule 1: answered by the guard time, or standing
         assert call.done or any(leg.standing for leg in call.legs)
-    assert all(when <= call.guard + bench.rules.answer_slack for call, _, when in bench.done)
+    assert all(when <= call.deadline + bench.rules.answer_slack for call, _, when in bench.done)
 
 
 @pytest.mark.parametrize("live", [False, True])
