--- a/bellrack/chain.py
+++ b/bellrack/chain.py
@@ -27,7 +27,7 @@
 
     def forward_or_queue(self, call: Call) -> None:
         """To the next stage if a server is left for it, else to the queue."""
-        if call.places:
+        if call.candidates:
             self.next.handle(call)
         else:
             self.balancer.keep(call)
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -97,7 +97,7 @@
             self.balancer.answer.give_up(call, "may-have-run")
             return
         if risky and kind.effect == model.REFERENCED:
-            call.places = [s for s in call.places if self.same_group(call, s, risky[0].server)]
+            call.candidates = [s for s in call.candidates if self.same_group(call, s, risky[0].server)]
         self.forward_or_queue(call)
 
     def write_by(self, call: Call) -> float:
@@ -129,7 +129,7 @@
     ready: list[Server] = []  # as of the last change of the list
 
     def handle(self, call: Call) -> None:
-        call.places = self.ready
+        call.candidates = self.ready
         self.next.handle(call)
 
 
@@ -241,16 +241,16 @@
 
     def handle(self, call: Call) -> None:
         now, draw, server = self.host.now, self.balancer.draw, None
-        home = [s for s in call.places if s.zone == self.settings.zone]
+        home = [s for s in call.candidates if s.zone == self.settings.zone]
         if self.share() >= SPILLOVER_RATIO:
             server = draw.pick(call, [s for s in home if s.local_state.bad_until <= now])
         most = self.ceiling * (1 + CEILING_GROWTH * (now - self.cut)) - 0.5
-        if not server and self.balancer.held < most and not any(map(draw.awaited, call.waits)):
+        if not server and self.balancer.held < most and not any(map(draw.awaited, call.awaited_servers)):
             # Guards against a zone whose servers stand but drown: what finds no room in it leaves; and what
             # finds no room anywhere is kept, lest it be shed and come again.
-            healthy = [s for s in call.places if s.local_state.bad_until <= now]
-            server = draw.pick(call, healthy or home or call.places)
-        call.places = [server] if server else []
+            healthy = [s for s in call.candidates if s.local_state.bad_until <= now]
+            server = draw.pick(call, healthy or home or call.candidates)
+        call.candidates = [server] if server else []
         self.forward_or_queue(call)
 
     def jam(self) -> None:
@@ -346,7 +346,7 @@
         if delay >= 1:
             # Guards against connections that stay where their messages are late: the paper's rule is for new
             # ones, so a few are asked to come again, those first whose group's lots belong here least.
-            rest = sorted(server.local_state.legs, key=lambda leg: -self.lot(leg.call, server))
+            rest = sorted(server.local_state.legs, key=lambda leg: -self.rendezvous_score(leg.call, server))
             share = MOVE_SHARE * min(delay, MOVE_MOST)
             # What is moved lowers the ceiling with it: guards against many balancers with a connection each,
             # which hear no more of the server once theirs is moved, and together fill it up again.
@@ -403,11 +403,11 @@
         ]
         held = missed or self.holders(call, low)
         for server in held or low:  # kept with the call while it is kept: lots are dear
-            if server not in call.lots:
-                call.lots[server] = self.lot(call, server)
+            if server not in call.scores:
+                call.scores[server] = self.rendezvous_score(call, server)
         most = BLIND_LOTS if call.group and self.settings.blind else LOTS
-        lots = sorted(held or low, key=call.lots.__getitem__)[:most]
-        call.waits += lots
+        lots = sorted(held or low, key=call.scores.__getitem__)[:most]
+        call.awaited_servers += lots
         for number, server in enumerate(lots):
             if not self.balancer.cold.bears(server):
                 continue
@@ -456,14 +456,14 @@
         stand.full_until = self.host.now + (FULL_FRESH if stand.full >= FULL else FRESH)
 
     def handle(self, call: Call) -> None:
-        server = call.places[0]
+        server = call.candidates[0]
         if self.host.now >= server.local_state.next_leg:
             self.send(call, server)
         else:
-            call.waits = [server]
+            call.awaited_servers = [server]
             self.balancer.keep(call)
 
-    def lot(self, call: Call, server: Server) -> float:
+    def rendezvous_score(self, call: Call, server: Server) -> float:
         """A lot whose least value falls on servers in proportion to their weights. A group's lots are the
         same at every draw and balancer, so its connections gather and share what they cost a server."""
         weight = server.local_state.weight * server.capacity * self.balancer.cold.warm(server)
@@ -473,7 +473,7 @@
         return -math.log((even >> 33) / 2147483648.0 + 1e-12) / weight
 
     def send(self, call: Call, server: Server) -> None:
-        until, call.lots, call.waits = self.balancer.answer.answer_by(call), {}, []
+        until, call.scores, call.awaited_servers = self.balancer.answer.answer_by(call), {}, []
         self.count(call, server, 1)
         self.balancer.cold.sent(server)
         server.local_state.missed = False
@@ -570,8 +570,8 @@
 
     def on_probe_result(self, server: Server, result: Result) -> None:
         self.draw.on_probe_result(server, result)
-        ready = [call for call in self.kept if server in call.waits]
-        self.kept = [call for call in self.kept if server not in call.waits]
+        ready = [call for call in self.kept if server in call.awaited_servers]
+        self.kept = [call for call in self.kept if server not in call.awaited_servers]
         for call in ready:
             self.again(call)
 
@@ -605,13 +605,15 @@
     def may_be_placed(self, call: Call) -> bool:
         now, draw, cold = self.host.now, self.draw, self.cold
         return (
-            not call.waits
+            not call.awaited_servers
             or draw.beyond(call)
-            or any(now >= s.local_state.next_leg and draw.room(s) and cold.bears(s) for s in call.waits)
+            or any(
+                now >= s.local_state.next_leg and draw.room(s) and cold.bears(s) for s in call.awaited_servers
+            )
         )
 
     def again(self, call: Call) -> None:
-        call.waits = []
+        call.awaited_servers = []
         self.answer.handle(call)
 
     def keep(self, call: Call) -> None:
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -34,8 +34,8 @@
 
     def handle(self, call: Call) -> None:
         tried = [leg.server for leg in call.legs]
-        fit = [s for s in call.places if s not in tried and self.healthy(s)]
-        server = self.choose(call, fit or call.places)
+        fit = [s for s in call.candidates if s not in tried and self.healthy(s)]
+        server = self.choose(call, fit or call.candidates)
         if server:
             self.send(call, server)
         else:
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -79,7 +79,7 @@
 
 
 def lists_all(stage: choice.Listed, call: Call) -> None:
-    call.places = stage.balancer.fleet
+    call.candidates = stage.balancer.fleet
     stage.next.handle(call)
 
 
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -188,9 +188,9 @@
     done: bool = False  # answered for good, or nothing is owed any more
     refusal: str = ""  # why it was given up, for the log
     write_by: float = math.inf  # its next attempt is written before this or not at all
-    places: list[Server] = field(default_factory=list)  # where the chain may still put it
-    lots: dict[Server, float] = field(default_factory=dict)  # by server, while it has no leg out
-    waits: list[Server] = field(default_factory=list)  # those that it waits for while it is kept
+    candidates: list[Server] = field(default_factory=list)  # where the chain may still put it
+    scores: dict[Server, float] = field(default_factory=dict)  # by server, while it has no leg out
+    awaited_servers: list[Server] = field(default_factory=list)  # those that it waits for while it is kept
     host_record: Any = None  # the host's own record of it
 
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -16,7 +16,7 @@
     call = bench.call(group=9)
 
     def order():
-        return sorted(fleet, key=lambda server: bench.balancer.draw.lot(call, server))
+        return sorted(fleet, key=lambda server: bench.balancer.draw.rendezvous_score(call, server))
 
     before = order()
     for server in fleet:
