--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -102,7 +102,7 @@
 
     def answer(self, call):
         if not call.over and self.mode == "up":
-            call.awaited_servers, call.begun, call.heard = False, True, call.node.now
+            call.waits, call.begun, call.heard = False, True, call.node.now
             call.node.discovery.spoke(call, news=True)
             call.node.listed(self.drained)
             call.node.discovery.confirmed(call.node.now)
