--- a/bellrack/chain.py
+++ b/bellrack/chain.py
@@ -30,7 +30,7 @@
         if call.candidates:
             self.next.handle(call)
         else:
-            self.balancer.keep(call)
+            self.balancer.enqueue(call)
 
     def on_established(self, leg: Leg) -> None:
         self.previous.on_established(leg)
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -461,7 +461,7 @@
             self.send(call, server)
         else:
             call.awaited_servers = [server]
-            self.balancer.keep(call)
+            self.balancer.enqueue(call)
 
     def rendezvous_score(self, call: Call, server: Server) -> float:
         """A lot whose least value falls on servers in proportion to their weights. A group's lots are the
@@ -523,7 +523,7 @@
         self.settings, self.host = settings, host
         self.rng = Rng(seed)
         self.fleet: list[Server] = []
-        self.kept: list[Call] = []
+        self.queued: list[Call] = []
         self.looks = False  # a look at them is due
         self.sizes: dict[int, float] = {}  # by kind of machine, where listed weights are live
         self.held = 0  # own connections and legs out, everywhere
@@ -570,8 +570,8 @@
 
     def on_probe_result(self, server: Server, result: Result) -> None:
         self.draw.on_probe_result(server, result)
-        ready = [call for call in self.kept if server in call.awaited_servers]
-        self.kept = [call for call in self.kept if server not in call.awaited_servers]
+        ready = [call for call in self.queued if server in call.awaited_servers]
+        self.queued = [call for call in self.queued if server not in call.awaited_servers]
         for call in ready:
             self.again(call)
 
@@ -582,13 +582,13 @@
             self.draw.move(list(what.local_state.legs), OUT_SHARE)
             self.host.set_timer(self.host.now + OUT_EVERY, what)
         elif what == "kept":
-            waiting, self.kept, self.looks = self.kept, [], False
+            waiting, self.queued, self.looks = self.queued, [], False
             for call in waiting:
                 # Guards against a long queue, and looking everywhere while none it waits for has room.
-                if len(self.kept) < KEPT_LOOKS and self.may_be_placed(call):
+                if len(self.queued) < KEPT_LOOKS and self.may_be_placed(call):
                     self.again(call)
                 else:
-                    self.keep(call)
+                    self.enqueue(call)
         elif what == "tidy":
             self.host.set_timer(
                 self.host.now + TIDY_EVERY, "tidy"
@@ -616,7 +616,7 @@
         call.awaited_servers = []
         self.answer.handle(call)
 
-    def keep(self, call: Call) -> None:
+    def enqueue(self, call: Call) -> None:
         """No server may take the call yet: hold it while it is worth something, then answer at once."""
         if call.done:
             return
@@ -626,7 +626,7 @@
         if not self.looks:
             self.looks = True
             self.host.set_timer(self.host.now + KEEP_STEP, "kept")
-        self.kept.append(call)
+        self.queued.append(call)
 
     def on_servers_listed(self, servers: list[Server]) -> None:
         self.retry.answered()
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -39,7 +39,7 @@
         if server:
             self.send(call, server)
         else:
-            self.balancer.keep(call)
+            self.balancer.enqueue(call)
 
     def choose(self, call: Call, places: list[Server]) -> Server | None:
         return places[int(self.balancer.rng.uniform() * len(places))]
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -162,7 +162,7 @@
 async def test_a_kept_call_whose_client_has_left_is_not_sent_when_a_server_comes():
     async with World(servers=0) as world:
         client = await world.call()
-        await world.until(lambda: world.node.balancer.kept)
+        await world.until(lambda: world.node.balancer.queued)
         client.end("fin")
         await world.until(lambda: not world.node.clients)
         place = await asyncio.start_server(world.served(0), "127.0.0.1")
@@ -171,7 +171,7 @@
         world.watch.writer.write(chunk(listed(50, entry)))
         await world.until(lambda: world.node.servers)
         await world.standing()
-        await world.until(lambda: not world.node.balancer.kept)
+        await world.until(lambda: not world.node.balancer.queued)
         assert world.node.counters["upstream_requests"] == 1
 
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -55,7 +55,7 @@
 async def test_a_queued_request_whose_client_leaves_before_it_is_looked_at_is_not_sent(how):
     async with World(servers=0, trafficTypes=PATIENT) as world:
         client = come(world)
-        await world.until(lambda: world.node.balancer.kept)
+        await world.until(lambda: world.node.balancer.queued)
         place = await asyncio.start_server(world.served(0), "127.0.0.1")
         world.listeners.append(place)
         entry = world.entry(0, "{}:{}".format(*place.sockets[0].getsockname()))
@@ -66,7 +66,7 @@
                 lines.listing({"generation": 42, "reset": True, "instances": [entry]})
             )
             world.node.balancer.on_timer("kept")
-            assert not world.node.balancer.kept and world.node.actions  # it was placed
+            assert not world.node.balancer.queued and world.node.actions  # it was placed
 
         world.node.queue(one_turn)
         await nothing_left(world)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -119,7 +119,7 @@
                 1e9,
             )
         kept = await world.call("c=two,t=acme,d=2000")
-        await world.until(lambda: world.node.balancer.kept)
+        await world.until(lambda: world.node.balancer.queued)
         new = copy.deepcopy(world.raw)
         new["settings"]["trafficTypes"] = [kinds[1] | {"name": "one"}, kinds[0] | {"name": "third"}]
         assert (await File(world, tmp_path).read(new)) == (1, 0)
