--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -46,11 +46,11 @@
 
     def resume_leg(self, leg: Leg) -> None:
         """It stood before this instance started."""
-        leg.standing = True
+        leg.established = True
         self.balancer.on_resumed(leg)
 
     def leg_established(self, leg: Leg) -> None:
-        leg.standing = True
+        leg.established = True
         self.balancer.on_established(leg)
 
     def leg_ended(self, leg: Leg, result: Result, final: bool) -> None:
@@ -107,7 +107,7 @@
 
     def may_move_later(self, leg: Leg) -> None:
         """The host did not carry out a move: the decisions may choose this connection again."""
-        if leg.standing and leg.result is None:
+        if leg.established and leg.result is None:
             leg.server.local_state.legs[leg] = None
 
     def forget_server(self, server: Server) -> None:
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -67,7 +67,7 @@
 
     def due(self, call: Call) -> None:
         """The guard time is near: answer whatever is still owed."""
-        if not call.done and not any(leg.standing for leg in call.legs):
+        if not call.done and not any(leg.established for leg in call.legs):
             self.give_up(call, "deadline")
 
     def give_up(self, call: Call, why: str) -> None:
@@ -496,12 +496,12 @@
     def on_leg_ended(self, leg: Leg, result: Result) -> None:
         if result.kind in (model.RESET, model.NO_CONN):
             leg.server.local_state.full_until = -math.inf  # guards against a report from before it broke
-        if leg.standing and result.kind == model.RESET:
+        if leg.established and result.kind == model.RESET:
             self.cut(leg.server)  # guards against a server that sheds what it cannot carry
             self.balancer.overload.dropped(leg.server, self.host.now)
         self.count(leg.call, leg.server, -1)
         leg.server.local_state.legs.pop(leg, None)
-        soon = not leg.standing or self.host.now - leg.sent < SOON
+        soon = not leg.established or self.host.now - leg.sent < SOON
         if result.kind not in (model.COMPLETED, model.CANCELLED, model.MOOT) and soon:
             self.failed(leg.server)
         self.previous.on_leg_ended(leg, result)
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -137,7 +137,7 @@
         return leg
 
     def cancel(self, leg: Leg) -> None:
-        if not leg.standing:
+        if not leg.established:
             self.soon(self.leg_over, leg.host_record, model.CANCELLED)
 
     def reject(self, call: Call, wait: float = 0.0) -> None:
@@ -227,14 +227,14 @@
         out.over, leg = True, out.leg
         self.note_back(out, kind)
         self.world.legs.closed(out)
-        if leg.standing:
+        if leg.established:
             self.attempts.pop(out.attempt, None)
-        self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.standing or leg.call.done)
+        self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.established or leg.call.done)
 
     def moved(self, attempt: Attempt, kind: str) -> None:
         """The client is told to come again, between two lines, and both sides end."""
         out = attempt.out
-        if out is None or out.over or not out.leg.standing:
+        if out is None or out.over or not out.leg.established:
             return
         self.world.counters["moves"] += 1
         self.world.agenda.after(attempt.delay, ARRIVAL, attempt.broken, "moved")
@@ -244,7 +244,7 @@
         """The server ended the connection, or the kernel says that it is gone."""
         if out.over:
             return
-        if out.leg.standing:
+        if out.leg.established:
             self.world.agenda.after(out.attempt.delay, ARRIVAL, out.attempt.broken, "reset")
         self.leg_over(out, model.RESET)
 
@@ -253,7 +253,7 @@
         call, out = attempt.call, attempt.out
         if call is None:
             return
-        if not call.done and not (out and out.leg.standing):
+        if not call.done and not (out and out.leg.established):
             call.done = True
             self.world.trace.add(self.now, "gone", attempt.id)
             self.balancer.on_client_left(call)
@@ -319,7 +319,7 @@
         if not self.alive or self.shutting_down:
             return
         self.shutting_down = True
-        standing = [attempt for attempt in self.attempts if attempt.out and attempt.out.leg.standing]
+        standing = [attempt for attempt in self.attempts if attempt.out and attempt.out.leg.established]
         for index, attempt in enumerate(standing):
             share = shutdown.DEALT + (shutdown.SPREAD - shutdown.DEALT) * index / len(standing)
             self.world.agenda.after(share * grace, TIMER, self.turn, self.moved, attempt, model.CANCELLED)
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -397,7 +397,7 @@
         if not call.legs:
             raise standins.ScaleError(f"a call found no room among {count} servers")
         leg = call.legs[0]
-        leg.standing = True
+        leg.established = True
         host.balancer.on_established(leg)
         standing.append(leg)
         while standing[0].sent < host.now - LIFE:
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -201,7 +201,7 @@
     call: Call
     server: Server
     sent: float
-    standing: bool = False
+    established: bool = False
     load: float = 0.0  # as last told; 0 before
     result: Result | None = None
     host_record: Any = None  # the host's own record of it
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -134,7 +134,7 @@
             self.counters["probes_held_back"] += 1
 
     def cancelled(self, leg: Leg) -> None:
-        if leg.host_record and not leg.standing:
+        if leg.host_record and not leg.established:
             leg.host_record.end(model.CANCELLED, "cancelled")
 
     # What happens to it.
@@ -202,10 +202,10 @@
     def leg_over(self, link: ServerLink, kind: str) -> None:
         leg = link.leg
         self.counters[f"leg_{kind.replace(' ', '_')}"] += 1
-        if link.resumes and not leg.standing:
+        if link.resumes and not leg.established:
             self.resumed.on_attempt_ended(link, kind)
         else:
-            self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.standing or kind == model.COMPLETED)
+            self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.established or kind == model.COMPLETED)
         if kind == model.COMPLETED:
             link.client.finish("completed")
 
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -137,20 +137,20 @@
         return {"id": self.request_id}
 
     def ready(self) -> None:
-        if self.client.ended and not self.leg.standing:
+        if self.client.ended and not self.leg.established:
             # Guards against a line sent, or an answer counted, for a client whose end came in the same batch.
             self.client.turn()
         if not self.over and not self.written:
             self.client.forget_if_closed()
         if not self.over and not self.written and not self.ended:
             self.speak()
-        while not self.over and not self.leg.standing and (line := self.ring.line()):
+        while not self.over and not self.leg.established and (line := self.ring.line()):
             self.answered(line)
         if self.over:
             return
-        if self.leg.standing:
+        if self.leg.established:
             self.pass_on()
-        if self.ring.stuck and self.leg.standing:
+        if self.ring.stuck and self.leg.established:
             self.client.move("line-too-long", model.RESET)
         elif self.ring.stuck:
             self.end(model.ERROR, "line-too-long", "rst")
@@ -226,7 +226,7 @@
         """The server, or the way to it, has ended the connection, or has said so and not done it."""
         if self.over:
             return
-        if self.leg.standing:
+        if self.leg.established:
             # Guards against a reset that takes along the last line: who has said so has ended in order.
             self.client.finish(f"server-{self.said or self.ended}", "fin" if self.said else self.ended)
             self.end(self.said or model.RESET, self.said or self.ended)
@@ -236,7 +236,7 @@
             self.end(model.RESET, self.ended)
 
     def late(self) -> None:
-        if not self.leg.standing:
+        if not self.leg.established:
             self.end(model.TIMEOUT if self.written else model.NO_CONN, "timeout")
 
     def silent(self) -> bool:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -96,12 +96,12 @@
         return call
 
     def establish(self, leg):
-        leg.standing = True
+        leg.established = True
         self.balancer.on_established(leg)
 
     def end_leg(self, leg, kind):
         leg.result = Result(kind)
-        if kind == model.COMPLETED or leg.standing:
+        if kind == model.COMPLETED or leg.established:
             leg.call.done = True
         self.balancer.on_leg_ended(leg, leg.result)
 
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -13,7 +13,7 @@
     for _ in range(count):
         bench.run(bench.now + 0.13)
         bench.call(**call)
-        if bench.sent and bench.sent[-1][0].result is None and not bench.sent[-1][0].standing:
+        if bench.sent and bench.sent[-1][0].result is None and not bench.sent[-1][0].established:
             bench.establish(bench.sent[-1][0])
     return [leg.server for leg, _ in bench.sent[before:]]
 
@@ -275,7 +275,7 @@
         bench.run(bench.now + 0.11)
         bench.call(group=number * number % 13)
         out = [leg for leg, _ in bench.sent if leg.result is None]
-        if out and not out[-1].standing:
+        if out and not out[-1].established:
             bench.establish(out[-1])
         if number % 9 == 4:
             bench.balancer.on_delay_reported(out[number % len(out)], [0.04, 0.07, 0.25][number % 3])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -117,15 +117,15 @@
             bench.balancer.on_servers_listed([fleet[which]])
         elif out and what == "end":
             bench.end_leg(out[which % len(out)], how)
-        elif out and what == "delay" and (up := [leg for leg in out if leg.standing]):
+        elif out and what == "delay" and (up := [leg for leg in out if leg.established]):
             bench.balancer.on_delay_reported(up[which % len(up)], how)
-        elif out and what == "stand" and not out[which % len(out)].standing:
+        elif out and what == "stand" and not out[which % len(out)].established:
             bench.establish(out[which % len(out)])
-    for leg in [leg for leg, _ in bench.sent if leg.result is None and not leg.standing]:
+    for leg in [leg for leg, _ in bench.sent if leg.result is None and not leg.established]:
         bench.end_leg(leg, model.TIMEOUT)
     bench.run(bench.now + 60)
     for call in calls:  # rule 1: answered by the guard time, or standing
-        assert call.done or any(leg.standing for leg in call.legs)
+        assert call.done or any(leg.established for leg in call.legs)
     assert all(when <= call.deadline + bench.rules.answer_slack for call, _, when in bench.done)
 
 
