--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -212,7 +212,7 @@
     """How a leg or a probe ended."""
 
     kind: str
-    took: float = 0.0
+    duration: float = 0.0
     report: tuple[float, ...] = ()
 
 
