--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -2,8 +2,10 @@
 
 A host makes one Balancer(settings, seed, host) for each instance and tells it what happens through the
 methods named in bellrack/model.py, where the interface and the types are; the balancer acts through the Host
-it was given. A call runs down the chain Answer, Listed, Effect, Zone, Draw; what becomes of its leg runs back
-up. Cold is asked by Zone which servers may take one more.
+it was given.
+A call runs down the chain of AnswerStage, ListedStage, EffectStage, ZoneStage and SelectionStage;
+what becomes of its leg runs back
+up. SlowStart is asked by ZoneStage which servers may take one more.
 """
 
 from __future__ import annotations
@@ -45,7 +47,7 @@
 BACK, KEEP_SHARE = 1 / 3, 0.8  # of the longest wait that clients honour; of the setup target, kept
 
 
-class Answer(Stage):
+class AnswerStage(Stage):
     """Rule 1: each call gets one final answer by its guard time, and nothing after it."""
 
     def on_call(self, call: Call) -> None:
@@ -85,7 +87,7 @@
             self.handle(leg.call)
 
 
-class Effect(Stage):
+class EffectStage(Stage):
     """Rule 2: no effect twice."""
 
     def handle(self, call: Call) -> None:
@@ -123,7 +125,7 @@
         return call.type.effect == model.REPEATABLE or dropped or not self.risky(call)
 
 
-class Listed(Stage):
+class ListedStage(Stage):
     """Rule 3: nothing new to a draining or gone server, from the moment we hear of it."""
 
     ready: list[Server] = []  # as of the last change of the list
@@ -133,7 +135,7 @@
         self.next.handle(call)
 
 
-class Cold:
+class SlowStart:
     """Rule 4: this instance's part of what a cold server may bear."""
 
     borne, looked = 0.0, -math.inf
@@ -154,7 +156,7 @@
     def usual(self) -> float:
         """Own open connections by size on listed warm servers that are not late: what one surely bears."""
         if self.host.now >= self.looked + LOOK:
-            self.looked, late = self.host.now, self.balancer.draw.told_late
+            self.looked, late = self.host.now, self.balancer.selection.told_late
             warm = [
                 s
                 for s in self.balancer.fleet
@@ -166,7 +168,7 @@
 
     def room(self, server: Server) -> bool:
         under = server.local_state.open + server.local_state.part < self.usual() * server.capacity
-        calm = self.host.now - server.local_state.told > SWAMPED_FOR and self.balancer.draw.room(server)
+        calm = self.host.now - server.local_state.told > SWAMPED_FOR and self.balancer.selection.room(server)
         return under and calm and self.tokens(server) > 0
 
     def tokens(self, server: Server) -> int:
@@ -222,7 +224,7 @@
 
     def sent(self, server: Server) -> None:
         """Slower the more servers are late: guards against a fleet that sheds and is filled at once again."""
-        sure, calm = self.usual() * server.capacity, self.balancer.draw.calm(server.zone)
+        sure, calm = self.usual() * server.capacity, self.balancer.selection.calm(server.zone)
         gap = 1 / max(GROWTH * max(server.local_state.open, sure), LEAST_PACE / self.settings.peers) / calm
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
         sure = max(sure, 2) if self.balancer.overload.hears(self.host.now) else sure
@@ -233,46 +235,48 @@
         )
 
 
-class Zone(Stage):
+class ZoneStage(Stage):
     """The spillover ratio: stay among our zone's healthy servers, or spread over those of all zones."""
 
     last, looked = 0.0, -math.inf
     ceiling, cut = math.inf, 0.0
 
     def handle(self, call: Call) -> None:
-        now, draw, server = self.host.now, self.balancer.draw, None
+        now, selection, server = self.host.now, self.balancer.selection, None
         home = [s for s in call.candidates if s.zone == self.settings.zone]
         if self.share() >= SPILLOVER_RATIO:
-            server = draw.pick(call, [s for s in home if s.local_state.bad_until <= now])
+            server = selection.pick(call, [s for s in home if s.local_state.bad_until <= now])
         most = self.ceiling * (1 + CEILING_GROWTH * (now - self.cut)) - 0.5
-        if not server and self.balancer.held < most and not any(map(draw.awaited, call.awaited_servers)):
+        if not server and self.balancer.held < most and not any(map(selection.awaited, call.awaited_servers)):
             # Guards against a zone whose servers stand but drown: what finds no room in it leaves; and what
             # finds no room anywhere is kept, lest it be shed and come again.
             healthy = [s for s in call.candidates if s.local_state.bad_until <= now]
-            server = draw.pick(call, healthy or home or call.candidates)
+            server = selection.pick(call, healthy or home or call.candidates)
         call.candidates = [server] if server else []
         self.forward_or_queue(call)
 
     def jam(self) -> None:
         """Guards against a jam of the whole fleet, in which what is moved lands on other late servers."""
-        zones = [self.balancer.draw.calm(zone) for zone in dict.fromkeys(s.zone for s in self.balancer.fleet)]
+        zones = [
+            self.balancer.selection.calm(zone) for zone in dict.fromkeys(s.zone for s in self.balancer.fleet)
+        ]
         if sum(zones) < SPILLOVER_RATIO * len(zones):
             held = max(self.balancer.held, FEW if self.balancer.overload.hears(self.host.now) else 1)
             self.ceiling, self.cut = JAM_CUT * min(self.ceiling, held), self.host.now
 
     def tidy(self) -> None:
         """Guards against connections that cross zones for life: a few come again while our zone is calm."""
-        home, now, draw = self.matched(), self.host.now, self.balancer.draw
+        home, now, selection = self.matched(), self.host.now, self.balancer.selection
         calm = [
             s
             for s in home
-            if draw.healthy(s) and s.local_state.warm_at <= now and now - s.local_state.told > CALM
+            if selection.healthy(s) and s.local_state.warm_at <= now and now - s.local_state.told > CALM
         ]
-        if home and len(calm) == len(home) and all(map(draw.room, home)):
+        if home and len(calm) == len(home) and all(map(selection.room, home)):
             away = [
                 leg for s in self.balancer.fleet if s.zone != self.settings.zone for leg in s.local_state.legs
             ]
-            draw.move(away, TIDY_SHARE)
+            selection.move(away, TIDY_SHARE)
 
     def matched(self) -> list[Server]:
         return [s for s in self.balancer.listing.ready if s.zone == self.settings.zone]
@@ -281,12 +285,16 @@
         """Healthy matched over all matched; a cold server counts as far as it is warm."""
         if self.host.now >= self.looked + LOOK:
             self.looked, matched = self.host.now, self.matched()
-            fit = [s for s in matched if self.balancer.draw.healthy(s) and not self.balancer.draw.late(s)]
-            self.last = sum(self.balancer.cold.warm(s) for s in fit) / len(matched) if matched else 0.0
+            fit = [
+                s
+                for s in matched
+                if self.balancer.selection.healthy(s) and not self.balancer.selection.late(s)
+            ]
+            self.last = sum(self.balancer.slow_start.warm(s) for s in fit) / len(matched) if matched else 0.0
         return self.last
 
 
-class Draw(Stage):
+class SelectionStage(Stage):
     """The pick within the set, by failure-driven weight, and the sending."""
 
     def __init__(self, balancer: Balancer):
@@ -300,14 +308,18 @@
 
     def room(self, server: Server, full: float = 1.0) -> bool:
         """Not swamped, and under the ceiling found when it last was."""
-        stand, cold = server.local_state, self.balancer.cold
+        stand, slow_start = server.local_state, self.balancer.slow_start
         # Grows as what is usual does: guards against a small holder that was cut for what others hold there.
         grown = (
-            CEILING_GROWTH * (self.host.now - stand.cut) * max(stand.ceiling, cold.usual() * server.capacity)
+            CEILING_GROWTH
+            * (self.host.now - stand.cut)
+            * max(stand.ceiling, slow_start.usual() * server.capacity)
         )
         if self.reported(server) and stand.full >= full:
             return False
-        return not self.late(server) and stand.open + stand.part < cold.warm(server) * (stand.ceiling + grown)
+        return not self.late(server) and stand.open + stand.part < slow_start.warm(server) * (
+            stand.ceiling + grown
+        )
 
     def late(self, server: Server) -> bool:
         """Told of late messages lately; where we hold nothing and so are told nothing, as its zone fares."""
@@ -350,7 +362,7 @@
             share = MOVE_SHARE * min(delay, MOVE_MOST)
             # What is moved lowers the ceiling with it: guards against many balancers with a connection each,
             # which hear no more of the server once theirs is moved, and together fill it up again.
-            held = server.local_state.open / self.balancer.cold.warm(server)
+            held = server.local_state.open / self.balancer.slow_start.warm(server)
             self.lower(server, CEILING * (1 - share) * held)
             self.move(rest, share)
         server.local_state.delay, server.local_state.told, server.local_state.holds = (
@@ -375,7 +387,7 @@
         stand, now, balancer = server.local_state, self.host.now, self.balancer
         if now - stand.cut > CUT_EVERY:
             # As if warm: guards against a ceiling found while cold that would outlast the warm-up.
-            held = stand.open / balancer.cold.warm(server)
+            held = stand.open / balancer.slow_start.warm(server)
             self.lower(
                 server, (SHED if balancer.overload.unsaid(now) else CEILING) * min(stand.ceiling, held)
             )
@@ -389,7 +401,7 @@
         tried = [leg.server for leg in call.legs]
         if not (places := [s for s in places if s not in tried] or places):
             return None
-        now, warm = self.host.now, self.balancer.cold.warm
+        now, warm = self.host.now, self.balancer.slow_start.warm
         sizes = [s.capacity if s.local_state.warm_at <= now else s.capacity * warm(s) for s in places]
         held = self.balancer.fill() or {s: s.local_state.open for s in places}
         mean = ABOVE_MEAN * sum([held[s] for s in places]) / sum(sizes)
@@ -399,7 +411,7 @@
         missed = [
             s
             for s in missed
-            if now >= s.local_state.next_leg and self.balancer.cold.bears(s) and self.room(s, FULL)
+            if now >= s.local_state.next_leg and self.balancer.slow_start.bears(s) and self.room(s, FULL)
         ]
         held = missed or self.holders(call, low)
         for server in held or low:  # kept with the call while it is kept: lots are dear
@@ -409,7 +421,7 @@
         lots = sorted(held or low, key=call.scores.__getitem__)[:most]
         call.awaited_servers += lots
         for number, server in enumerate(lots):
-            if not self.balancer.cold.bears(server):
+            if not self.balancer.slow_start.bears(server):
                 continue
             self.ask(server)
             if self.awaited(server):
@@ -466,7 +478,7 @@
     def rendezvous_score(self, call: Call, server: Server) -> float:
         """A lot whose least value falls on servers in proportion to their weights. A group's lots are the
         same at every draw and balancer, so its connections gather and share what they cost a server."""
-        weight = server.local_state.weight * server.capacity * self.balancer.cold.warm(server)
+        weight = server.local_state.weight * server.capacity * self.balancer.slow_start.warm(server)
         if not call.group:
             return -math.log(self.balancer.rng.uniform() + 1e-12) / weight
         even = lcg_step(lcg_step(call.group ^ server.id_hash * 0x9E3779B97F4A7C15))
@@ -475,7 +487,7 @@
     def send(self, call: Call, server: Server) -> None:
         until, call.scores, call.awaited_servers = self.balancer.answer.answer_by(call), {}, []
         self.count(call, server, 1)
-        self.balancer.cold.sent(server)
+        self.balancer.slow_start.sent(server)
         server.local_state.missed = False
         self.host.send(call, server, until)
 
@@ -529,13 +541,13 @@
         self.held = 0  # own connections and legs out, everywhere
         self.retry = Retry(settings, self.rng)
         self.seen: dict[int, list[float]] = {}  # by zone: late servers and all that we hear of
-        self.answer, self.listing, self.effect = Answer(self), Listed(self), Effect(self)
-        self.cold, self.zone, self.draw = Cold(self), Zone(self), Draw(self)
+        self.answer, self.listing, self.effect = AnswerStage(self), ListedStage(self), EffectStage(self)
+        self.slow_start, self.zone, self.selection = SlowStart(self), ZoneStage(self), SelectionStage(self)
         self.overload, self.filled = (
-            OverloadDetector(settings, host.send_datagram, self.draw.record_delay),
+            OverloadDetector(settings, host.send_datagram, self.selection.record_delay),
             (-math.inf, {}),
         )
-        link(self.answer, self.listing, self.effect, self.zone, self.draw)
+        link(self.answer, self.listing, self.effect, self.zone, self.selection)
         host.set_timer(host.now + TIDY_EVERY * (1 + self.rng.uniform()), "tidy")
         if settings.may_publish:
             host.set_timer(host.now + TELL_EVERY * (1 + self.rng.uniform()), "tell")
@@ -546,18 +558,18 @@
         self.answer.on_call(call)
 
     def on_resumed(self, leg: Leg) -> None:
-        self.draw.count(leg.call, leg.server, 1)
+        self.selection.count(leg.call, leg.server, 1)
         leg.server.local_state.legs[leg] = None
 
     def on_established(self, leg: Leg) -> None:
-        self.draw.on_established(leg)
+        self.selection.on_established(leg)
 
     def on_leg_ended(self, leg: Leg, result: Result) -> None:
-        self.draw.on_leg_ended(leg, result)
+        self.selection.on_leg_ended(leg, result)
 
     def on_delay_reported(self, leg: Leg, delay: float) -> None:
         self.overload.noticed = self.host.now
-        self.draw.record_delay(leg.server, delay / self.settings.quickest, SWAMPED_FOR)
+        self.selection.record_delay(leg.server, delay / self.settings.quickest, SWAMPED_FOR)
 
     def fill(self) -> dict[Server, float]:
         """What all balancers hold of each ready server; empty where nobody tells."""
@@ -569,7 +581,7 @@
         self.overload.heard(peer, data, self.host.now)
 
     def on_probe_result(self, server: Server, result: Result) -> None:
-        self.draw.on_probe_result(server, result)
+        self.selection.on_probe_result(server, result)
         ready = [call for call in self.queued if server in call.awaited_servers]
         self.queued = [call for call in self.queued if server not in call.awaited_servers]
         for call in ready:
@@ -579,7 +591,7 @@
         if isinstance(what, Call):
             self.answer.due(what)
         elif isinstance(what, Server) and what.cordoned:
-            self.draw.move(list(what.local_state.legs), OUT_SHARE)
+            self.selection.move(list(what.local_state.legs), OUT_SHARE)
             self.host.set_timer(self.host.now + OUT_EVERY, what)
         elif what == "kept":
             waiting, self.queued, self.looks = self.queued, [], False
@@ -593,7 +605,7 @@
             self.host.set_timer(
                 self.host.now + TIDY_EVERY, "tidy"
             )  # first: a fault in one look ends no other
-            self.draw.look()
+            self.selection.look()
             self.zone.jam()
             self.zone.tidy()
         elif what == "tell":
@@ -603,12 +615,13 @@
             self.host.watch()
 
     def may_be_placed(self, call: Call) -> bool:
-        now, draw, cold = self.host.now, self.draw, self.cold
+        now, selection, slow_start = self.host.now, self.selection, self.slow_start
         return (
             not call.awaited_servers
-            or draw.beyond(call)
+            or selection.beyond(call)
             or any(
-                now >= s.local_state.next_leg and draw.room(s) and cold.bears(s) for s in call.awaited_servers
+                now >= s.local_state.next_leg and selection.room(s) and slow_start.bears(s)
+                for s in call.awaited_servers
             )
         )
 
@@ -643,7 +656,7 @@
                 self.starts(server, server.started_at if first else self.host.now, server.started_at)
                 server.local_state.started_at = server.started_at
                 if first:
-                    self.cold.spend(server)
+                    self.slow_start.spend(server)
         self.refresh_usable()
         self.overload.listed(self.fleet)
 
@@ -687,7 +700,7 @@
 
     def avoids(self, server: Server) -> bool:
         """Is this listed server kept from new calls now, by the list, by hand, for failures or lateness?"""
-        fit = self.draw.healthy(server) and not self.draw.told_late(server)
+        fit = self.selection.healthy(server) and not self.selection.told_late(server)
         return server not in self.listing.ready or not fit
 
     def on_discovery_failed(self, reached: bool = True) -> None:
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -29,7 +29,7 @@
 SPARE = 0.5  # part of a cold server's budget that it spends
 
 
-class Pick(choice.Draw):
+class Pick(choice.SelectionStage):
     """The last stage of a baseline: any server of those listed that is not marked unhealthy, by `choose`."""
 
     def handle(self, call: Call) -> None:
@@ -128,8 +128,8 @@
 
     def __init__(self, settings: Any, seed: int, host: Any):
         super().__init__(settings, seed, host)
-        self.draw = self.pick(self)
-        chain.link(self.answer, self.listing, self.effect, self.draw)
+        self.selection = self.pick(self)
+        chain.link(self.answer, self.listing, self.effect, self.selection)
 
     def on_delay_reported(self, leg: Leg, delay: float) -> None: ...
 
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -258,7 +258,7 @@
             self.has_seen(self.dealt_anew())
         for seat in holders:  # as each call's decision looks
             for turn in range(3):
-                self.at(self.now + turn * BEFORE / 2.4, seat.turn, seat.balancer.cold.usual)
+                self.at(self.now + turn * BEFORE / 2.4, seat.turn, seat.balancer.slow_start.usual)
 
     def dealt_anew(self) -> dict[Seat, float]:
         """Other parts of the same traffic, by balancer; those without any are left out."""
@@ -269,7 +269,7 @@
     def has_seen(self, parts: dict[Seat, float]) -> None:
         """Each balancer has held its part of what warm servers held."""
         for seat, part in parts.items():
-            cold = seat.balancer.cold
+            cold = seat.balancer.slow_start
             cold.borne = max(cold.borne, self.start.used * self.start.bears * part)
 
     def arrivals(self, seat: Seat, rate: float) -> None:
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -30,22 +30,22 @@
                 setattr(stage, method, body.__get__(stage))
 
 
-def _answers_twice(stage: choice.Answer, call: Call, why: str = "") -> None:
+def _answers_twice(stage: choice.AnswerStage, call: Call, why: str = "") -> None:
     type(stage).give_up(stage, call, why)
     stage.host.release(call)
 
 
-def _answers_late(stage: choice.Answer, call: Call, why: str = "") -> None:
+def _answers_late(stage: choice.AnswerStage, call: Call, why: str = "") -> None:
     if stage.host.now > call.deadline:
         type(stage).give_up(stage, call, why)
     else:
         stage.host.set_timer(call.deadline + LATE, call)
 
 
-def _never_answers(stage: choice.Answer, call: Call, why: str = "") -> None: ...
+def _never_answers(stage: choice.AnswerStage, call: Call, why: str = "") -> None: ...
 
 
-def _holds_back(stage: choice.Answer, call: Call, why: str = "") -> None:
+def _holds_back(stage: choice.AnswerStage, call: Call, why: str = "") -> None:
     """Keeps a call that it has given up until its time is nearly over, to spare a retry."""
     if stage.host.now >= stage.answer_by(call) - 2 * EARLY:
         type(stage).give_up(stage, call, why)
@@ -53,48 +53,48 @@
         stage.host.set_timer(stage.answer_by(call) - EARLY, call)
 
 
-def _sends_after_answer(stage: choice.Answer, call: Call, why: str = "") -> None:
+def _sends_after_answer(stage: choice.AnswerStage, call: Call, why: str = "") -> None:
     type(stage).give_up(stage, call, why)
     for server in stage.balancer.fleet[:1]:
-        stage.balancer.draw.send(call, server)
+        stage.balancer.selection.send(call, server)
 
 
-def _two_legs(stage: choice.Draw, call: Call, server: Server) -> None:
+def _two_legs(stage: choice.SelectionStage, call: Call, server: Server) -> None:
     type(stage).send(stage, call, server)
     for other in stage.balancer.fleet:
         if other is not server and other.state == server.state and len(call.legs) < 2:
             type(stage).send(stage, call, other)
 
 
-def _no_risk(stage: choice.Effect, call: Call) -> list[Leg]:
+def _no_risk(stage: choice.EffectStage, call: Call) -> list[Leg]:
     return []
 
 
-def _always_harmless(stage: choice.Effect, call: Call) -> bool:
+def _always_harmless(stage: choice.EffectStage, call: Call) -> bool:
     return True
 
 
-def _any_group(stage: choice.Effect, call: Call, one: Server, other: Server) -> bool:
+def _any_group(stage: choice.EffectStage, call: Call, one: Server, other: Server) -> bool:
     return True
 
 
-def lists_all(stage: choice.Listed, call: Call) -> None:
+def lists_all(stage: choice.ListedStage, call: Call) -> None:
     call.candidates = stage.balancer.fleet
     stage.next.handle(call)
 
 
-def _warm_at_once(stage: choice.Cold, server: Server) -> float:
+def _warm_at_once(stage: choice.SlowStart, server: Server) -> float:
     return 1.0
 
 
-def _unpaced(stage: choice.Cold, server: Server) -> None: ...
+def _unpaced(stage: choice.SlowStart, server: Server) -> None: ...
 
 
-def _all_bear(stage: choice.Cold, server: Server) -> bool:
+def _all_bear(stage: choice.SlowStart, server: Server) -> bool:
     return True
 
 
-def _room_at_once(stage: choice.Draw, server: Server, full: float = 1.0) -> bool:
+def _room_at_once(stage: choice.SelectionStage, server: Server, full: float = 1.0) -> bool:
     return True
 
 
@@ -149,7 +149,7 @@
     "holds-back": (1, _of("HoldsBack", answer={"give_up": _holds_back})),
     "sends-after-answer": (1, _of("SendsAfterAnswer", answer={"give_up": _sends_after_answer})),
     "loses-calls": (1, LosesCalls),
-    "two-legs": (2, _of("TwoLegs", draw={"send": _two_legs})),
+    "two-legs": (2, _of("TwoLegs", selection={"send": _two_legs})),
     "repeats-once-only": (2, _of("RepeatsOnceOnly", effect={"risky": _no_risk})),
     "rejects-what-ran": (2, _of("RejectsWhatRan", effect={"harmless": _always_harmless})),
     "leaves-the-group": (2, _of("LeavesTheGroup", effect={"same_group": _any_group})),
@@ -161,8 +161,8 @@
         4,
         _of(
             "FillsCold",
-            cold={"bears": _all_bear, "warm": _warm_at_once, "sent": _unpaced},
-            draw={"room": _room_at_once},
+            slow_start={"bears": _all_bear, "warm": _warm_at_once, "sent": _unpaced},
+            selection={"room": _room_at_once},
             overload={"found": _unheard},
         ),
     ),
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -179,7 +179,7 @@
             return "drain-heard"  # while we connected
         if now >= self.leg.call.write_by:
             return "repeat-window-over"
-        cold = self.node.balancer.cold
+        cold = self.node.balancer.slow_start
         if not cold.may_write(self.leg.server):
             return COLD_BUDGET
         may_write, allowed = self.node.invariants.may_write, cold.allowed(self.leg.server)
--- a/bellrack/simulator/tally.py
+++ b/bellrack/simulator/tally.py
@@ -42,7 +42,7 @@
         self.spread: list[tuple[int, int, int]] = []  # second, groups by zone, servers that hold them
 
 
-class WatchedDraw(choice.Draw):
+class WatchedDraw(choice.SelectionStage):
     seen: Seen
 
     def room(self, server: Server, full: float = FROM_PICK) -> bool:
@@ -90,8 +90,8 @@
     class Watched(choice.Balancer):
         def __init__(self, settings: choice.Settings, seed: int, host: choice.Host):
             super().__init__(settings, seed, host)
-            self.draw = type("Draw", (WatchedDraw,), {"seen": seen})(self)
-            chain.link(self.answer, self.listing, self.effect, self.zone, self.draw)
+            self.selection = type("SelectionStage", (WatchedDraw,), {"seen": seen})(self)
+            chain.link(self.answer, self.listing, self.effect, self.zone, self.selection)
 
     return Watched
 
--- a/tests/test_blind.py
+++ b/tests/test_blind.py
@@ -119,13 +119,13 @@
 
 def test_a_reset_closes_its_server_where_nothing_else_tells_that_it_is_late():
     bench, one, _, held = shed()
-    room = bench.balancer.draw.room
+    room = bench.balancer.selection.room
     assert held > 2 and one.local_state.ceiling == pytest.approx(0.6 * held)
     assert not one.local_state.open and not room(one)
     bench.run(bench.now + 2.9)
     assert not room(one)
     bench.run(bench.now + 0.2)
-    assert not bench.balancer.draw.told_late(one)
+    assert not bench.balancer.selection.told_late(one)
     bench.run(bench.now + 10)
     assert room(one)
 
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -29,7 +29,7 @@
     assert {server.zone for server in place(bench, 40)} == {0}
     for server in home:
         for _ in range(3):
-            bench.balancer.draw.failed(server)
+            bench.balancer.selection.failed(server)
     assert {server.zone for server in place(bench, 20)} == {1}
     bench.run(bench.now + 5.1)
     assert {server.zone for server in place(bench, 40)} == {0}
@@ -121,7 +121,7 @@
         bench.run(bench.now + 0.02)
         bench.call()
         bench.end_leg(bench.sent[-1][0], model.COMPLETED)
-    gap = bench.rules.ramp_time / (2 * choice.AHEAD * bench.balancer.cold.usual())
+    gap = bench.rules.ramp_time / (2 * choice.AHEAD * bench.balancer.slow_start.usual())
     assert sum(leg.server is cold for leg, _ in bench.sent[before:]) <= 1 + 20 * 0.02 / gap < 20
 
 
@@ -155,9 +155,9 @@
     (server,) = bench.fleet(0)
     place(bench, 1)
     bench.balancer.on_delay_reported(next(iter(server.local_state.legs)), 0.07)
-    assert not bench.balancer.draw.room(server)
+    assert not bench.balancer.selection.room(server)
     bench.run(bench.now + 20)
-    assert server.local_state.open == 1 and bench.balancer.draw.room(server)
+    assert server.local_state.open == 1 and bench.balancer.selection.room(server)
 
 
 def test_a_rejected_call_comes_again_before_the_longest_wait():
@@ -222,9 +222,9 @@
     for leg, _ in bench.sent:
         bench.end_leg(leg, model.RESET)
     bench.run(bench.now + 2.5)
-    assert bench.balancer.draw.calm(0) < 0.6
+    assert bench.balancer.selection.calm(0) < 0.6
     bench.run(bench.now + 9)
-    assert bench.balancer.draw.calm(0) > 0.8
+    assert bench.balancer.selection.calm(0) > 0.8
 
 
 def test_a_kept_call_costs_a_look_at_few_servers_until_one_has_room():
@@ -233,7 +233,7 @@
     for server in fleet:
         server.local_state.delay, server.local_state.told = 1.0, bench.now
     call, asked = bench.call(), []
-    bench.balancer.draw.room = asked.append
+    bench.balancer.selection.room = asked.append
     bench.run(bench.now + 0.1)
     assert not call.legs and 0 < len(asked) <= 12
 
@@ -296,8 +296,8 @@
     for server in away:
         server.started_at = bench.now
     bench.balancer.on_servers_listed(away)
-    looked, room = [], bench.balancer.cold.room
-    bench.balancer.cold.room = lambda server: looked.append(server) or room(server)
+    looked, room = [], bench.balancer.slow_start.room
+    bench.balancer.slow_start.room = lambda server: looked.append(server) or room(server)
     assert place(bench, 5) == [home] * 5 and not looked
 
 
@@ -332,7 +332,7 @@
             moved += 1
             bench.end_leg(leg, model.CANCELLED)
         bench.run(bench.now + 2 * choice.SWAMPED_FOR)
-        refilled += bench.balancer.draw.room(server) and not server.local_state.open
+        refilled += bench.balancer.selection.room(server) and not server.local_state.open
     share = choice.MOVE_SHARE * choice.MOVE_MOST
     assert 0.4 * 40 * share <= moved
     assert 0 < refilled <= 1.5 * (1 - share) * moved
@@ -378,7 +378,7 @@
     for out in (True, True, False):  # the call out may come twice
         bench.balancer.on_cordoned(back, out)
         bench.run(bench.now + 1.0)
-    assert back.local_state.warm_at > bench.now and bench.balancer.cold.warm(back) < 0.3
+    assert back.local_state.warm_at > bench.now and bench.balancer.slow_start.warm(back) < 0.3
     put, sent = bench.now, len(bench.sent)
     while bench.now < put + 5.0 and back not in [leg.server for leg, _ in bench.sent[sent:]]:
         bench.call()
@@ -438,12 +438,12 @@
     for server in fleet[:2]:
         server.local_state.open = 8
     bench.run(bench.now + 1)
-    known = bench.balancer.cold.usual()
+    known = bench.balancer.slow_start.usual()
     for server in fleet[2:]:
         server.doubtful = True
     bench.balancer.refresh_usable()
     bench.run(bench.now + 1)
-    assert bench.balancer.listing.ready == fleet[:2] and bench.balancer.cold.usual() == known == 1.6
+    assert bench.balancer.listing.ready == fleet[:2] and bench.balancer.slow_start.usual() == known == 1.6
 
 
 def test_a_cold_server_takes_nothing_where_a_clock_ran_back():
@@ -451,4 +451,4 @@
     (one,) = bench.fleet(0)
     bench.balancer.starts(one, bench.now, bench.now)
     one.local_state.issued, one.local_state.taken, one.local_state.issued_at = 0.0, 5, bench.now + 100
-    assert not bench.balancer.cold.room(one) and one.local_state.issued == 0.0
+    assert not bench.balancer.slow_start.room(one) and one.local_state.issued == 0.0
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -36,8 +36,8 @@
         honest(stage, server)
         server.local_state.taken -= 1
 
-    honest = choice.Cold.sent
-    monkeypatch.setattr(choice.Cold, "sent", uncounted)
+    honest = choice.SlowStart.sent
+    monkeypatch.setattr(choice.SlowStart, "sent", uncounted)
 
 
 def all_begin_with_one(monkeypatch):
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -228,7 +228,7 @@
     bench.establish(leg)
     for server in fleet:
         server.local_state.delay, server.local_state.told, server.local_state.holds = 0.7, bench.now, 1.5
-    bench.balancer.draw.look()
+    bench.balancer.selection.look()
     bench.balancer.zone.jam()
     assert bench.balancer.zone.ceiling > 2
 
@@ -245,7 +245,7 @@
     first, after = (Accounting(settings(), 7, 100.0, lambda *_: Bench(settings()).balancer) for _ in range(2))
     for books in first, after:
         books.apply_entries([(5, model.READY, 0, 0, 1.0, 0.0, 0)], True)
-    first.balancer.draw.record_delay(first.servers[5], 0.8)
+    first.balancer.selection.record_delay(first.servers[5], 0.8)
     after.import_learned(first.export_learned())
     after.balancer.host.now += 1
     assert after.balancer.avoids(after.servers[5])
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -16,7 +16,7 @@
     call = bench.call(group=9)
 
     def order():
-        return sorted(fleet, key=lambda server: bench.balancer.draw.rendezvous_score(call, server))
+        return sorted(fleet, key=lambda server: bench.balancer.selection.rendezvous_score(call, server))
 
     before = order()
     for server in fleet:
@@ -113,13 +113,13 @@
     bench.fleet(0, 0)
     (first,) = asked(bench, 0.1)
     bench.establish(bench.sent[0][0])
-    assert bench.balancer.draw.reported(first)
+    assert bench.balancer.selection.reported(first)
     bench.end_leg(bench.sent[0][0], kind)
-    assert not bench.balancer.draw.reported(first)
+    assert not bench.balancer.selection.reported(first)
     bench.run(bench.now + 1.1)
     asked(bench, 0.1)
     bench.end_leg(bench.sent[-1][0], kind)  # this one while it is set up
-    assert sent(bench) == [first, first] and not bench.balancer.draw.reported(first)
+    assert sent(bench) == [first, first] and not bench.balancer.selection.reported(first)
 
 
 def test_a_full_report_stands_longer_than_others():
