--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -141,7 +141,7 @@
     @property
     def ready(self) -> bool:
         """By the list and by hand."""
-        return self.state == READY and not self.out
+        return self.state == READY and not self.cordoned
 
     @property
     def usable(self) -> bool:
