--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -84,7 +84,7 @@
     def export_learned(self) -> dict[str, Any]:
         """What this instance has learned, in plain values, for one that takes its place."""
         return {
-            "bears": self.balancer.slow_start.borne,
+            "bears": self.balancer.slow_start.proven_load,
             "servers": {
                 str(mark): {name: getattr(server.local_state, name) for name in LEARNED}
                 for mark, server in self.servers.items()
@@ -97,7 +97,7 @@
         which our clock is ahead of the one that it was told by."""
         bears = learned.get("bears")
         if isinstance(bears, float | int):
-            self.balancer.slow_start.borne = max(self.balancer.slow_start.borne, bears)
+            self.balancer.slow_start.proven_load = max(self.balancer.slow_start.proven_load, bears)
         for mark, values in learned.get("servers", {}).items():
             server = self.servers.get(int(mark))
             for name in LEARNED if server else ():
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -138,13 +138,13 @@
 class SlowStart:
     """Rule 4: this instance's part of what a cold server may bear."""
 
-    borne, looked = 0.0, -math.inf
-    withheld = False  # another process of this balancer has its part
+    proven_load, looked = 0.0, -math.inf
+    suspended = False  # another process of this balancer has its part
 
     def __init__(self, balancer: Balancer):
         self.balancer, self.settings, self.host = balancer, balancer.settings, balancer.host
 
-    def bears(self, server: Server) -> bool:
+    def accepts(self, server: Server) -> bool:
         """Is it warm, or may it take one more?"""
         return server.local_state.warm_at <= self.host.now or self.room(server)
 
@@ -153,7 +153,7 @@
         left = (server.local_state.warm_at - self.host.now) / self.settings.ramp_time
         return 1.0 - (1.0 - self.settings.cold_share) * min(1.0, left) if left > 0 else 1.0
 
-    def usual(self) -> float:
+    def baseline_load(self) -> float:
         """Own open connections by size on listed warm servers that are not late: what one surely bears."""
         if self.host.now >= self.looked + LOOK:
             self.looked, late = self.host.now, self.balancer.selection.told_late
@@ -163,26 +163,28 @@
                 if s.ready and s.local_state.warm_at <= self.looked and not late(s)
             ]
             size = sum(s.capacity for s in warm)
-            self.borne = max(self.borne, sum(s.local_state.open for s in warm) / size if size else 0.0)
-        return max(self.borne, FIRST_FILL / self.settings.peers)
+            self.proven_load = max(
+                self.proven_load, sum(s.local_state.open for s in warm) / size if size else 0.0
+            )
+        return max(self.proven_load, FIRST_FILL / self.settings.peers)
 
     def room(self, server: Server) -> bool:
-        under = server.local_state.open + server.local_state.part < self.usual() * server.capacity
+        under = server.local_state.open + server.local_state.part < self.baseline_load() * server.capacity
         calm = self.host.now - server.local_state.told > SWAMPED_FOR and self.balancer.selection.room(server)
         return under and calm and self.tokens(server) > 0
 
     def tokens(self, server: Server) -> int:
         """Set-ups that may go there now: of all balancers at most the budget in any window. They come evenly
         from when we were told; those not used in time are lost, lest a rush find all of them kept."""
-        if self.withheld:
+        if self.suspended:
             return 0
         stand, rules, now, bears = (
             server.local_state,
             self.settings,
             self.host.now,
-            self.usual() * server.capacity,
+            self.baseline_load() * server.capacity,
         )
-        budget, anew = rules.cold_budget(self.borne, server.capacity * self.warm(server))
+        budget, anew = rules.cold_budget(self.proven_load, server.capacity * self.warm(server))
         rate = min(AHEAD * bears / rules.ramp_time, anew / rules.fall_time)
         kept = (budget - rate * rules.fall_time) * max(1.0, 1 / (RUSH * bears))
         stand.issued, stand.issued_at = stand.issued + rate * max(0.0, now - stand.issued_at), now
@@ -192,16 +194,16 @@
     def allowed(self, server: Server) -> float:
         """What all balancers may send a cold server in `fall_time`: N of the rule."""
         return self.settings.peers * self.settings.cold_allowed(
-            self.borne, server.capacity * self.warm(server)
+            self.proven_load, server.capacity * self.warm(server)
         )
 
-    def withhold(self, on: bool) -> None:
+    def suspend(self, on: bool) -> None:
         """Whether another process of this balancer sends to cold servers in our place. When that ends, what
         was issued meanwhile counts as used: two processes are one balancer."""
-        self.withheld = False
+        self.suspended = False
         for server in self.balancer.fleet:
             self.spend(server)
-        self.withheld = on
+        self.suspended = on
 
     def may_write(self, server: Server) -> bool:
         """May a set-up that was sent earlier go out now? Counts it if so. Guards against connections that
@@ -209,7 +211,7 @@
         now, rules, stand = self.host.now, self.settings, server.local_state
         if stand.warm_at <= now:
             return True
-        budget, _ = rules.cold_budget(self.borne, server.capacity * self.warm(server))
+        budget, _ = rules.cold_budget(self.proven_load, server.capacity * self.warm(server))
         while stand.written and stand.written[0] <= now - rules.fall_time:
             stand.written.popleft()
         if len(stand.written) >= max(1, math.floor(budget + 1 / rules.peers)):
@@ -224,7 +226,7 @@
 
     def sent(self, server: Server) -> None:
         """Slower the more servers are late: guards against a fleet that sheds and is filled at once again."""
-        sure, calm = self.usual() * server.capacity, self.balancer.selection.calm(server.zone)
+        sure, calm = self.baseline_load() * server.capacity, self.balancer.selection.calm(server.zone)
         gap = 1 / max(GROWTH * max(server.local_state.open, sure), LEAST_PACE / self.settings.peers) / calm
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
         sure = max(sure, 2) if self.balancer.overload.hears(self.host.now) else sure
@@ -313,7 +315,7 @@
         grown = (
             CEILING_GROWTH
             * (self.host.now - stand.cut)
-            * max(stand.ceiling, slow_start.usual() * server.capacity)
+            * max(stand.ceiling, slow_start.baseline_load() * server.capacity)
         )
         if self.reported(server) and stand.full >= full:
             return False
@@ -411,7 +413,7 @@
         missed = [
             s
             for s in missed
-            if now >= s.local_state.next_leg and self.balancer.slow_start.bears(s) and self.room(s, FULL)
+            if now >= s.local_state.next_leg and self.balancer.slow_start.accepts(s) and self.room(s, FULL)
         ]
         held = missed or self.holders(call, low)
         for server in held or low:  # kept with the call while it is kept: lots are dear
@@ -421,7 +423,7 @@
         lots = sorted(held or low, key=call.scores.__getitem__)[:most]
         call.awaited_servers += lots
         for number, server in enumerate(lots):
-            if not self.balancer.slow_start.bears(server):
+            if not self.balancer.slow_start.accepts(server):
                 continue
             self.ask(server)
             if self.awaited(server):
@@ -620,7 +622,7 @@
             not call.awaited_servers
             or selection.beyond(call)
             or any(
-                now >= s.local_state.next_leg and selection.room(s) and slow_start.bears(s)
+                now >= s.local_state.next_leg and selection.room(s) and slow_start.accepts(s)
                 for s in call.awaited_servers
             )
         )
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -258,7 +258,7 @@
             self.has_seen(self.dealt_anew())
         for seat in holders:  # as each call's decision looks
             for turn in range(3):
-                self.at(self.now + turn * BEFORE / 2.4, seat.turn, seat.balancer.slow_start.usual)
+                self.at(self.now + turn * BEFORE / 2.4, seat.turn, seat.balancer.slow_start.baseline_load)
 
     def dealt_anew(self) -> dict[Seat, float]:
         """Other parts of the same traffic, by balancer; those without any are left out."""
@@ -270,7 +270,7 @@
         """Each balancer has held its part of what warm servers held."""
         for seat, part in parts.items():
             cold = seat.balancer.slow_start
-            cold.borne = max(cold.borne, self.start.used * self.start.bears * part)
+            cold.proven_load = max(cold.proven_load, self.start.used * self.start.bears * part)
 
     def arrivals(self, seat: Seat, rate: float) -> None:
         rate, when = min(rate, MOST_CALLS / 2 / self.start.ramp_time), self.back
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -116,7 +116,7 @@
         if "took" in said and self.sibling and self.sibling.giver:
             self.giver = self.sibling.giver
             node.doors.shut()
-            node.balancer.slow_start.withhold(True)  # two processes are one balancer: it has the budget now
+            node.balancer.slow_start.suspend(True)  # two processes are one balancer: it has the budget now
             log.tell("followed")
 
     def on_sibling_lost(self, sibling: handover.Sibling) -> None:
@@ -130,7 +130,7 @@
             return
         if followed:
             # Also while we end ourselves: who waits in the listener has nobody else.
-            node.balancer.slow_start.withhold(False)
+            node.balancer.slow_start.suspend(False)
             self.reopening = node.loop.create_task(node.doors.reopen())
             if node.shutdown:
                 node.shutdown.on_successor_lost()
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -264,7 +264,7 @@
             await transient.retried(lambda: self.doors.open(listening))
         self.takes_requests = True
         if listening:
-            self.balancer.slow_start.withhold(False)  # what was issued until now is the predecessor's
+            self.balancer.slow_start.suspend(False)  # what was issued until now is the predecessor's
         self.hot_restart.publish(took=True)
         self.address = self.doors.socket.getsockname()
         log.tell(
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -115,7 +115,7 @@
         "each process has a cold server's budget",
         (
             ("choice.py", "server.local_state.taken += max(0, self.tokens(server))", "pass"),
-            ("choice.py", "        self.withheld = on\n", "        self.withheld = False\n"),
+            ("choice.py", "        self.suspended = on\n", "        self.suspended = False\n"),
         ),
         "cold",
         ("slow_start",),
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -121,7 +121,7 @@
         bench.run(bench.now + 0.02)
         bench.call()
         bench.end_leg(bench.sent[-1][0], model.COMPLETED)
-    gap = bench.rules.ramp_time / (2 * choice.AHEAD * bench.balancer.slow_start.usual())
+    gap = bench.rules.ramp_time / (2 * choice.AHEAD * bench.balancer.slow_start.baseline_load())
     assert sum(leg.server is cold for leg, _ in bench.sent[before:]) <= 1 + 20 * 0.02 / gap < 20
 
 
@@ -438,12 +438,15 @@
     for server in fleet[:2]:
         server.local_state.open = 8
     bench.run(bench.now + 1)
-    known = bench.balancer.slow_start.usual()
+    known = bench.balancer.slow_start.baseline_load()
     for server in fleet[2:]:
         server.doubtful = True
     bench.balancer.refresh_usable()
     bench.run(bench.now + 1)
-    assert bench.balancer.listing.ready == fleet[:2] and bench.balancer.slow_start.usual() == known == 1.6
+    assert (
+        bench.balancer.listing.ready == fleet[:2]
+        and bench.balancer.slow_start.baseline_load() == known == 1.6
+    )
 
 
 def test_a_cold_server_takes_nothing_where_a_clock_ran_back():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -207,7 +207,7 @@
 async def test_the_second_begins_with_what_the_first_has_learned(folder):
     async with World(servers=2, control=True, listen=free()) as world:
         first, _ = world.node.servers.values()
-        world.node.balancer.slow_start.borne = 17.5
+        world.node.balancer.slow_start.proven_load = 17.5
         first.local_state.weight, first.local_state.ceiling, first.local_state.bad_until = (
             0.25,
             9.5,
@@ -216,7 +216,7 @@
         async with world.beside() as second:
             same = second.servers[first.id_hash].local_state
             assert (same.weight, same.ceiling, same.bad_until) == (0.25, 9.5, first.local_state.bad_until)
-            assert second.balancer.slow_start.usual() >= 17.5 and second.balancer.avoids(
+            assert second.balancer.slow_start.baseline_load() >= 17.5 and second.balancer.avoids(
                 second.servers[first.id_hash]
             )
             for odd in (5, {"x": {}}, {first.id_hash: {"weight": "1"}}, {}):
