--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -156,7 +156,7 @@
     def baseline_load(self) -> float:
         """Own open connections by size on listed warm servers that are not late: what one surely bears."""
         if self.host.now >= self.looked + LOOK:
-            self.looked, late = self.host.now, self.balancer.selection.told_late
+            self.looked, late = self.host.now, self.balancer.selection.reported_overloaded
             warm = [
                 s
                 for s in self.balancer.fleet
@@ -226,7 +226,7 @@
 
     def sent(self, server: Server) -> None:
         """Slower the more servers are late: guards against a fleet that sheds and is filled at once again."""
-        sure, calm = self.baseline_load() * server.capacity, self.balancer.selection.calm(server.zone)
+        sure, calm = self.baseline_load() * server.capacity, self.balancer.selection.calm_share(server.zone)
         gap = 1 / max(GROWTH * max(server.local_state.open, sure), LEAST_PACE / self.settings.peers) / calm
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
         sure = max(sure, 2) if self.balancer.overload.hears(self.host.now) else sure
@@ -241,14 +241,14 @@
     """The spillover ratio: stay among our zone's healthy servers, or spread over those of all zones."""
 
     last, looked = 0.0, -math.inf
-    ceiling, cut = math.inf, 0.0
+    limit, cut = math.inf, 0.0
 
     def handle(self, call: Call) -> None:
         now, selection, server = self.host.now, self.balancer.selection, None
         home = [s for s in call.candidates if s.zone == self.settings.zone]
         if self.share() >= SPILLOVER_RATIO:
             server = selection.pick(call, [s for s in home if s.local_state.bad_until <= now])
-        most = self.ceiling * (1 + CEILING_GROWTH * (now - self.cut)) - 0.5
+        most = self.limit * (1 + CEILING_GROWTH * (now - self.cut)) - 0.5
         if not server and self.balancer.held < most and not any(map(selection.awaited, call.awaited_servers)):
             # Guards against a zone whose servers stand but drown: what finds no room in it leaves; and what
             # finds no room anywhere is kept, lest it be shed and come again.
@@ -257,16 +257,17 @@
         call.candidates = [server] if server else []
         self.forward_or_queue(call)
 
-    def jam(self) -> None:
+    def limit_fleet_overload(self) -> None:
         """Guards against a jam of the whole fleet, in which what is moved lands on other late servers."""
         zones = [
-            self.balancer.selection.calm(zone) for zone in dict.fromkeys(s.zone for s in self.balancer.fleet)
+            self.balancer.selection.calm_share(zone)
+            for zone in dict.fromkeys(s.zone for s in self.balancer.fleet)
         ]
         if sum(zones) < SPILLOVER_RATIO * len(zones):
             held = max(self.balancer.held, FEW if self.balancer.overload.hears(self.host.now) else 1)
-            self.ceiling, self.cut = JAM_CUT * min(self.ceiling, held), self.host.now
+            self.limit, self.cut = JAM_CUT * min(self.limit, held), self.host.now
 
-    def tidy(self) -> None:
+    def rebalance(self) -> None:
         """Guards against connections that cross zones for life: a few come again while our zone is calm."""
         home, now, selection = self.matched(), self.host.now, self.balancer.selection
         calm = [
@@ -290,7 +291,7 @@
             fit = [
                 s
                 for s in matched
-                if self.balancer.selection.healthy(s) and not self.balancer.selection.late(s)
+                if self.balancer.selection.healthy(s) and not self.balancer.selection.overloaded(s)
             ]
             self.last = sum(self.balancer.slow_start.warm(s) for s in fit) / len(matched) if matched else 0.0
         return self.last
@@ -319,19 +320,21 @@
         )
         if self.reported(server) and stand.full >= full:
             return False
-        return not self.late(server) and stand.open + stand.part < slow_start.warm(server) * (
+        return not self.overloaded(server) and stand.open + stand.part < slow_start.warm(server) * (
             stand.ceiling + grown
         )
 
-    def late(self, server: Server) -> bool:
+    def overloaded(self, server: Server) -> bool:
         """Told of late messages lately; where we hold nothing and so are told nothing, as its zone fares."""
         stand = server.local_state
-        if self.told_late(server) or self.reported(server):
-            return self.told_late(server) or stand.full >= 1.0
-        unseen = not stand.legs and stand.warm_at <= self.host.now and stand.part > self.calm(server.zone)
+        if self.reported_overloaded(server) or self.reported(server):
+            return self.reported_overloaded(server) or stand.full >= 1.0
+        unseen = (
+            not stand.legs and stand.warm_at <= self.host.now and stand.part > self.calm_share(server.zone)
+        )
         return unseen and not self.balancer.overload.hears(self.host.now)
 
-    def told_late(self, server: Server) -> bool:
+    def reported_overloaded(self, server: Server) -> bool:
         return (
             server.local_state.delay >= SWAMPED
             and self.host.now - server.local_state.told <= server.local_state.holds
@@ -345,10 +348,10 @@
         for server in self.balancer.listing.ready:
             if server.local_state.legs or hears or self.host.now - server.local_state.told <= SWAMPED_FOR:
                 seen = self.balancer.seen.setdefault(server.zone, [0.0, 0.0])
-                seen[0] += self.told_late(server)
+                seen[0] += self.reported_overloaded(server)
                 seen[1] += 1
 
-    def calm(self, zone: int) -> float:
+    def calm_share(self, zone: int) -> float:
         """The share of a zone's servers without late messages, as far as we were told these last seconds."""
         late, heard = self.balancer.seen.get(zone, (0.0, 0.0))
         return (heard - late + 1) / (heard + 1)
@@ -405,7 +408,7 @@
             return None
         now, warm = self.host.now, self.balancer.slow_start.warm
         sizes = [s.capacity if s.local_state.warm_at <= now else s.capacity * warm(s) for s in places]
-        held = self.balancer.fill() or {s: s.local_state.open for s in places}
+        held = self.balancer.fleet_load() or {s: s.local_state.open for s in places}
         mean = ABOVE_MEAN * sum([held[s] for s in places]) / sum(sizes)
         low = [s for s, size in zip(places, sizes) if held[s] < 1 + mean * size] or places
         # Guards against a server put back that waits long for its lot, by the weight of a cold one.
@@ -573,7 +576,7 @@
         self.overload.noticed = self.host.now
         self.selection.record_delay(leg.server, delay / self.settings.quickest, SWAMPED_FOR)
 
-    def fill(self) -> dict[Server, float]:
+    def fleet_load(self) -> dict[Server, float]:
         """What all balancers hold of each ready server; empty where nobody tells."""
         if self.host.now >= self.filled[0] + LOOK:
             self.filled = self.host.now, self.overload.fill(self.listing.ready, self.host.now)
@@ -608,8 +611,8 @@
                 self.host.now + TIDY_EVERY, "tidy"
             )  # first: a fault in one look ends no other
             self.selection.look()
-            self.zone.jam()
-            self.zone.tidy()
+            self.zone.limit_fleet_overload()
+            self.zone.rebalance()
         elif what == "tell":
             self.host.set_timer(self.host.now + TELL_EVERY, "tell")
             self.overload.turn(self.host.now)
@@ -702,7 +705,7 @@
 
     def avoids(self, server: Server) -> bool:
         """Is this listed server kept from new calls now, by the list, by hand, for failures or lateness?"""
-        fit = self.selection.healthy(server) and not self.selection.told_late(server)
+        fit = self.selection.healthy(server) and not self.selection.reported_overloaded(server)
         return server not in self.listing.ready or not fit
 
     def on_discovery_failed(self, reached: bool = True) -> None:
--- a/bellrack/simulator/tally.py
+++ b/bellrack/simulator/tally.py
@@ -55,9 +55,9 @@
                 "load"
                 if reported
                 else "notice"
-                if self.told_late(server)
+                if self.reported_overloaded(server)
                 else "zone"
-                if self.late(server)
+                if self.overloaded(server)
                 else "ceiling"
             ] += 1
         return found
--- a/tests/test_blind.py
+++ b/tests/test_blind.py
@@ -125,7 +125,7 @@
     bench.run(bench.now + 2.9)
     assert not room(one)
     bench.run(bench.now + 0.2)
-    assert not bench.balancer.selection.told_late(one)
+    assert not bench.balancer.selection.reported_overloaded(one)
     bench.run(bench.now + 10)
     assert room(one)
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -229,8 +229,8 @@
     for server in fleet:
         server.local_state.delay, server.local_state.told, server.local_state.holds = 0.7, bench.now, 1.5
     bench.balancer.selection.look()
-    bench.balancer.zone.jam()
-    assert bench.balancer.zone.ceiling > 2
+    bench.balancer.zone.limit_fleet_overload()
+    assert bench.balancer.zone.limit > 2
 
 
 def test_broadcasts_of_servers_that_no_list_names_count_for_nothing():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -358,7 +358,7 @@
 
     def look(at):
         broadcast = any(tier.figures[number].broadcasts for number in tier.real)
-        told = all(sum(node.balancer.fill().values()) for node in tier.nodes.values())  # what all hold
+        told = all(sum(node.balancer.fleet_load().values()) for node in tier.nodes.values())  # what all hold
         if (
             broadcast
             and told
