--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -222,9 +222,9 @@
     for leg, _ in bench.sent:
         bench.end_leg(leg, model.RESET)
     bench.run(bench.now + 2.5)
-    assert bench.balancer.selection.calm(0) < 0.6
+    assert bench.balancer.selection.calm_share(0) < 0.6
     bench.run(bench.now + 9)
-    assert bench.balancer.selection.calm(0) > 0.8
+    assert bench.balancer.selection.calm_share(0) > 0.8
 
 
 def test_a_kept_call_costs_a_look_at_few_servers_until_one_has_room():
