--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -65,7 +65,7 @@
             self.next.handle(call)
 
     def answer_by(self, call: Call) -> float:
-        return call.deadline - min(self.settings.spare, SPARE_SHARE * (call.deadline - call.arrived))
+        return call.deadline - min(self.settings.answer_margin, SPARE_SHARE * (call.deadline - call.arrived))
 
     def due(self, call: Call) -> None:
         """The guard time is near: answer whatever is still owed."""
@@ -184,7 +184,7 @@
             self.host.now,
             self.baseline_load() * server.capacity,
         )
-        budget, anew = rules.cold_budget(self.proven_load, server.capacity * self.warm(server))
+        budget, anew = rules.slow_start_budget(self.proven_load, server.capacity * self.warm(server))
         rate = min(AHEAD * bears / rules.ramp_time, anew / rules.fall_time)
         kept = (budget - rate * rules.fall_time) * max(1.0, 1 / (RUSH * bears))
         stand.issued, stand.issued_at = stand.issued + rate * max(0.0, now - stand.issued_at), now
@@ -193,7 +193,7 @@
 
     def allowed(self, server: Server) -> float:
         """What all balancers may send a cold server in `fall_time`: N of the rule."""
-        return self.settings.peers * self.settings.cold_allowed(
+        return self.settings.peers * self.settings.slow_start_allowance(
             self.proven_load, server.capacity * self.warm(server)
         )
 
@@ -211,7 +211,7 @@
         now, rules, stand = self.host.now, self.settings, server.local_state
         if stand.warm_at <= now:
             return True
-        budget, _ = rules.cold_budget(self.proven_load, server.capacity * self.warm(server))
+        budget, _ = rules.slow_start_budget(self.proven_load, server.capacity * self.warm(server))
         while stand.written and stand.written[0] <= now - rules.fall_time:
             stand.written.popleft()
         if len(stand.written) >= max(1, math.floor(budget + 1 / rules.peers)):
@@ -422,7 +422,7 @@
         for server in held or low:  # kept with the call while it is kept: lots are dear
             if server not in call.scores:
                 call.scores[server] = self.rendezvous_score(call, server)
-        most = BLIND_LOTS if call.group and self.settings.blind else LOTS
+        most = BLIND_LOTS if call.group and self.settings.peers_unseen else LOTS
         lots = sorted(held or low, key=call.scores.__getitem__)[:most]
         call.awaited_servers += lots
         for number, server in enumerate(lots):
@@ -574,7 +574,7 @@
 
     def on_delay_reported(self, leg: Leg, delay: float) -> None:
         self.overload.noticed = self.host.now
-        self.selection.record_delay(leg.server, delay / self.settings.quickest, SWAMPED_FOR)
+        self.selection.record_delay(leg.server, delay / self.settings.shortest_message_aim, SWAMPED_FOR)
 
     def fleet_load(self) -> dict[Server, float]:
         """What all balancers hold of each ready server; empty where nobody tells."""
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -81,37 +81,37 @@
     drain_grace: float = 1.0  # seconds in which sending to a server has to stop once a drain is told
     ask_within: float = 10.0  # where the list is asked for: seconds for which one stands without a watch
 
-    def become(self, other: Settings) -> None:
+    def update_from(self, other: Settings) -> None:
         """Whoever holds these settings holds the other's values now. Calls keep their traffic type."""
         vars(self).update(vars(other))
 
-    def cold_allowed(self, borne: float, size: float) -> float:
+    def slow_start_allowance(self, borne: float, size: float) -> float:
         """This balancer's part of N, the requests that the settings allow a cold server in `fall_time`."""
         bears = max(borne, SURE / self.peers) * size
         return self.overload_factor * self.fall_time / self.ramp_time * bears
 
-    def cold_budget(self, borne: float, size: float) -> tuple[float, float]:
+    def slow_start_budget(self, borne: float, size: float) -> tuple[float, float]:
         """This balancer's part of the requests that a cold server may be sent within `fall_time`, and how
         many of them may come anew in it, from own connections by size that warm ones bear and the size that
         it has by now. Over all balancers N + 2 sqrt(N) + SLACK at most, N being overload_factor times what
         fills it evenly over its warm-up."""
-        allowed = self.cold_allowed(borne, size)
+        allowed = self.slow_start_allowance(borne, size)
         budget = allowed + 2 * math.sqrt(allowed / self.peers) + SLACK / self.peers
         return budget, budget - 1 if budget > WHOLE else STEADY * budget
 
     @property
-    def blind(self) -> bool:
+    def peers_unseen(self) -> bool:
         """One of many balancers, whom nobody tells what the others hold: neither they nor reports. What each
         opens for a group beyond the group's first server then adds up, unseen."""
         return self.peers > PAIR and not self.may_publish and not self.report
 
     @property
-    def spare(self) -> float:
+    def answer_margin(self) -> float:
         """What an answer needs to reach a client in time."""
         return self.answer_slack + 2 * self.tick
 
     @property
-    def quickest(self) -> float:
+    def shortest_message_aim(self) -> float:
         """The shortest message aim."""
         return min(kind.message_aim for kind in self.types)
 
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -46,7 +46,7 @@
     def time_messages(self, server: Server) -> None:
         node, place = self.node, server.host_record
         delay = place.look(node.now)
-        late = delay > NOTICE * node.settings.quickest
+        late = delay > NOTICE * node.settings.shortest_message_aim
         if node.names.tells_delay and (late or place.late) and node.now - place.told > TOLD_FOR:
             node.balancer.on_delay_reported(next(iter(place.legs)).leg, delay)
         place.late = late
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -48,7 +48,9 @@
         own, peers = settings.number, settings.peers
         self.sums: sums.Sums | gossip.Gossip = sums.Sums(own, peers, tell)
         if peers > (gossip.LARGE if large is None else large):
-            self.sums = gossip.Gossip(own, peers, tell, Rng(own).uniform, WAITS * settings.quickest)
+            self.sums = gossip.Gossip(
+                own, peers, tell, Rng(own).uniform, WAITS * settings.shortest_message_aim
+            )
         self.filled: tuple[float, dict[Server, float]] = -math.inf, {}
         self.servers: dict[int, Server | None] = {}  # by short mark; None where two share it
         self.took: deque[tuple[float, float]] = deque(maxlen=RECENT)  # set-ups: when, how long
@@ -79,7 +81,7 @@
 
     def unsaid(self, now: float) -> bool:
         """Neither servers nor other balancers say that messages are late: a reset tells first."""
-        return self.settings.blind and not self.better(now)
+        return self.settings.peers_unseen and not self.better(now)
 
     def holder(self, server: Server, group: int, now: float) -> bool:
         """Is this group known to stand there?"""
@@ -91,7 +93,7 @@
         if told.usual is not None and told.aggregator != told.own and told.hears(now):
             return told.usual
         took = sorted(took for when, took in self.took if now - when < RECENT_FOR)
-        return took[int(USUAL * len(took))] if len(took) >= FEWEST else self.settings.quickest / 2
+        return took[int(USUAL * len(took))] if len(took) >= FEWEST else self.settings.shortest_message_aim / 2
 
     def stood(self, server: Server, took: float, now: float) -> None:
         """A set-up of ours took so long."""
@@ -100,7 +102,7 @@
         self.set_up(server, took, now)
 
     def set_up(self, server: Server, took: float, now: float) -> None:
-        late = (took - self.usual(now)) / (WAITS * self.settings.quickest)
+        late = (took - self.usual(now)) / (WAITS * self.settings.shortest_message_aim)
         self.took.append((now, took))
         self.sign(server, max(0.0, late), now)
 
--- a/tests/test_blind.py
+++ b/tests/test_blind.py
@@ -98,8 +98,8 @@
     "told", [{"may_publish": True}, {"report": (model.FULLNESS,)}, {"peers": model.PAIR}]
 )
 def test_who_is_told_what_others_hold_or_sees_most_itself_asks_a_groups_further_servers(told):
-    assert settings(peers=BALANCERS).blind
-    assert not settings(**{"peers": BALANCERS} | told).blind
+    assert settings(peers=BALANCERS).peers_unseen
+    assert not settings(**{"peers": BALANCERS} | told).peers_unseen
 
 
 def shed(**changes):
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -267,7 +267,7 @@
 def test_without_live_weights_and_reports_a_fixed_seed_chooses_the_same_and_asks_nothing(
     monkeypatch, blind, story
 ):
-    monkeypatch.setattr(model.Settings, "blind", blind)
+    monkeypatch.setattr(model.Settings, "peers_unseen", blind)
     bench = Bench(settings(peers=3, ramp_time=6.0, cold_share=0.12), seed=25)
     fleet = [Server(mark * 77 + 5, mark % 2, weight=[3.5, 2.0][mark % 3 > 0]) for mark in range(9)]
     bench.balancer.on_servers_listed(fleet)
@@ -327,7 +327,7 @@
         [server] = bench.fleet(0)
         bench.call()
         bench.establish(leg := bench.sent[0][0])
-        bench.balancer.on_delay_reported(leg, choice.MOVE_MOST * bench.rules.quickest)
+        bench.balancer.on_delay_reported(leg, choice.MOVE_MOST * bench.rules.shortest_message_aim)
         if bench.moved:
             moved += 1
             bench.end_leg(leg, model.CANCELLED)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -27,8 +27,8 @@
 
 
 def twice_the_budget(monkeypatch):
-    honest = Settings.cold_budget
-    monkeypatch.setattr(Settings, "cold_budget", lambda *values: [2 * part for part in honest(*values)])
+    honest = Settings.slow_start_budget
+    monkeypatch.setattr(Settings, "slow_start_budget", lambda *values: [2 * part for part in honest(*values)])
 
 
 def ended_set_ups_uncounted(monkeypatch):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -214,5 +214,5 @@
 def test_whoever_holds_settings_holds_the_new_values():
     old, new = settings.parse_settings(raw_settings()), settings.parse_settings(raw_settings("fragile"))
     kept = old.types[0]
-    old.become(new)
+    old.update_from(new)
     assert old.types[0].effect == model.ONCE_ONLY and kept.effect == model.REPEATABLE
