--- a/bellrack/net/config.py
+++ b/bellrack/net/config.py
@@ -14,7 +14,7 @@
 from bellrack.model import Settings
 from bellrack.net import transient
 from bellrack.net.lines import LineError, Listing, address, listing
-from bellrack.settings import Names, SettingsError, check_shape, missing, parse_names, parse_settings
+from bellrack.settings import ProtocolNames, SettingsError, check_shape, missing, parse_names, parse_settings
 
 
 @dataclass(eq=False)
@@ -25,7 +25,7 @@
     seed: int
     sockets: int
     settings: Settings
-    names: Names
+    names: ProtocolNames
     known: Listing | None
     peer_listen: tuple[str, int] | None
     peers: list[tuple[str, int]]
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -146,7 +146,7 @@
         kind = self.names.types.get(values.get("c", ""))
         if kind is None:
             raise lines.LineError("unknown-type")
-        wait = self.names.guards[kind] if wait is None else wait / 1000
+        wait = self.names.default_timeouts[kind] if wait is None else wait / 1000
         resumes = "at" in values
         if not resumes and wait > limits.LONGEST_WAIT:  # resumed ones say that they wait for an hour
             raise lines.LineError("bad-d")
@@ -218,7 +218,7 @@
         if value is None:
             return  # it says nothing of the server
         place: Place = leg.server.host_record
-        if self.names.tells_delay and not self.names.tells_load:
+        if self.names.reports_delay and not self.names.reports_load:
             place.told = self.now
             self.counters["late_notices"] += 1
             self.balancer.on_delay_reported(leg, value / 1000)
--- a/bellrack/net/reload.py
+++ b/bellrack/net/reload.py
@@ -46,7 +46,7 @@
 
 
 def apply(node: Any, config: Config) -> None:
-    config.names.keep(config.settings, node.names, node.settings.types, node.now)
+    config.names.retain_removed(config.settings, node.names, node.settings.types, node.now)
     config.names.zones = node.names.zones  # with those that only the list has named
     node.settings.update_from(config.settings)
     node.names, config.settings, node.config = config.names, node.settings, config
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -24,7 +24,9 @@
         node.after(LOOK, self.look)
         if judged := node.balancer.overload.judged:
             if not node.counters["late_seen"]:
-                log.tell("late-seen", notices=node.counters["late_notices"], promised=node.names.tells_delay)
+                log.tell(
+                    "late-seen", notices=node.counters["late_notices"], promised=node.names.reports_delay
+                )
             node.counters["late_seen"] = judged
         for server in list(node.servers.values()):
             self.forget_unused(server)
@@ -47,7 +49,7 @@
         node, place = self.node, server.host_record
         delay = place.look(node.now)
         late = delay > NOTICE * node.settings.shortest_message_aim
-        if node.names.tells_delay and (late or place.late) and node.now - place.told > TOLD_FOR:
+        if node.names.reports_delay and (late or place.late) and node.now - place.told > TOLD_FOR:
             node.balancer.on_delay_reported(next(iter(place.legs)).leg, delay)
         place.late = late
 
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -24,7 +24,7 @@
 class Shutdown:
     def __init__(self, node: Any):
         self.node, self.begun = node, node.now
-        self.allowed = min(LONGEST, max(node.names.guards)) + GRACE
+        self.allowed = min(LONGEST, max(node.names.default_timeouts)) + GRACE
         standing = [client for client in node.clients if client.other]
         log.tell(
             "leaving", standing=len(standing), seconds=self.allowed, handed_over=node.hot_restart.followed
--- a/bellrack/settings.py
+++ b/bellrack/settings.py
@@ -31,20 +31,22 @@
 
 
 @dataclass(eq=False)
-class Names:
+class ProtocolNames:
     """What only a host on sockets reads: names on the lines, and the limits of set-ups."""
 
     types: dict[str, int]
     tenants: dict[str, int]
     zones: dict[str, int]
-    guards: list[float]  # by traffic type, where a line tells none
+    default_timeouts: list[float]  # by traffic type, where a line tells none
     connect_timeout: float
-    tells_delay: bool
-    tells_load: bool
+    reports_delay: bool
+    reports_load: bool
     vanished: dict[str, float] = field(default_factory=dict)  # types that the last files lack, and since when
     closed: dict[str, float] = field(default_factory=dict)  # the same of tenants
 
-    def keep(self, settings: Settings, former: Names, types: list[TrafficType], now: float) -> None:
+    def retain_removed(
+        self, settings: Settings, former: ProtocolNames, types: list[TrafficType], now: float
+    ) -> None:
         """Traffic types and tenants that the former settings had and these lack stay for a while: guards
         against clients that are moved, come again as what they were, and hear that there is none such."""
         for name, index in former.types.items():
@@ -52,7 +54,7 @@
             if name not in self.types and now - since <= KEPT:
                 self.vanished[name], self.types[name] = since, len(settings.types)
                 settings.types.append(types[index])
-                self.guards.append(former.guards[index])
+                self.default_timeouts.append(former.default_timeouts[index])
         for name, index in former.tenants.items() if self.tenants else ():
             since = former.closed.get(name, now)
             if name not in self.tenants and now - since <= KEPT:
@@ -173,16 +175,18 @@
     return tuple(REPORT.get(field, field) for field in report.get("fields", ()))
 
 
-def parse_names(raw: Any) -> Names:
+def parse_names(raw: Any) -> ProtocolNames:
     """What a host on sockets needs besides."""
     with named_errors():
         special = raw["specifics"]
-        return Names(
+        return ProtocolNames(
             types={row["name"]: index for index, row in enumerate(raw["trafficTypes"])},
             tenants={row["name"]: index for index, row in enumerate(raw.get("accounts", []))},
             zones={name: index for index, name in enumerate(raw["areas"])},
-            guards=[over_nought("guardTimeUs", row["guardTimeUs"]) / 1e6 for row in raw["trafficTypes"]],
+            default_timeouts=[
+                over_nought("guardTimeUs", row["guardTimeUs"]) / 1e6 for row in raw["trafficTypes"]
+            ],
             connect_timeout=over_nought("connectTimeoutUs", raw["caps"]["connectTimeoutUs"]) / 1e6,
-            tells_delay=bool(special.get("tellsDelay")),
-            tells_load=bool(special.get("tellsLoad")),
+            reports_delay=bool(special.get("tellsDelay")),
+            reports_load=bool(special.get("tellsLoad")),
         )
