--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -14,7 +14,7 @@
 
 from bellrack import model
 from bellrack.chain import Stage, link
-from bellrack.discovery_retry import Retry
+from bellrack.discovery_retry import RetrySchedule
 from bellrack.model import Call, Host, Leg, Result, Server, Settings
 from bellrack.peers.overload import OverloadDetector
 from bellrack.rng import Rng, lcg_step
@@ -544,7 +544,7 @@
         self.looks = False  # a look at them is due
         self.sizes: dict[int, float] = {}  # by kind of machine, where listed weights are live
         self.held = 0  # own connections and legs out, everywhere
-        self.retry = Retry(settings, self.rng)
+        self.discovery_retry = RetrySchedule(settings, self.rng)
         self.seen: dict[int, list[float]] = {}  # by zone: late servers and all that we hear of
         self.answer, self.listing, self.effect = AnswerStage(self), ListedStage(self), EffectStage(self)
         self.slow_start, self.zone, self.selection = SlowStart(self), ZoneStage(self), SelectionStage(self)
@@ -557,7 +557,7 @@
         if settings.may_publish:
             host.set_timer(host.now + TELL_EVERY * (1 + self.rng.uniform()), "tell")
         if settings.asks:
-            host.set_timer(host.now + self.retry.first(), "watch")
+            host.set_timer(host.now + self.discovery_retry.first(), "watch")
 
     def on_call(self, call: Call) -> None:
         self.answer.on_call(call)
@@ -647,7 +647,7 @@
         self.queued.append(call)
 
     def on_servers_listed(self, servers: list[Server]) -> None:
-        self.retry.answered()
+        self.discovery_retry.answered()
         first = not self.fleet
         for server in servers:
             if server.local_state is None:
@@ -711,4 +711,4 @@
     def on_discovery_failed(self, reached: bool = True) -> None:
         """Discovery failed us; `reached` unless it did not even take the call."""
         if self.settings.asks:
-            self.host.set_timer(self.host.now + self.retry.gap(reached), "watch")
+            self.host.set_timer(self.host.now + self.discovery_retry.gap(reached), "watch")
--- a/bellrack/discovery_retry.py
+++ b/bellrack/discovery_retry.py
@@ -47,7 +47,7 @@
 DOUBLINGS = 10  # at most
 
 
-class Retry:
+class RetrySchedule:
     """The gaps between the calls of one balancer."""
 
     def __init__(self, settings: Settings, rng: Rng):
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -132,7 +132,7 @@
         self.end("watch-ended")
         if on:
             self.standing = self.call(self.node, self.address, True)
-            self.overlap_at = self.node.now + self.node.balancer.retry.overlap()
+            self.overlap_at = self.node.now + self.node.balancer.discovery_retry.overlap()
 
     def end(self, reason: str) -> None:
         for question in (self.standing, self.younger):
@@ -147,7 +147,7 @@
         """Another address from now on. Its versions are its own, so the first list is asked for whole; till
         it has come, the watch at the old address tells what it still has to."""
         self.address, self.node.server_list.version = address, 0
-        self.node.balancer.retry.answered()
+        self.node.balancer.discovery_retry.answered()
         if self.standing and not self.standing.waits:
             self.former, self.standing = self.standing, self.former
         self.end("watch-replaced")
@@ -171,7 +171,7 @@
         """The list is what discovery had then, and was heeded."""
         self.age.confirmed(since)
         self.node.server_list.confirmed = True
-        self.node.balancer.retry.answered()
+        self.node.balancer.discovery_retry.answered()
         self.judge()
 
     def failed(self, question: Any) -> None:
@@ -187,7 +187,7 @@
             self.standing = self.younger if question is self.standing else self.standing
             self.younger = None
             self.node.counters["list_failures"] += 1
-            self.overlap_at = self.node.now + self.node.balancer.retry.gap(question.reached)
+            self.overlap_at = self.node.now + self.node.balancer.discovery_retry.gap(question.reached)
             return
         if question is self.standing:
             self.standing = None
@@ -217,7 +217,7 @@
     def overlap(self) -> None:
         """The standing call has not been answered for long."""
         self.node.counters["list_failures"] += 1
-        retry = self.node.balancer.retry
+        retry = self.node.balancer.discovery_retry
         if self.younger and self.node.now - self.standing.started > retry.patience:
             self.standing, self.younger = self.younger, self.standing
         if self.younger:
@@ -229,7 +229,7 @@
         """May the list still be used for whatever it names?"""
         if any(call and not call.begun and call.met for call in (self.standing, self.younger)):
             self.age.met()
-        window = self.node.balancer.retry.window()
+        window = self.node.balancer.discovery_retry.window()
         doubts = self.age.doubtful(self.node.now, window)
         if doubts != self.doubts:
             self.doubts = doubts
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -362,7 +362,7 @@
 
 def test_a_large_tier_repeats_at_its_own_rate_and_a_small_one_within_the_bound():
     for peers in (1, 10, 60, 200, 4800):
-        retry = discovery_retry.Retry(settings(peers=peers), Rng(5))
+        retry = discovery_retry.RetrySchedule(settings(peers=peers), Rng(5))
         gaps = [retry.gap() for _ in range(400)][10:]
         rate = peers / (sum(gaps) / len(gaps))
         most = min(discovery_retry.TIER_MOST, peers / discovery_retry.GAP_BUSY)
@@ -375,10 +375,10 @@
     worst = discovery_retry.CONNECT + discovery_retry.GAP_MOST + discovery.LOOK
     assert worst <= discovery_retry.TOLD - 2.0
     assert worst >= discovery_retry.OVERLAP + discovery.LOOK
-    retry = discovery_retry.Retry(settings(drain_grace=0.0), Rng(5))
+    retry = discovery_retry.RetrySchedule(settings(drain_grace=0.0), Rng(5))
     assert discovery.SILENT + discovery.LOOK < retry.window() < discovery_retry.TOLD
     # Of a tier whose gaps are longer than a list stands without a call, each change is told that soon.
-    assert discovery_retry.Retry(settings(peers=4800, ask_within=3.0), Rng(5)).window() < 3.0 + 1.0
+    assert discovery_retry.RetrySchedule(settings(peers=4800, ask_within=3.0), Rng(5)).window() < 3.0 + 1.0
 
 
 # On real connections. Times are a tenth, order and counts are looked at.
