--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -11,21 +11,21 @@
 
 # Of a server, by the names of the decisions; not what is open there: that comes with the connections.
 TIMES = ("bad_until", "issued_at", "warm_at", "told", "cut", "out_since")  # of these, seconds of its clock
-LEARNED = (
-    "weight",
-    "fails",
-    "bad_until",
-    "issued",
-    "issued_at",
-    "taken",
-    "warm_at",
-    "delay",
-    "told",
-    "holds",
-    "ceiling",
-    "cut",
-    "out_since",
-)
+LEARNED = {
+    "weight": "failure_weight",
+    "fails": "consecutive_failures",
+    "bad_until": "unhealthy_until",
+    "issued": "tokens_issued",
+    "issued_at": "tokens_issued_at",
+    "taken": "tokens_used",
+    "warm_at": "warm_at",
+    "delay": "delay_ratio",
+    "told": "delay_reported_at",
+    "holds": "delay_valid_for",
+    "ceiling": "limit",
+    "cut": "limit_cut_at",
+    "out_since": "cordoned_at",
+}  # names in JSON -> attributes of ServerState
 
 
 class Accounting:
@@ -86,7 +86,9 @@
         return {
             "bears": self.balancer.slow_start.proven_load,
             "servers": {
-                str(mark): {name: getattr(server.local_state, name) for name in LEARNED}
+                str(mark): {
+                    name: getattr(server.local_state, attribute) for name, attribute in LEARNED.items()
+                }
                 for mark, server in self.servers.items()
                 if server.state != model.GONE
             },
@@ -100,15 +102,15 @@
             self.balancer.slow_start.proven_load = max(self.balancer.slow_start.proven_load, bears)
         for mark, values in learned.get("servers", {}).items():
             server = self.servers.get(int(mark))
-            for name in LEARNED if server else ():
+            for name, attribute in LEARNED.items() if server else ():
                 if type(values.get(name)) in (int, float):
                     shift = later if name in TIMES else 0
-                    setattr(server.local_state, name, values[name] + shift)
+                    setattr(server.local_state, attribute, values[name] + shift)
 
     def may_move_later(self, leg: Leg) -> None:
         """The host did not carry out a move: the decisions may choose this connection again."""
         if leg.established and leg.result is None:
-            leg.server.local_state.legs[leg] = None
+            leg.server.local_state.established_legs[leg] = None
 
     def forget_server(self, server: Server) -> None:
         """One that is gone and holds nothing of ours; listed again, it is a new one."""
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -164,13 +164,19 @@
             ]
             size = sum(s.capacity for s in warm)
             self.proven_load = max(
-                self.proven_load, sum(s.local_state.open for s in warm) / size if size else 0.0
+                self.proven_load, sum(s.local_state.open_legs for s in warm) / size if size else 0.0
             )
         return max(self.proven_load, FIRST_FILL / self.settings.peers)
 
     def room(self, server: Server) -> bool:
-        under = server.local_state.open + server.local_state.part < self.baseline_load() * server.capacity
-        calm = self.host.now - server.local_state.told > SWAMPED_FOR and self.balancer.selection.room(server)
+        under = (
+            server.local_state.open_legs + server.local_state.rounding_offset
+            < self.baseline_load() * server.capacity
+        )
+        calm = (
+            self.host.now - server.local_state.delay_reported_at > SWAMPED_FOR
+            and self.balancer.selection.room(server)
+        )
         return under and calm and self.tokens(server) > 0
 
     def tokens(self, server: Server) -> int:
@@ -187,9 +193,12 @@
         budget, anew = rules.slow_start_budget(self.proven_load, server.capacity * self.warm(server))
         rate = min(AHEAD * bears / rules.ramp_time, anew / rules.fall_time)
         kept = (budget - rate * rules.fall_time) * max(1.0, 1 / (RUSH * bears))
-        stand.issued, stand.issued_at = stand.issued + rate * max(0.0, now - stand.issued_at), now
-        stand.taken = max(stand.taken, math.floor(stand.issued - kept))
-        return math.floor(stand.issued) - stand.taken
+        stand.tokens_issued, stand.tokens_issued_at = (
+            stand.tokens_issued + rate * max(0.0, now - stand.tokens_issued_at),
+            now,
+        )
+        stand.tokens_used = max(stand.tokens_used, math.floor(stand.tokens_issued - kept))
+        return math.floor(stand.tokens_issued) - stand.tokens_used
 
     def allowed(self, server: Server) -> float:
         """What all balancers may send a cold server in `fall_time`: N of the rule."""
@@ -212,27 +221,29 @@
         if stand.warm_at <= now:
             return True
         budget, _ = rules.slow_start_budget(self.proven_load, server.capacity * self.warm(server))
-        while stand.written and stand.written[0] <= now - rules.fall_time:
-            stand.written.popleft()
-        if len(stand.written) >= max(1, math.floor(budget + 1 / rules.peers)):
+        while stand.recent_setups and stand.recent_setups[0] <= now - rules.fall_time:
+            stand.recent_setups.popleft()
+        if len(stand.recent_setups) >= max(1, math.floor(budget + 1 / rules.peers)):
             return False
-        stand.written.append(now)
+        stand.recent_setups.append(now)
         return True
 
     def spend(self, server: Server) -> None:
         """What was issued so far may have been used by a process before us."""
         if server.local_state.warm_at > self.host.now:
-            server.local_state.taken += max(0, self.tokens(server))
+            server.local_state.tokens_used += max(0, self.tokens(server))
 
     def sent(self, server: Server) -> None:
         """Slower the more servers are late: guards against a fleet that sheds and is filled at once again."""
         sure, calm = self.baseline_load() * server.capacity, self.balancer.selection.calm_share(server.zone)
-        gap = 1 / max(GROWTH * max(server.local_state.open, sure), LEAST_PACE / self.settings.peers) / calm
+        gap = (
+            1 / max(GROWTH * max(server.local_state.open_legs, sure), LEAST_PACE / self.settings.peers) / calm
+        )
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
         sure = max(sure, 2) if self.balancer.overload.hears(self.host.now) else sure
-        gap *= self.warm(server) == 1.0 and (server.local_state.open >= sure or calm < SPILLOVER_RATIO)
-        server.local_state.taken, server.local_state.next_leg = (
-            server.local_state.taken + 1,
+        gap *= self.warm(server) == 1.0 and (server.local_state.open_legs >= sure or calm < SPILLOVER_RATIO)
+        server.local_state.tokens_used, server.local_state.next_leg_at = (
+            server.local_state.tokens_used + 1,
             self.host.now + gap,
         )
 
@@ -247,12 +258,12 @@
         now, selection, server = self.host.now, self.balancer.selection, None
         home = [s for s in call.candidates if s.zone == self.settings.zone]
         if self.share() >= SPILLOVER_RATIO:
-            server = selection.pick(call, [s for s in home if s.local_state.bad_until <= now])
+            server = selection.pick(call, [s for s in home if s.local_state.unhealthy_until <= now])
         most = self.limit * (1 + CEILING_GROWTH * (now - self.cut)) - 0.5
         if not server and self.balancer.held < most and not any(map(selection.awaited, call.awaited_servers)):
             # Guards against a zone whose servers stand but drown: what finds no room in it leaves; and what
             # finds no room anywhere is kept, lest it be shed and come again.
-            healthy = [s for s in call.candidates if s.local_state.bad_until <= now]
+            healthy = [s for s in call.candidates if s.local_state.unhealthy_until <= now]
             server = selection.pick(call, healthy or home or call.candidates)
         call.candidates = [server] if server else []
         self.forward_or_queue(call)
@@ -273,11 +284,16 @@
         calm = [
             s
             for s in home
-            if selection.healthy(s) and s.local_state.warm_at <= now and now - s.local_state.told > CALM
+            if selection.healthy(s)
+            and s.local_state.warm_at <= now
+            and now - s.local_state.delay_reported_at > CALM
         ]
         if home and len(calm) == len(home) and all(map(selection.room, home)):
             away = [
-                leg for s in self.balancer.fleet if s.zone != self.settings.zone for leg in s.local_state.legs
+                leg
+                for s in self.balancer.fleet
+                if s.zone != self.settings.zone
+                for leg in s.local_state.established_legs
             ]
             selection.move(away, TIDY_SHARE)
 
@@ -307,7 +323,7 @@
         self.fullness = next((report.index(one) for one in tell if one in report), None)
 
     def healthy(self, server: Server) -> bool:
-        return server.local_state.bad_until <= self.host.now
+        return server.local_state.unhealthy_until <= self.host.now
 
     def room(self, server: Server, full: float = 1.0) -> bool:
         """Not swamped, and under the ceiling found when it last was."""
@@ -315,29 +331,31 @@
         # Grows as what is usual does: guards against a small holder that was cut for what others hold there.
         grown = (
             CEILING_GROWTH
-            * (self.host.now - stand.cut)
-            * max(stand.ceiling, slow_start.baseline_load() * server.capacity)
+            * (self.host.now - stand.limit_cut_at)
+            * max(stand.limit, slow_start.baseline_load() * server.capacity)
         )
-        if self.reported(server) and stand.full >= full:
+        if self.reported(server) and stand.reported_load >= full:
             return False
-        return not self.overloaded(server) and stand.open + stand.part < slow_start.warm(server) * (
-            stand.ceiling + grown
-        )
+        return not self.overloaded(server) and stand.open_legs + stand.rounding_offset < slow_start.warm(
+            server
+        ) * (stand.limit + grown)
 
     def overloaded(self, server: Server) -> bool:
         """Told of late messages lately; where we hold nothing and so are told nothing, as its zone fares."""
         stand = server.local_state
         if self.reported_overloaded(server) or self.reported(server):
-            return self.reported_overloaded(server) or stand.full >= 1.0
+            return self.reported_overloaded(server) or stand.reported_load >= 1.0
         unseen = (
-            not stand.legs and stand.warm_at <= self.host.now and stand.part > self.calm_share(server.zone)
+            not stand.established_legs
+            and stand.warm_at <= self.host.now
+            and stand.rounding_offset > self.calm_share(server.zone)
         )
         return unseen and not self.balancer.overload.hears(self.host.now)
 
     def reported_overloaded(self, server: Server) -> bool:
         return (
-            server.local_state.delay >= SWAMPED
-            and self.host.now - server.local_state.told <= server.local_state.holds
+            server.local_state.delay_ratio >= SWAMPED
+            and self.host.now - server.local_state.delay_reported_at <= server.local_state.delay_valid_for
         )
 
     def look(self) -> None:
@@ -346,7 +364,11 @@
             seen[0], seen[1] = seen[0] / 2, seen[1] / 2
         hears = self.balancer.overload.hears(self.host.now)
         for server in self.balancer.listing.ready:
-            if server.local_state.legs or hears or self.host.now - server.local_state.told <= SWAMPED_FOR:
+            if (
+                server.local_state.established_legs
+                or hears
+                or self.host.now - server.local_state.delay_reported_at <= SWAMPED_FOR
+            ):
                 seen = self.balancer.seen.setdefault(server.zone, [0.0, 0.0])
                 seen[0] += self.reported_overloaded(server)
                 seen[1] += 1
@@ -363,14 +385,20 @@
         if delay >= 1:
             # Guards against connections that stay where their messages are late: the paper's rule is for new
             # ones, so a few are asked to come again, those first whose group's lots belong here least.
-            rest = sorted(server.local_state.legs, key=lambda leg: -self.rendezvous_score(leg.call, server))
+            rest = sorted(
+                server.local_state.established_legs, key=lambda leg: -self.rendezvous_score(leg.call, server)
+            )
             share = MOVE_SHARE * min(delay, MOVE_MOST)
             # What is moved lowers the ceiling with it: guards against many balancers with a connection each,
             # which hear no more of the server once theirs is moved, and together fill it up again.
-            held = server.local_state.open / self.balancer.slow_start.warm(server)
+            held = server.local_state.open_legs / self.balancer.slow_start.warm(server)
             self.lower(server, CEILING * (1 - share) * held)
             self.move(rest, share)
-        server.local_state.delay, server.local_state.told, server.local_state.holds = (
+        (
+            server.local_state.delay_ratio,
+            server.local_state.delay_reported_at,
+            server.local_state.delay_valid_for,
+        ) = (
             delay,
             self.host.now,
             holds,
@@ -380,25 +408,23 @@
         """The first of them, rounded by chance: guards against many balancers that each take a whole one."""
         for leg in legs[: int(share * len(legs) + self.balancer.rng.uniform())]:
             self.host.move(leg.call)
-            del leg.server.local_state.legs[leg]
+            del leg.server.local_state.established_legs[leg]
 
     def lower(self, server: Server, ceiling: float) -> None:
         """Not where one of many that know of each other holds one: that is no measure of the server."""
-        if server.local_state.open > 1 or not self.balancer.overload.hears(self.host.now):
-            server.local_state.ceiling = min(server.local_state.ceiling, ceiling)
+        if server.local_state.open_legs > 1 or not self.balancer.overload.hears(self.host.now):
+            server.local_state.limit = min(server.local_state.limit, ceiling)
 
     def cut(self, server: Server) -> None:
         """Lower the server's ceiling, at most once in the time that a notice holds."""
         stand, now, balancer = server.local_state, self.host.now, self.balancer
-        if now - stand.cut > CUT_EVERY:
+        if now - stand.limit_cut_at > CUT_EVERY:
             # As if warm: guards against a ceiling found while cold that would outlast the warm-up.
-            held = stand.open / balancer.slow_start.warm(server)
-            self.lower(
-                server, (SHED if balancer.overload.unsaid(now) else CEILING) * min(stand.ceiling, held)
-            )
-            if now - stand.cut > CALM:
-                self.host.log(f"server swamped: held {stand.open}, ceiling {stand.ceiling:.1f}")
-            stand.cut = now
+            held = stand.open_legs / balancer.slow_start.warm(server)
+            self.lower(server, (SHED if balancer.overload.unsaid(now) else CEILING) * min(stand.limit, held))
+            if now - stand.limit_cut_at > CALM:
+                self.host.log(f"server swamped: held {stand.open_legs}, ceiling {stand.limit:.1f}")
+            stand.limit_cut_at = now
 
     def pick(self, call: Call, places: list[Server]) -> Server | None:
         """The first lot with room, of few: guards against groups that scatter over what each thinks open.
@@ -408,15 +434,15 @@
             return None
         now, warm = self.host.now, self.balancer.slow_start.warm
         sizes = [s.capacity if s.local_state.warm_at <= now else s.capacity * warm(s) for s in places]
-        held = self.balancer.fleet_load() or {s: s.local_state.open for s in places}
+        held = self.balancer.fleet_load() or {s: s.local_state.open_legs for s in places}
         mean = ABOVE_MEAN * sum([held[s] for s in places]) / sum(sizes)
         low = [s for s, size in zip(places, sizes) if held[s] < 1 + mean * size] or places
         # Guards against a server put back that waits long for its lot, by the weight of a cold one.
-        missed = [s for s in low if s.local_state.missed or s.needs_attempt and not call.group]
+        missed = [s for s in low if s.local_state.unused_since_uncordon or s.needs_attempt and not call.group]
         missed = [
             s
             for s in missed
-            if now >= s.local_state.next_leg and self.balancer.slow_start.accepts(s) and self.room(s, FULL)
+            if now >= s.local_state.next_leg_at and self.balancer.slow_start.accepts(s) and self.room(s, FULL)
         ]
         held = missed or self.holders(call, low)
         for server in held or low:  # kept with the call while it is kept: lots are dear
@@ -440,41 +466,43 @@
         if not call.group or self.beyond(call):
             return []
         group, now, holder = call.group, self.host.now, self.balancer.overload.holder
-        return [s for s in places if s.local_state.groups.get(group, 0) >= HOLDS or holder(s, group, now)]
+        return [
+            s for s in places if s.local_state.legs_by_group.get(group, 0) >= HOLDS or holder(s, group, now)
+        ]
 
     def beyond(self, call: Call) -> bool:
         """Guards against calls that are rejected for a full holder of their group while others have room."""
         return self.host.now >= call.arrived + HOLDERS_FOR * call.type.setup_target
 
     def reported(self, server: Server) -> bool:
-        return self.host.now <= server.local_state.full_until
+        return self.host.now <= server.local_state.report_valid_until
 
     def ask(self, server: Server) -> None:
         """Guards against placing blindly where we hold nothing, and so are told nothing."""
         stand, now = server.local_state, self.host.now
-        if self.fullness is not None and not self.reported(server) and now - stand.asked > FRESH:
-            stand.asked = now
+        if self.fullness is not None and not self.reported(server) and now - stand.probed_at > FRESH:
+            stand.probed_at = now
             self.host.probe(server)
 
     def awaited(self, server: Server) -> bool:
         """Was it asked, and may the answer still come in time?"""
-        return not self.reported(server) and self.host.now - server.local_state.asked < ASKED_FOR
+        return not self.reported(server) and self.host.now - server.local_state.probed_at < ASKED_FOR
 
     def on_probe_result(self, server: Server, result: Result) -> None:
         """What it found. No connection is no failure of the server, but no call is sent there for a while."""
         stand, whole = server.local_state, len(result.report) == len(self.settings.report)
         if result.kind == model.COMPLETED and whole and self.fullness is not None:
-            stand.full = result.report[self.fullness]
+            stand.reported_load = result.report[self.fullness]
         elif result.kind == model.NO_CONN:
-            stand.full = math.inf
+            stand.reported_load = math.inf
         else:
             return
         # That it is full stands longer: guards against asking in vain at each try of a client in a jam.
-        stand.full_until = self.host.now + (FULL_FRESH if stand.full >= FULL else FRESH)
+        stand.report_valid_until = self.host.now + (FULL_FRESH if stand.reported_load >= FULL else FRESH)
 
     def handle(self, call: Call) -> None:
         server = call.candidates[0]
-        if self.host.now >= server.local_state.next_leg:
+        if self.host.now >= server.local_state.next_leg_at:
             self.send(call, server)
         else:
             call.awaited_servers = [server]
@@ -483,7 +511,7 @@
     def rendezvous_score(self, call: Call, server: Server) -> float:
         """A lot whose least value falls on servers in proportion to their weights. A group's lots are the
         same at every draw and balancer, so its connections gather and share what they cost a server."""
-        weight = server.local_state.weight * server.capacity * self.balancer.slow_start.warm(server)
+        weight = server.local_state.failure_weight * server.capacity * self.balancer.slow_start.warm(server)
         if not call.group:
             return -math.log(self.balancer.rng.uniform() + 1e-12) / weight
         even = lcg_step(lcg_step(call.group ^ server.id_hash * 0x9E3779B97F4A7C15))
@@ -493,31 +521,39 @@
         until, call.scores, call.awaited_servers = self.balancer.answer.answer_by(call), {}, []
         self.count(call, server, 1)
         self.balancer.slow_start.sent(server)
-        server.local_state.missed = False
+        server.local_state.unused_since_uncordon = False
         self.host.send(call, server, until)
 
     def count(self, call: Call, server: Server, by: int) -> None:
-        server.local_state.open += by
+        server.local_state.open_legs += by
         self.balancer.held += by
-        server.local_state.groups[call.group] = left = server.local_state.groups.get(call.group, 0) + by
+        server.local_state.legs_by_group[call.group] = left = (
+            server.local_state.legs_by_group.get(call.group, 0) + by
+        )
         if not left:
-            del server.local_state.groups[call.group]
-        self.balancer.overload.sums.holds(server.id_hash, server.local_state.open, call.group, left)
+            del server.local_state.legs_by_group[call.group]
+        self.balancer.overload.sums.holds(server.id_hash, server.local_state.open_legs, call.group, left)
 
     def on_established(self, leg: Leg) -> None:
         self.balancer.overload.stood(leg.server, self.host.now - leg.sent, self.host.now)
         stand = leg.server.local_state
-        stand.fails, stand.legs[leg], stand.weight = 0, None, min(1.0, stand.weight + REGAIN)
+        stand.consecutive_failures, stand.established_legs[leg], stand.failure_weight = (
+            0,
+            None,
+            min(1.0, stand.failure_weight + REGAIN),
+        )
         self.previous.on_established(leg)
 
     def on_leg_ended(self, leg: Leg, result: Result) -> None:
         if result.kind in (model.RESET, model.NO_CONN):
-            leg.server.local_state.full_until = -math.inf  # guards against a report from before it broke
+            leg.server.local_state.report_valid_until = (
+                -math.inf
+            )  # guards against a report from before it broke
         if leg.established and result.kind == model.RESET:
             self.cut(leg.server)  # guards against a server that sheds what it cannot carry
             self.balancer.overload.dropped(leg.server, self.host.now)
         self.count(leg.call, leg.server, -1)
-        leg.server.local_state.legs.pop(leg, None)
+        leg.server.local_state.established_legs.pop(leg, None)
         soon = not leg.established or self.host.now - leg.sent < SOON
         if result.kind not in (model.COMPLETED, model.CANCELLED, model.MOOT) and soon:
             self.failed(leg.server)
@@ -525,11 +561,16 @@
 
     def failed(self, server: Server) -> None:
         stand = server.local_state
-        stand.weight, stand.fails = max(FLOOR, stand.weight / 2), stand.fails + 1
-        if stand.fails >= FAILURES and self.healthy(server):
-            self.host.log(f"server unhealthy for {HOLD:g} s after {stand.fails} failures in a row")
-        if stand.fails >= FAILURES:
-            stand.bad_until = self.host.now + HOLD
+        stand.failure_weight, stand.consecutive_failures = (
+            max(FLOOR, stand.failure_weight / 2),
+            stand.consecutive_failures + 1,
+        )
+        if stand.consecutive_failures >= FAILURES and self.healthy(server):
+            self.host.log(
+                f"server unhealthy for {HOLD:g} s after {stand.consecutive_failures} failures in a row"
+            )
+        if stand.consecutive_failures >= FAILURES:
+            stand.unhealthy_until = self.host.now + HOLD
             self.balancer.zone.looked = -math.inf
 
 
@@ -564,7 +605,7 @@
 
     def on_resumed(self, leg: Leg) -> None:
         self.selection.count(leg.call, leg.server, 1)
-        leg.server.local_state.legs[leg] = None
+        leg.server.local_state.established_legs[leg] = None
 
     def on_established(self, leg: Leg) -> None:
         self.selection.on_established(leg)
@@ -596,7 +637,7 @@
         if isinstance(what, Call):
             self.answer.due(what)
         elif isinstance(what, Server) and what.cordoned:
-            self.selection.move(list(what.local_state.legs), OUT_SHARE)
+            self.selection.move(list(what.local_state.established_legs), OUT_SHARE)
             self.host.set_timer(self.host.now + OUT_EVERY, what)
         elif what == "kept":
             waiting, self.queued, self.looks = self.queued, [], False
@@ -625,7 +666,7 @@
             not call.awaited_servers
             or selection.beyond(call)
             or any(
-                now >= s.local_state.next_leg and selection.room(s) and slow_start.accepts(s)
+                now >= s.local_state.next_leg_at and selection.room(s) and slow_start.accepts(s)
                 for s in call.awaited_servers
             )
         )
@@ -675,20 +716,24 @@
         stand = server.local_state
         if stand.warm_at <= self.host.now:
             # Not while it is cold already: guards against starts told one after another, each with a budget.
-            stand.issued, stand.issued_at, stand.taken = 1 - stand.part, told, 0
+            stand.tokens_issued, stand.tokens_issued_at, stand.tokens_used = (
+                1 - stand.rounding_offset,
+                told,
+                0,
+            )
         stand.warm_at = since + self.settings.ramp_time
-        stand.fails, stand.bad_until, stand.weight = 0, 0.0, 1.0
+        stand.consecutive_failures, stand.unhealthy_until, stand.failure_weight = 0, 0.0, 1.0
 
     def on_cordoned(self, server: Server, out: bool) -> None:
         """Taken out by hand, it gets nothing new and what stands is moved. Put back, it is cold."""
         stand, now, before, server.cordoned = server.local_state, self.host.now, server.cordoned, out
         if out and not before:
-            stand.out_since = now
+            stand.cordoned_at = now
             self.on_timer(server)
         elif before and not out:
-            stand.missed, stand.ceiling = True, math.inf
+            stand.unused_since_uncordon, stand.limit = True, math.inf
             if (
-                stand.started_at < stand.out_since
+                stand.started_at < stand.cordoned_at
             ):  # guards against a list that does not know of the restart yet
                 self.starts(server, now, now)
         self.on_servers_listed([server])
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -55,14 +55,14 @@
 
 class LeastOpen(Pick):
     def choose(self, call: Call, places: list[Server]) -> Server | None:
-        least = min(server.local_state.open / server.capacity for server in places)
-        return super().choose(call, [s for s in places if s.local_state.open / s.capacity == least])
+        least = min(server.local_state.open_legs / server.capacity for server in places)
+        return super().choose(call, [s for s in places if s.local_state.open_legs / s.capacity == least])
 
 
 class TwoChoices(Pick):
     def choose(self, call: Call, places: list[Server]) -> Server | None:
         one, other = (super(TwoChoices, self).choose(call, places) for _ in range(2))
-        return min(one, other, key=lambda server: server.local_state.open / server.capacity)
+        return min(one, other, key=lambda server: server.local_state.open_legs / server.capacity)
 
 
 class BoundedHash(Pick):
@@ -83,13 +83,13 @@
                 key=lambda point: point[0],
             )
         allowed = set(places)
-        most = BOUND * (1 + sum(s.local_state.open for s in places)) / len(places)
+        most = BOUND * (1 + sum(s.local_state.open_legs for s in places)) / len(places)
         start = bisect.bisect_left(
             self.ring, rng.lcg_step(rng.lcg_step(call.group or call.key)), key=lambda point: point[0]
         )
         for at in range(len(self.ring)):
             server = self.ring[(start + at) % len(self.ring)][1]
-            if server in allowed and server.local_state.open < most:
+            if server in allowed and server.local_state.open_legs < most:
                 return server
         return places[0]
 
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -282,7 +282,7 @@
         seat.turn(seat.calls, self.start.retries, group)
 
     def holds(self, mark: int) -> int:
-        return sum(seat.servers[mark].local_state.open for seat in self.seats if mark in seat.servers)
+        return sum(seat.servers[mark].local_state.open_legs for seat in self.seats if mark in seat.servers)
 
     def full(self, server: Server) -> bool:
         return server.id_hash not in self.cold and self.holds(server.id_hash) > CAP * self.fills
@@ -294,7 +294,7 @@
             if self.start.drowning or self.holds(mark) > self.fills:
                 for seat in self.seats:
                     if mark in seat.servers and (
-                        leg := next(iter(seat.servers[mark].local_state.legs), None)
+                        leg := next(iter(seat.servers[mark].local_state.established_legs), None)
                     ):
                         seat.turn(seat.balancer.on_delay_reported, leg, LATE * AIM)
         self.at(self.now + 1.0, self.drowns, warm)
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -499,7 +499,7 @@
     def queued(count: int) -> int:
         host = host_of()
         for server in host.fleet(count, 10):
-            server.local_state.ceiling, server.local_state.cut = 0.0, host.now
+            server.local_state.limit, server.local_state.limit_cut_at = 0.0, host.now
         host.ask(1).host_record = host  # all that is made once
         number = 20
         return allocated(lambda: [host.ask(n + 2) for n in range(number)])[0] // number
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -153,22 +153,32 @@
     """What the decisions keep of one server: what this balancer has seen of it."""
 
     def __init__(self, part: float) -> None:
-        self.part = part  # of one connection: at many balancers it makes fractions add up
-        self.weight, self.fails = 1.0, 0
-        self.open = 0  # own connections and legs out
-        self.started_at = self.out_since = self.bad_until = 0.0
+        self.rounding_offset = part  # of one connection: at many balancers it makes fractions add up
+        self.failure_weight, self.consecutive_failures = 1.0, 0
+        self.open_legs = 0  # own connections and legs out
+        self.started_at = self.cordoned_at = self.unhealthy_until = 0.0
         self.warm_at = 0.0  # when it surely is warm
-        self.next_leg = 0.0  # not before this
-        self.issued = self.issued_at = 0.0  # tokens for set-ups while it is cold, and up to when
-        self.taken = 0  # of them, those used or lost
-        self.written: deque[float] = deque()  # when set-ups went out to it while it was cold, of late
-        self.groups: dict[int, int] = {}  # the same by group
-        self.legs: dict[Leg, None] = {}  # own standing connections, oldest first
-        self.delay, self.holds = 0.0, 0.0  # as last told, over the shortest message aim; for how long
-        self.full = 0.0  # load asked of it over what it can do, as last reported
-        self.full_until = -math.inf  # how long that stands
-        self.told = self.cut = self.asked = -math.inf  # asked: when it last was probed
-        self.ceiling, self.missed = math.inf, False  # missed: put back by hand and not used since
+        self.next_leg_at = 0.0  # not before this
+        self.tokens_issued = self.tokens_issued_at = (
+            0.0  # tokens for set-ups while it is cold, and up to when
+        )
+        self.tokens_used = 0  # of them, those used or lost
+        self.recent_setups: deque[float] = deque()  # when set-ups went out to it while it was cold, of late
+        self.legs_by_group: dict[int, int] = {}  # the same by group
+        self.established_legs: dict[Leg, None] = {}  # own standing connections, oldest first
+        self.delay_ratio, self.delay_valid_for = (
+            0.0,
+            0.0,
+        )  # as last told, over the shortest message aim; for how long
+        self.reported_load = 0.0  # load asked of it over what it can do, as last reported
+        self.report_valid_until = -math.inf  # how long that stands
+        self.delay_reported_at = self.limit_cut_at = (
+            self.probed_at
+        ) = -math.inf  # asked: when it last was probed
+        self.limit, self.unused_since_uncordon = (
+            math.inf,
+            False,
+        )  # missed: put back by hand and not used since
 
 
 @dataclass(eq=False)
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -38,7 +38,7 @@
 
     def forget_unused(self, server: Server) -> None:
         """Guards against records that grow with each machine that is replaced."""
-        if server.state != model.GONE or server.local_state.open:
+        if server.state != model.GONE or server.local_state.open_legs:
             server.host_record.used = self.node.now
         elif self.node.now - server.host_record.used > FORGET:
             self.node.forget_server(server)
--- a/bellrack/simulator/tally.py
+++ b/bellrack/simulator/tally.py
@@ -50,7 +50,7 @@
             return super().room(server)
         found = super().room(server, full)
         if not found:
-            reported = self.reported(server) and server.local_state.full >= full
+            reported = self.reported(server) and server.local_state.reported_load >= full
             self.seen.refused[
                 "load"
                 if reported
@@ -63,9 +63,9 @@
         return found
 
     def ask(self, server: Server) -> None:
-        before = server.local_state.asked
+        before = server.local_state.probed_at
         super().ask(server)
-        if server.local_state.asked != before:
+        if server.local_state.probed_at != before:
             self.seen.probes[server.id_hash, int(self.host.now)] += 1
             self.seen.cold[server.id_hash, int(self.host.now)] += server.local_state.warm_at > self.host.now
 
@@ -106,7 +106,7 @@
 
 
 def legs(balancer: choice.Balancer) -> Iterator[Leg]:
-    return (leg for server in balancer.fleet for leg in server.local_state.legs)
+    return (leg for server in balancer.fleet for leg in server.local_state.established_legs)
 
 
 def play(lines: Iterable[str]) -> Seen:
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -204,7 +204,7 @@
     Mutant(
         "held back for ever",
         "accounting.py",
-        "            leg.server.local_state.legs[leg] = None\n",
+        "            leg.server.local_state.established_legs[leg] = None\n",
         "            pass\n",
     ),
     Mutant(
--- a/tests/test_blind.py
+++ b/tests/test_blind.py
@@ -111,8 +111,8 @@
         bench.call()
         bench.establish(bench.sent[-1][0])
     bench.run(bench.now + 10)
-    held = one.local_state.open
-    for leg in list(one.local_state.legs):
+    held = one.local_state.open_legs
+    for leg in list(one.local_state.established_legs):
         bench.end_leg(leg, model.RESET)
     return bench, one, other, held
 
@@ -120,8 +120,8 @@
 def test_a_reset_closes_its_server_where_nothing_else_tells_that_it_is_late():
     bench, one, _, held = shed()
     room = bench.balancer.selection.room
-    assert held > 2 and one.local_state.ceiling == pytest.approx(0.6 * held)
-    assert not one.local_state.open and not room(one)
+    assert held > 2 and one.local_state.limit == pytest.approx(0.6 * held)
+    assert not one.local_state.open_legs and not room(one)
     bench.run(bench.now + 2.9)
     assert not room(one)
     bench.run(bench.now + 0.2)
@@ -133,15 +133,19 @@
 @pytest.mark.parametrize("told", [{"peers": model.PAIR}, {"peers": 1}])
 def test_who_hears_of_lateness_before_a_reset_cuts_little_and_closes_nothing(told):
     _, one, _, held = shed(**told)
-    assert one.local_state.ceiling == pytest.approx(0.95 * held)
-    assert one.local_state.delay == 0
+    assert one.local_state.limit == pytest.approx(0.95 * held)
+    assert one.local_state.delay_ratio == 0
 
 
 def test_a_notice_goes_before_what_a_reset_tells():
     bench, one, other, _ = shed()
-    ceiling = one.local_state.ceiling
+    ceiling = one.local_state.limit
     bench.run(bench.now + 5)
-    bench.balancer.on_delay_reported(next(iter(other.local_state.legs)), 0.01)
-    one.local_state.cut, one.local_state.told, one.local_state.delay = 0.0, 0.0, 0.0
+    bench.balancer.on_delay_reported(next(iter(other.local_state.established_legs)), 0.01)
+    one.local_state.limit_cut_at, one.local_state.delay_reported_at, one.local_state.delay_ratio = (
+        0.0,
+        0.0,
+        0.0,
+    )
     bench.balancer.overload.dropped(one, bench.now)
-    assert one.local_state.delay == 0 and one.local_state.ceiling == ceiling
+    assert one.local_state.delay_ratio == 0 and one.local_state.limit == ceiling
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -111,7 +111,7 @@
     bench = Bench(settings())
     cold, *_ = bench.fleet(0, 0, 0)
     place(bench, 90)
-    for leg in list(cold.local_state.legs):
+    for leg in list(cold.local_state.established_legs):
         bench.end_leg(leg, model.RESET)
     cold.started_at = bench.now
     bench.balancer.on_servers_listed([cold])
@@ -141,12 +141,12 @@
     bench = Bench(settings())
     (known,) = bench.fleet(0, started_at=bench.now - 10)
     bench.call()
-    assert known.local_state.open == 1
+    assert known.local_state.open_legs == 1
     late = Server(9, 0, started_at=bench.now - 10)  # told late: this one counts from now
     bench.balancer.on_servers_listed([late])
     for _ in range(4):
         bench.call()
-    assert not late.local_state.open
+    assert not late.local_state.open_legs
 
 
 def test_a_small_holder_that_was_cut_takes_more_again_as_is_usual():
@@ -154,10 +154,10 @@
     bench = Bench(settings(peers=2))
     (server,) = bench.fleet(0)
     place(bench, 1)
-    bench.balancer.on_delay_reported(next(iter(server.local_state.legs)), 0.07)
+    bench.balancer.on_delay_reported(next(iter(server.local_state.established_legs)), 0.07)
     assert not bench.balancer.selection.room(server)
     bench.run(bench.now + 20)
-    assert server.local_state.open == 1 and bench.balancer.selection.room(server)
+    assert server.local_state.open_legs == 1 and bench.balancer.selection.room(server)
 
 
 def test_a_rejected_call_comes_again_before_the_longest_wait():
@@ -185,7 +185,7 @@
         bench.run(bench.now + 5)
         place(bench, 3)
     assert (
-        300 <= sum(bench.balancer.fleet[0].local_state.open for bench in benches) < 380
+        300 <= sum(bench.balancer.fleet[0].local_state.open_legs for bench in benches) < 380
     )  # no second one each
 
 
@@ -205,7 +205,7 @@
     for bench in benches:
         for _ in range(12):  # each balancer finds other servers late
             server = bench.balancer.fleet[int(bench.balancer.rng.uniform() * 12)]
-            server.local_state.delay, server.local_state.told = 1.0, bench.now + 9
+            server.local_state.delay_ratio, server.local_state.delay_reported_at = 1.0, bench.now + 9
         for _ in range(3):
             bench.call(group=5)
     assert len({leg.server.id_hash for bench in benches for leg, _ in bench.sent}) <= 3
@@ -231,7 +231,7 @@
     bench = Bench(settings())
     fleet = bench.fleet(*[0] * 40)
     for server in fleet:
-        server.local_state.delay, server.local_state.told = 1.0, bench.now
+        server.local_state.delay_ratio, server.local_state.delay_reported_at = 1.0, bench.now
     call, asked = bench.call(), []
     bench.balancer.selection.room = asked.append
     bench.run(bench.now + 0.1)
@@ -332,7 +332,7 @@
             moved += 1
             bench.end_leg(leg, model.CANCELLED)
         bench.run(bench.now + 2 * choice.SWAMPED_FOR)
-        refilled += bench.balancer.selection.room(server) and not server.local_state.open
+        refilled += bench.balancer.selection.room(server) and not server.local_state.open_legs
     share = choice.MOVE_SHARE * choice.MOVE_MOST
     assert 0.4 * 40 * share <= moved
     assert 0 < refilled <= 1.5 * (1 - share) * moved
@@ -384,7 +384,7 @@
         bench.call()
         bench.run(bench.now + 0.5)
     assert back in [leg.server for leg, _ in bench.sent[sent:]]
-    assert not back.local_state.missed
+    assert not back.local_state.unused_since_uncordon
 
 
 def test_a_restart_that_the_list_told_while_a_server_was_out_counts_from_then():
@@ -409,7 +409,7 @@
     bench.call(group=3), bench.call(group=4), bench.call(group=5)
     bench.run(bench.now + 0.5)
     (holder,) = {leg.server for leg, _ in bench.sent[:2]}
-    holder.local_state.ceiling, holder.local_state.cut = 0.0, bench.now  # full, and the others are not
+    holder.local_state.limit, holder.local_state.limit_cut_at = 0.0, bench.now  # full, and the others are not
     call = bench.call(group=7)
     kind = call.type
     bench.run(call.arrived + choice.HOLDERS_FOR * kind.setup_target - 0.01)
@@ -436,7 +436,7 @@
     bench = Bench(settings(peers=20))
     fleet = bench.fleet(*[0] * 10)
     for server in fleet[:2]:
-        server.local_state.open = 8
+        server.local_state.open_legs = 8
     bench.run(bench.now + 1)
     known = bench.balancer.slow_start.baseline_load()
     for server in fleet[2:]:
@@ -453,5 +453,9 @@
     bench = Bench(settings(peers=3, ramp_time=20.0))
     (one,) = bench.fleet(0)
     bench.balancer.starts(one, bench.now, bench.now)
-    one.local_state.issued, one.local_state.taken, one.local_state.issued_at = 0.0, 5, bench.now + 100
-    assert not bench.balancer.slow_start.room(one) and one.local_state.issued == 0.0
+    one.local_state.tokens_issued, one.local_state.tokens_used, one.local_state.tokens_issued_at = (
+        0.0,
+        5,
+        bench.now + 100,
+    )
+    assert not bench.balancer.slow_start.room(one) and one.local_state.tokens_issued == 0.0
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -65,11 +65,11 @@
     tell(host, 1, entry("s-0", 0), entry("s-1", 0), reset=True)
     tell(host, 2, entry("s-0", stamp))
     stand = host.servers[lines.mark("s-0")].local_state
-    warm_at, stand.taken = stand.warm_at, 41
+    warm_at, stand.tokens_used = stand.warm_at, 41
     for generation in (3, 4):
         host.now += 3.0
         tell(host, generation, entry("s-0", stamp), entry("s-1", 0), reset=generation == 4)
-    assert stand.warm_at == warm_at and stand.taken == 41
+    assert stand.warm_at == warm_at and stand.tokens_used == 41
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -116,13 +116,13 @@
         link = next(iter(next(s for s in old.servers.values() if s.host_record.legs).host_record.legs))
         link.asked.append(old.clock())  # a line of the client that is still unanswered
         first, second = old.servers.values()
-        first.local_state.bad_until, second.local_state.warm_at = old.clock() + 60, old.clock() + 8
+        first.local_state.unhealthy_until, second.local_state.warm_at = old.clock() + 60, old.clock() + 8
         old.resumed.window.started = old.begun - 11.0
         real = time.time
         monkeypatch.setattr(turns.time, "time", lambda: real() + step)
         async with world.beside() as new:
             known = [new.servers[one.id_hash].local_state for one in (first, second)]
-            assert 50 < known[0].bad_until - new.clock() <= 60
+            assert 50 < known[0].unhealthy_until - new.clock() <= 60
             assert 5 < known[1].warm_at - new.clock() <= 8
             assert 10.5 < new.begun - new.resumed.window.started < 12
             old.leave()
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -34,7 +34,7 @@
 def ended_set_ups_uncounted(monkeypatch):
     def uncounted(stage, server):
         honest(stage, server)
-        server.local_state.taken -= 1
+        server.local_state.tokens_used -= 1
 
     honest = choice.SlowStart.sent
     monkeypatch.setattr(choice.SlowStart, "sent", uncounted)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -293,7 +293,9 @@
     tier.service.becomes("silent")
     tier.run(BOUND)
     marked = [server for node in tier.nodes for server in node.servers.values() if server.needs_attempt]
-    assert len(marked) == 3 * SERVERS and not any(server.local_state.missed for server in marked)
+    assert len(marked) == 3 * SERVERS and not any(
+        server.local_state.unused_since_uncordon for server in marked
+    )
     tier.service.becomes("up")
     tier.run(10.0)
     assert not any(server.needs_attempt for server in marked)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -104,7 +104,7 @@
         await nothing_left(world)
         assert not world.node.counters["upstream_requests"] and world.node.counters["leg_cancelled"] == 1
         assert (
-            next(iter(world.node.servers.values())).local_state.fails == 0
+            next(iter(world.node.servers.values())).local_state.consecutive_failures == 0
         )  # it is no failure of the server
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -88,7 +88,7 @@
 async def test_what_stands_goes_over_and_no_byte_is_lost_or_twice(folder):
     async with World(servers=3, control=True, listen=free()) as world:
         old, pairs = world.node, [await world.standing() for _ in range(40)]
-        held = {server.id_hash: server.local_state.open for server in old.servers.values()}
+        held = {server.id_hash: server.local_state.open_legs for server in old.servers.values()}
         for number, (client, server) in enumerate(pairs):
             client.writer.write(b"first half %d, " % number)
             server.writer.write(b"answer %d " % number)
@@ -107,7 +107,7 @@
         new = world.node
         assert (old.counters["moved"], new.counters["taken_over"], old.balancer.held) == (0, 40, 0)
         assert {
-            s.id_hash: s.local_state.open for s in new.servers.values()
+            s.id_hash: s.local_state.open_legs for s in new.servers.values()
         } == held and new.balancer.held == 40
         assert (await world.figures())["pending"] == 40
         pairs[0][0].end("fin")
@@ -208,21 +208,25 @@
     async with World(servers=2, control=True, listen=free()) as world:
         first, _ = world.node.servers.values()
         world.node.balancer.slow_start.proven_load = 17.5
-        first.local_state.weight, first.local_state.ceiling, first.local_state.bad_until = (
+        first.local_state.failure_weight, first.local_state.limit, first.local_state.unhealthy_until = (
             0.25,
             9.5,
             world.node.now + 60,
         )
         async with world.beside() as second:
             same = second.servers[first.id_hash].local_state
-            assert (same.weight, same.ceiling, same.bad_until) == (0.25, 9.5, first.local_state.bad_until)
+            assert (same.failure_weight, same.limit, same.unhealthy_until) == (
+                0.25,
+                9.5,
+                first.local_state.unhealthy_until,
+            )
             assert second.balancer.slow_start.baseline_load() >= 17.5 and second.balancer.avoids(
                 second.servers[first.id_hash]
             )
             for odd in (5, {"x": {}}, {first.id_hash: {"weight": "1"}}, {}):
                 with contextlib.suppress(AttributeError, ValueError):
                     second.import_learned({"servers": odd})
-            assert same.weight == 0.25
+            assert same.failure_weight == 0.25
 
 
 @played
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -169,7 +169,10 @@
     assert kept(world)
     for node in world.nodes:
         assert not node.attempts and not node.balancer.held
-        assert not any(server.local_state.open or server.local_state.legs for server in node.servers.values())
+        assert not any(
+            server.local_state.open_legs or server.local_state.established_legs
+            for server in node.servers.values()
+        )
     assert not any(machine.held or machine.setups for machine in world.machines)
     assert not world.ledger.held.any() and not world.ledger.wanting.any()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -101,7 +101,7 @@
             world.arrived.get_nowait()[1].end("rst")
         await world.until(lambda: room.descriptors == before and not (room.ids or room.spare))
         stands = [server.local_state for server in world.node.servers.values()]
-        assert not any(stand.open or stand.legs or stand.groups for stand in stands)
+        assert not any(stand.open_legs or stand.established_legs or stand.legs_by_group for stand in stands)
         assert not (world.node.clients or world.node.balancer.held or world.node.counters["faults"])
 
 
@@ -206,7 +206,7 @@
         server.say("LOAD 25.0")
         assert await client.line() == "LOAD 25.0"
         stand = next(iter(world.node.servers.values())).local_state
-        assert (stand.delay, next(iter(stand.legs)).load) == (heard, 25.0 if tells else 0.0)
+        assert (stand.delay_ratio, next(iter(stand.established_legs)).load) == (heard, 25.0 if tells else 0.0)
 
 
 @pytest.mark.parametrize("figure", ["nan", "inf", "-inf", "-1", "", "x", "1e999"])
@@ -218,7 +218,7 @@
         server.say("\x00\x7f  garbage")
         assert (await client.line()).startswith("LOAD") and (await client.line()).endswith("garbage")
         stand = next(iter(world.node.servers.values())).local_state
-        assert (stand.delay, stand.ceiling, world.node.counters["faults"]) == (0.0, float("inf"), 0)
+        assert (stand.delay_ratio, stand.limit, world.node.counters["faults"]) == (0.0, float("inf"), 0)
         await world.standing()
 
 
@@ -269,7 +269,7 @@
         client, _ = await world.standing()
         client.say("M 1")
         stand = next(iter(world.node.servers.values())).local_state
-        await world.until(lambda: stand.delay > 0.5)
+        await world.until(lambda: stand.delay_ratio > 0.5)
         assert [await client.line(), await client.line()] == ["MOVE", "fin"]
         assert world.node.counters["leg_reset"] == 1
 
@@ -287,7 +287,7 @@
     async with World(servers=2) as world:
         client = await world.call()
         await world.until(lambda: world.node.counters["legs"])
-        chosen = next(s for s in world.node.servers.values() if s.local_state.open).host_record.name[-1]
+        chosen = next(s for s in world.node.servers.values() if s.local_state.open_legs).host_record.name[-1]
         drained = world.entry(chosen, world.entries[int(chosen)]["hostPort"], "terminating")
         world.node.queue(
             world.node.server_list.on_list,
@@ -480,7 +480,7 @@
         number, server, _ = await world.leg()
         server.say("UP 7")
         assert number == 2 and await client.line() == "UP 7"
-        assert [s.local_state.open for s in world.node.servers.values()] == [0, 0, 1]
+        assert [s.local_state.open_legs for s in world.node.servers.values()] == [0, 0, 1]
 
 
 @played
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -227,7 +227,11 @@
     leg = bench.call().legs[0]
     bench.establish(leg)
     for server in fleet:
-        server.local_state.delay, server.local_state.told, server.local_state.holds = 0.7, bench.now, 1.5
+        (
+            server.local_state.delay_ratio,
+            server.local_state.delay_reported_at,
+            server.local_state.delay_valid_for,
+        ) = 0.7, bench.now, 1.5
     bench.balancer.selection.look()
     bench.balancer.zone.limit_fleet_overload()
     assert bench.balancer.zone.limit > 2
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -79,7 +79,11 @@
         bench.answer(server, **answer)
     assert not bench.sent
     bench.run(bench.now + 0.16)
-    assert sent(bench) == [server] and server.local_state.weight == 1.0 and not server.local_state.fails
+    assert (
+        sent(bench) == [server]
+        and server.local_state.failure_weight == 1.0
+        and not server.local_state.consecutive_failures
+    )
 
 
 def test_a_group_leaves_its_first_server_last():
@@ -101,7 +105,7 @@
     bench.answer(gone, kind=model.NO_CONN)
     (other,) = bench.probes
     bench.answer(other, 0.1, 0.1)
-    assert sent(bench) == [other] and gone.local_state.bad_until == 0.0
+    assert sent(bench) == [other] and gone.local_state.unhealthy_until == 0.0
     bench.run(bench.now + 2.2)
     asked(bench)
     assert gone in bench.probes  # asked again: it may be back
@@ -141,4 +145,4 @@
     bench.call()
     assert len(bench.probes) == probes
     bench.balancer.on_probe_result(server, Result(model.COMPLETED, 0.001, (7.0, 0.95)[: len(report)]))
-    assert server.local_state.full == 0.95 * probes and len(bench.sent) == 1 - probes
+    assert server.local_state.reported_load == 0.95 * probes and len(bench.sent) == 1 - probes
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -125,7 +125,7 @@
         for _ in range(40):
             world.node.queue(world.node.balancer.on_timer, "tidy")
         await world.until(lambda: not (world.node.events or world.node.actions))
-        assert len(world.node.servers[lines.mark("s-1")].local_state.legs) == 10
+        assert len(world.node.servers[lines.mark("s-1")].local_state.established_legs) == 10
         assert not world.node.counters["moved"]
         if begins == "request":
             await in_service(world)
@@ -405,7 +405,7 @@
         assert world.node.balancer.held == 0
         server.say("UP 0")
         assert await client.line() == "UP 0"
-        assert [one.local_state.open for one in world.node.servers.values()] == [1, 0, 0]
+        assert [one.local_state.open_legs for one in world.node.servers.values()] == [1, 0, 0]
         client.end("fin")
         assert await server.line() == "fin"
         await world.until(lambda: world.node.balancer.held == 0)
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -113,7 +113,11 @@
         out = await world.call("c=one,t=acme,d=2000")
         _, asked, _ = await world.leg()
         for place in world.node.servers.values():
-            place.local_state.told, place.local_state.delay, place.local_state.holds = (
+            (
+                place.local_state.delay_reported_at,
+                place.local_state.delay_ratio,
+                place.local_state.delay_valid_for,
+            ) = (
                 world.node.clock(),
                 1.0,
                 1e9,
@@ -126,7 +130,7 @@
         asked.say("ERR")
         assert await out.line() == "ERR"  # once-only when it came
         for place in world.node.servers.values():
-            place.local_state.holds = 0.0
+            place.local_state.delay_valid_for = 0.0
         (await world.leg())[1].say("ERR")
         (await world.leg())[1].say("UP 2")  # repeatable when it came
         assert await kept.line() == "UP 2"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -143,15 +143,18 @@
         bench.end_leg(leg, model.RESET)
     cold.started_at = start = bench.now
     for server in warm if live else []:
-        server.weight /= 1 + server.local_state.open
+        server.weight /= 1 + server.local_state.open_legs
     bench.balancer.on_servers_listed([cold, *warm])
     for step in range(100):
         bench.run(start + max(0, step - 50) * 0.2)  # half of them at once
         bench.call()
         bench.establish(bench.sent[-1][0])
-        usual = sum(server.local_state.open for server in warm) / 2
-        assert cold.local_state.open <= 1 + choice.AHEAD * usual * (bench.now - start) / bench.rules.ramp_time
-    assert cold.local_state.open > 3
+        usual = sum(server.local_state.open_legs for server in warm) / 2
+        assert (
+            cold.local_state.open_legs
+            <= 1 + choice.AHEAD * usual * (bench.now - start) / bench.rules.ramp_time
+        )
+    assert cold.local_state.open_legs > 3
 
 
 @hypothesis_settings(derandomize=True, max_examples=8, deadline=None)
@@ -174,7 +177,7 @@
                 sent += 1
                 if step % 2:
                     bench.end_leg(bench.sent[-1][0], model.RESET)
-        total += sum(server.local_state.open for server in warm) / len(warm)
+        total += sum(server.local_state.open_legs for server in warm) / len(warm)
     # Of what servers bear in all, or eight before any was seen.
     even = choice.AHEAD * (total + 8.0) * 3.2 / rules.ramp_time
     assert sent <= 3 * even + 4 * even**0.5 + 1  # a place filled, freed and filled again at twice the pace
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -145,7 +145,7 @@
         assert line.startswith("OPEN")
         server.say("UP 0011")
         assert await client.line() == "UP 0011"
-        full = [one for one in world.node.servers.values() if one.local_state.full == 1.4]
+        full = [one for one in world.node.servers.values() if one.local_state.reported_load == 1.4]
         assert len(full) == 1 and full[0].host_record.name != f"s-{number}"
         assert world.node.counters["probes"] == world.node.counters["probe_completed"] == 2
 
@@ -176,9 +176,9 @@
         assert (await world.leg())[2].startswith("OPEN") and client
         (server,) = world.node.servers.values()
         assert (
-            server.local_state.full == 0.0
-            and server.local_state.weight == 1.0
-            and not server.local_state.fails
+            server.local_state.reported_load == 0.0
+            and server.local_state.failure_weight == 1.0
+            and not server.local_state.consecutive_failures
         )
 
 
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -78,7 +78,7 @@
         server.say("UP 1")
         assert await client.line() == "UP 1"
         (known,) = world.node.servers.values()
-        assert known.local_state.weight == 1.0 and known.local_state.fails == 0
+        assert known.local_state.failure_weight == 1.0 and known.local_state.consecutive_failures == 0
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.ENOBUFS])
