--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -146,9 +146,9 @@
 
     def accepts(self, server: Server) -> bool:
         """Is it warm, or may it take one more?"""
-        return server.local_state.warm_at <= self.host.now or self.room(server)
+        return server.local_state.warm_at <= self.host.now or self.may_admit(server)
 
-    def warm(self, server: Server) -> float:
+    def warm_share(self, server: Server) -> float:
         """The share of its capacity that a server surely has by now."""
         left = (server.local_state.warm_at - self.host.now) / self.settings.ramp_time
         return 1.0 - (1.0 - self.settings.cold_share) * min(1.0, left) if left > 0 else 1.0
@@ -168,7 +168,7 @@
             )
         return max(self.proven_load, FIRST_FILL / self.settings.peers)
 
-    def room(self, server: Server) -> bool:
+    def may_admit(self, server: Server) -> bool:
         under = (
             server.local_state.open_legs + server.local_state.rounding_offset
             < self.baseline_load() * server.capacity
@@ -177,9 +177,9 @@
             self.host.now - server.local_state.delay_reported_at > SWAMPED_FOR
             and self.balancer.selection.room(server)
         )
-        return under and calm and self.tokens(server) > 0
+        return under and calm and self.available_tokens(server) > 0
 
-    def tokens(self, server: Server) -> int:
+    def available_tokens(self, server: Server) -> int:
         """Set-ups that may go there now: of all balancers at most the budget in any window. They come evenly
         from when we were told; those not used in time are lost, lest a rush find all of them kept."""
         if self.suspended:
@@ -190,7 +190,7 @@
             self.host.now,
             self.baseline_load() * server.capacity,
         )
-        budget, anew = rules.slow_start_budget(self.proven_load, server.capacity * self.warm(server))
+        budget, anew = rules.slow_start_budget(self.proven_load, server.capacity * self.warm_share(server))
         rate = min(AHEAD * bears / rules.ramp_time, anew / rules.fall_time)
         kept = (budget - rate * rules.fall_time) * max(1.0, 1 / (RUSH * bears))
         stand.tokens_issued, stand.tokens_issued_at = (
@@ -200,10 +200,10 @@
         stand.tokens_used = max(stand.tokens_used, math.floor(stand.tokens_issued - kept))
         return math.floor(stand.tokens_issued) - stand.tokens_used
 
-    def allowed(self, server: Server) -> float:
+    def fleet_allowance(self, server: Server) -> float:
         """What all balancers may send a cold server in `fall_time`: N of the rule."""
         return self.settings.peers * self.settings.slow_start_allowance(
-            self.proven_load, server.capacity * self.warm(server)
+            self.proven_load, server.capacity * self.warm_share(server)
         )
 
     def suspend(self, on: bool) -> None:
@@ -211,7 +211,7 @@
         was issued meanwhile counts as used: two processes are one balancer."""
         self.suspended = False
         for server in self.balancer.fleet:
-            self.spend(server)
+            self.use_up_tokens(server)
         self.suspended = on
 
     def may_write(self, server: Server) -> bool:
@@ -220,7 +220,7 @@
         now, rules, stand = self.host.now, self.settings, server.local_state
         if stand.warm_at <= now:
             return True
-        budget, _ = rules.slow_start_budget(self.proven_load, server.capacity * self.warm(server))
+        budget, _ = rules.slow_start_budget(self.proven_load, server.capacity * self.warm_share(server))
         while stand.recent_setups and stand.recent_setups[0] <= now - rules.fall_time:
             stand.recent_setups.popleft()
         if len(stand.recent_setups) >= max(1, math.floor(budget + 1 / rules.peers)):
@@ -228,12 +228,12 @@
         stand.recent_setups.append(now)
         return True
 
-    def spend(self, server: Server) -> None:
+    def use_up_tokens(self, server: Server) -> None:
         """What was issued so far may have been used by a process before us."""
         if server.local_state.warm_at > self.host.now:
-            server.local_state.tokens_used += max(0, self.tokens(server))
+            server.local_state.tokens_used += max(0, self.available_tokens(server))
 
-    def sent(self, server: Server) -> None:
+    def record_setup(self, server: Server) -> None:
         """Slower the more servers are late: guards against a fleet that sheds and is filled at once again."""
         sure, calm = self.baseline_load() * server.capacity, self.balancer.selection.calm_share(server.zone)
         gap = (
@@ -241,7 +241,9 @@
         )
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
         sure = max(sure, 2) if self.balancer.overload.hears(self.host.now) else sure
-        gap *= self.warm(server) == 1.0 and (server.local_state.open_legs >= sure or calm < SPILLOVER_RATIO)
+        gap *= self.warm_share(server) == 1.0 and (
+            server.local_state.open_legs >= sure or calm < SPILLOVER_RATIO
+        )
         server.local_state.tokens_used, server.local_state.next_leg_at = (
             server.local_state.tokens_used + 1,
             self.host.now + gap,
@@ -309,7 +311,9 @@
                 for s in matched
                 if self.balancer.selection.healthy(s) and not self.balancer.selection.overloaded(s)
             ]
-            self.last = sum(self.balancer.slow_start.warm(s) for s in fit) / len(matched) if matched else 0.0
+            self.last = (
+                sum(self.balancer.slow_start.warm_share(s) for s in fit) / len(matched) if matched else 0.0
+            )
         return self.last
 
 
@@ -336,9 +340,9 @@
         )
         if self.reported(server) and stand.reported_load >= full:
             return False
-        return not self.overloaded(server) and stand.open_legs + stand.rounding_offset < slow_start.warm(
+        return not self.overloaded(
             server
-        ) * (stand.limit + grown)
+        ) and stand.open_legs + stand.rounding_offset < slow_start.warm_share(server) * (stand.limit + grown)
 
     def overloaded(self, server: Server) -> bool:
         """Told of late messages lately; where we hold nothing and so are told nothing, as its zone fares."""
@@ -391,7 +395,7 @@
             share = MOVE_SHARE * min(delay, MOVE_MOST)
             # What is moved lowers the ceiling with it: guards against many balancers with a connection each,
             # which hear no more of the server once theirs is moved, and together fill it up again.
-            held = server.local_state.open_legs / self.balancer.slow_start.warm(server)
+            held = server.local_state.open_legs / self.balancer.slow_start.warm_share(server)
             self.lower(server, CEILING * (1 - share) * held)
             self.move(rest, share)
         (
@@ -420,7 +424,7 @@
         stand, now, balancer = server.local_state, self.host.now, self.balancer
         if now - stand.limit_cut_at > CUT_EVERY:
             # As if warm: guards against a ceiling found while cold that would outlast the warm-up.
-            held = stand.open_legs / balancer.slow_start.warm(server)
+            held = stand.open_legs / balancer.slow_start.warm_share(server)
             self.lower(server, (SHED if balancer.overload.unsaid(now) else CEILING) * min(stand.limit, held))
             if now - stand.limit_cut_at > CALM:
                 self.host.log(f"server swamped: held {stand.open_legs}, ceiling {stand.limit:.1f}")
@@ -432,7 +436,7 @@
         tried = [leg.server for leg in call.legs]
         if not (places := [s for s in places if s not in tried] or places):
             return None
-        now, warm = self.host.now, self.balancer.slow_start.warm
+        now, warm = self.host.now, self.balancer.slow_start.warm_share
         sizes = [s.capacity if s.local_state.warm_at <= now else s.capacity * warm(s) for s in places]
         held = self.balancer.fleet_load() or {s: s.local_state.open_legs for s in places}
         mean = ABOVE_MEAN * sum([held[s] for s in places]) / sum(sizes)
@@ -511,7 +515,9 @@
     def rendezvous_score(self, call: Call, server: Server) -> float:
         """A lot whose least value falls on servers in proportion to their weights. A group's lots are the
         same at every draw and balancer, so its connections gather and share what they cost a server."""
-        weight = server.local_state.failure_weight * server.capacity * self.balancer.slow_start.warm(server)
+        weight = (
+            server.local_state.failure_weight * server.capacity * self.balancer.slow_start.warm_share(server)
+        )
         if not call.group:
             return -math.log(self.balancer.rng.uniform() + 1e-12) / weight
         even = lcg_step(lcg_step(call.group ^ server.id_hash * 0x9E3779B97F4A7C15))
@@ -520,7 +526,7 @@
     def send(self, call: Call, server: Server) -> None:
         until, call.scores, call.awaited_servers = self.balancer.answer.answer_by(call), {}, []
         self.count(call, server, 1)
-        self.balancer.slow_start.sent(server)
+        self.balancer.slow_start.record_setup(server)
         server.local_state.unused_since_uncordon = False
         self.host.send(call, server, until)
 
@@ -702,7 +708,7 @@
                 self.starts(server, server.started_at if first else self.host.now, server.started_at)
                 server.local_state.started_at = server.started_at
                 if first:
-                    self.slow_start.spend(server)
+                    self.slow_start.use_up_tokens(server)
         self.refresh_usable()
         self.overload.listed(self.fleet)
 
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -161,7 +161,7 @@
         4,
         _of(
             "FillsCold",
-            slow_start={"accepts": _all_bear, "warm": _warm_at_once, "sent": _unpaced},
+            slow_start={"accepts": _all_bear, "warm_share": _warm_at_once, "record_setup": _unpaced},
             selection={"room": _room_at_once},
             overload={"found": _unheard},
         ),
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -182,7 +182,7 @@
         cold = self.node.balancer.slow_start
         if not cold.may_write(self.leg.server):
             return COLD_BUDGET
-        may_write, allowed = self.node.invariants.may_write, cold.allowed(self.leg.server)
+        may_write, allowed = self.node.invariants.may_write, cold.fleet_allowance(self.leg.server)
         return "" if may_write(self.leg, self.request_id, now, self.client.answered, allowed) else "invariant"
 
     @property
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -296,8 +296,8 @@
     for server in away:
         server.started_at = bench.now
     bench.balancer.on_servers_listed(away)
-    looked, room = [], bench.balancer.slow_start.room
-    bench.balancer.slow_start.room = lambda server: looked.append(server) or room(server)
+    looked, room = [], bench.balancer.slow_start.may_admit
+    bench.balancer.slow_start.may_admit = lambda server: looked.append(server) or room(server)
     assert place(bench, 5) == [home] * 5 and not looked
 
 
@@ -378,7 +378,7 @@
     for out in (True, True, False):  # the call out may come twice
         bench.balancer.on_cordoned(back, out)
         bench.run(bench.now + 1.0)
-    assert back.local_state.warm_at > bench.now and bench.balancer.slow_start.warm(back) < 0.3
+    assert back.local_state.warm_at > bench.now and bench.balancer.slow_start.warm_share(back) < 0.3
     put, sent = bench.now, len(bench.sent)
     while bench.now < put + 5.0 and back not in [leg.server for leg, _ in bench.sent[sent:]]:
         bench.call()
@@ -458,4 +458,4 @@
         5,
         bench.now + 100,
     )
-    assert not bench.balancer.slow_start.room(one) and one.local_state.tokens_issued == 0.0
+    assert not bench.balancer.slow_start.may_admit(one) and one.local_state.tokens_issued == 0.0
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -36,8 +36,8 @@
         honest(stage, server)
         server.local_state.tokens_used -= 1
 
-    honest = choice.SlowStart.sent
-    monkeypatch.setattr(choice.SlowStart, "sent", uncounted)
+    honest = choice.SlowStart.record_setup
+    monkeypatch.setattr(choice.SlowStart, "record_setup", uncounted)
 
 
 def all_begin_with_one(monkeypatch):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -172,7 +172,7 @@
         bench.balancer.on_servers_listed(fleet)
         for step in range(8):  # it takes all that may come, and what it took ends at once
             bench.run(start + 0.4 * (step + 1))
-            while bench.balancer.slow_start.room(cold):
+            while bench.balancer.slow_start.may_admit(cold):
                 bench.balancer.selection.send(Call(rules.types[0], 1e9), cold)
                 sent += 1
                 if step % 2:
@@ -194,7 +194,7 @@
         bench.balancer.on_servers_listed(fleet)
         for _ in range(20):
             bench.run(bench.now + warm_share * rules.ramp_time / 20)
-            if bench.balancer.slow_start.room(cold):
+            if bench.balancer.slow_start.may_admit(cold):
                 bench.balancer.selection.send(Call(rules.types[0], 1e9), cold)
                 placed += 1
         assert bench.now <= start + warm_share * rules.ramp_time + 0.01
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -302,8 +302,8 @@
             await world.until(lambda: first.hot_restart.followed)
             (server,) = first.servers.values()
             first.now = first.clock() + 20
-            assert first.balancer.slow_start.tokens(server) == 0
+            assert first.balancer.slow_start.available_tokens(server) == 0
         await world.until(lambda: not first.hot_restart.followed and first.doors.listener)
         first.now = first.clock() + 40  # its successor is gone: the budget is its own again, from now on
-        assert first.balancer.slow_start.tokens(server) > 0
+        assert first.balancer.slow_start.available_tokens(server) > 0
         assert handover.VERSION == 1
