--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -175,7 +175,7 @@
         )
         calm = (
             self.host.now - server.local_state.delay_reported_at > SWAMPED_FOR
-            and self.balancer.selection.room(server)
+            and self.balancer.selection.has_room(server)
         )
         return under and calm and self.available_tokens(server) > 0
 
@@ -262,7 +262,11 @@
         if self.share() >= SPILLOVER_RATIO:
             server = selection.pick(call, [s for s in home if s.local_state.unhealthy_until <= now])
         most = self.limit * (1 + CEILING_GROWTH * (now - self.cut)) - 0.5
-        if not server and self.balancer.held < most and not any(map(selection.awaited, call.awaited_servers)):
+        if (
+            not server
+            and self.balancer.held < most
+            and not any(map(selection.awaits_report, call.awaited_servers))
+        ):
             # Guards against a zone whose servers stand but drown: what finds no room in it leaves; and what
             # finds no room anywhere is kept, lest it be shed and come again.
             healthy = [s for s in call.candidates if s.local_state.unhealthy_until <= now]
@@ -290,7 +294,7 @@
             and s.local_state.warm_at <= now
             and now - s.local_state.delay_reported_at > CALM
         ]
-        if home and len(calm) == len(home) and all(map(selection.room, home)):
+        if home and len(calm) == len(home) and all(map(selection.has_room, home)):
             away = [
                 leg
                 for s in self.balancer.fleet
@@ -324,12 +328,12 @@
         super().__init__(balancer)
         report, tell = self.settings.report, (model.FULLNESS, model.BUSY)
         # Where a report tells how full a server is; without it nothing is asked.
-        self.fullness = next((report.index(one) for one in tell if one in report), None)
+        self.load_field = next((report.index(one) for one in tell if one in report), None)
 
     def healthy(self, server: Server) -> bool:
         return server.local_state.unhealthy_until <= self.host.now
 
-    def room(self, server: Server, full: float = 1.0) -> bool:
+    def has_room(self, server: Server, full: float = 1.0) -> bool:
         """Not swamped, and under the ceiling found when it last was."""
         stand, slow_start = server.local_state, self.balancer.slow_start
         # Grows as what is usual does: guards against a small holder that was cut for what others hold there.
@@ -338,7 +342,7 @@
             * (self.host.now - stand.limit_cut_at)
             * max(stand.limit, slow_start.baseline_load() * server.capacity)
         )
-        if self.reported(server) and stand.reported_load >= full:
+        if self.has_report(server) and stand.reported_load >= full:
             return False
         return not self.overloaded(
             server
@@ -347,7 +351,7 @@
     def overloaded(self, server: Server) -> bool:
         """Told of late messages lately; where we hold nothing and so are told nothing, as its zone fares."""
         stand = server.local_state
-        if self.reported_overloaded(server) or self.reported(server):
+        if self.reported_overloaded(server) or self.has_report(server):
             return self.reported_overloaded(server) or stand.reported_load >= 1.0
         unseen = (
             not stand.established_legs
@@ -362,7 +366,7 @@
             and self.host.now - server.local_state.delay_reported_at <= server.local_state.delay_valid_for
         )
 
-    def look(self) -> None:
+    def update_overload_shares(self) -> None:
         """Count, by zone, the servers of which we would be told: those with late messages and all."""
         for seen in self.balancer.seen.values():
             seen[0], seen[1] = seen[0] / 2, seen[1] / 2
@@ -385,7 +389,7 @@
     def record_delay(self, server: Server, delay: float, holds: float = SEEN_FOR) -> None:
         """Messages at a server take this share of the shortest message aim, it says or others have seen."""
         if delay >= SWAMPED:
-            self.cut(server)
+            self.cut_limit(server)
         if delay >= 1:
             # Guards against connections that stay where their messages are late: the paper's rule is for new
             # ones, so a few are asked to come again, those first whose group's lots belong here least.
@@ -396,7 +400,7 @@
             # What is moved lowers the ceiling with it: guards against many balancers with a connection each,
             # which hear no more of the server once theirs is moved, and together fill it up again.
             held = server.local_state.open_legs / self.balancer.slow_start.warm_share(server)
-            self.lower(server, CEILING * (1 - share) * held)
+            self.lower_limit(server, CEILING * (1 - share) * held)
             self.move(rest, share)
         (
             server.local_state.delay_ratio,
@@ -414,18 +418,20 @@
             self.host.move(leg.call)
             del leg.server.local_state.established_legs[leg]
 
-    def lower(self, server: Server, ceiling: float) -> None:
+    def lower_limit(self, server: Server, ceiling: float) -> None:
         """Not where one of many that know of each other holds one: that is no measure of the server."""
         if server.local_state.open_legs > 1 or not self.balancer.overload.hears(self.host.now):
             server.local_state.limit = min(server.local_state.limit, ceiling)
 
-    def cut(self, server: Server) -> None:
+    def cut_limit(self, server: Server) -> None:
         """Lower the server's ceiling, at most once in the time that a notice holds."""
         stand, now, balancer = server.local_state, self.host.now, self.balancer
         if now - stand.limit_cut_at > CUT_EVERY:
             # As if warm: guards against a ceiling found while cold that would outlast the warm-up.
             held = stand.open_legs / balancer.slow_start.warm_share(server)
-            self.lower(server, (SHED if balancer.overload.unsaid(now) else CEILING) * min(stand.limit, held))
+            self.lower_limit(
+                server, (SHED if balancer.overload.unsaid(now) else CEILING) * min(stand.limit, held)
+            )
             if now - stand.limit_cut_at > CALM:
                 self.host.log(f"server swamped: held {stand.open_legs}, ceiling {stand.limit:.1f}")
             stand.limit_cut_at = now
@@ -446,9 +452,11 @@
         missed = [
             s
             for s in missed
-            if now >= s.local_state.next_leg_at and self.balancer.slow_start.accepts(s) and self.room(s, FULL)
+            if now >= s.local_state.next_leg_at
+            and self.balancer.slow_start.accepts(s)
+            and self.has_room(s, FULL)
         ]
-        held = missed or self.holders(call, low)
+        held = missed or self.group_holders(call, low)
         for server in held or low:  # kept with the call while it is kept: lots are dear
             if server not in call.scores:
                 call.scores[server] = self.rendezvous_score(call, server)
@@ -458,45 +466,45 @@
         for number, server in enumerate(lots):
             if not self.balancer.slow_start.accepts(server):
                 continue
-            self.ask(server)
-            if self.awaited(server):
+            self.request_report(server)
+            if self.awaits_report(server):
                 return None
-            if self.room(server, FULL - number * STEEP):
+            if self.has_room(server, FULL - number * STEEP):
                 return server
         return None
 
-    def holders(self, call: Call, places: list[Server]) -> list[Server]:
+    def group_holders(self, call: Call, places: list[Server]) -> list[Server]:
         """Of the request's group, while only such servers are asked for it."""
-        if not call.group or self.beyond(call):
+        if not call.group or self.may_leave_group(call):
             return []
         group, now, holder = call.group, self.host.now, self.balancer.overload.holder
         return [
             s for s in places if s.local_state.legs_by_group.get(group, 0) >= HOLDS or holder(s, group, now)
         ]
 
-    def beyond(self, call: Call) -> bool:
+    def may_leave_group(self, call: Call) -> bool:
         """Guards against calls that are rejected for a full holder of their group while others have room."""
         return self.host.now >= call.arrived + HOLDERS_FOR * call.type.setup_target
 
-    def reported(self, server: Server) -> bool:
+    def has_report(self, server: Server) -> bool:
         return self.host.now <= server.local_state.report_valid_until
 
-    def ask(self, server: Server) -> None:
+    def request_report(self, server: Server) -> None:
         """Guards against placing blindly where we hold nothing, and so are told nothing."""
         stand, now = server.local_state, self.host.now
-        if self.fullness is not None and not self.reported(server) and now - stand.probed_at > FRESH:
+        if self.load_field is not None and not self.has_report(server) and now - stand.probed_at > FRESH:
             stand.probed_at = now
             self.host.probe(server)
 
-    def awaited(self, server: Server) -> bool:
+    def awaits_report(self, server: Server) -> bool:
         """Was it asked, and may the answer still come in time?"""
-        return not self.reported(server) and self.host.now - server.local_state.probed_at < ASKED_FOR
+        return not self.has_report(server) and self.host.now - server.local_state.probed_at < ASKED_FOR
 
     def on_probe_result(self, server: Server, result: Result) -> None:
         """What it found. No connection is no failure of the server, but no call is sent there for a while."""
         stand, whole = server.local_state, len(result.report) == len(self.settings.report)
-        if result.kind == model.COMPLETED and whole and self.fullness is not None:
-            stand.reported_load = result.report[self.fullness]
+        if result.kind == model.COMPLETED and whole and self.load_field is not None:
+            stand.reported_load = result.report[self.load_field]
         elif result.kind == model.NO_CONN:
             stand.reported_load = math.inf
         else:
@@ -525,12 +533,12 @@
 
     def send(self, call: Call, server: Server) -> None:
         until, call.scores, call.awaited_servers = self.balancer.answer.answer_by(call), {}, []
-        self.count(call, server, 1)
+        self.count_leg(call, server, 1)
         self.balancer.slow_start.record_setup(server)
         server.local_state.unused_since_uncordon = False
         self.host.send(call, server, until)
 
-    def count(self, call: Call, server: Server, by: int) -> None:
+    def count_leg(self, call: Call, server: Server, by: int) -> None:
         server.local_state.open_legs += by
         self.balancer.held += by
         server.local_state.legs_by_group[call.group] = left = (
@@ -556,16 +564,16 @@
                 -math.inf
             )  # guards against a report from before it broke
         if leg.established and result.kind == model.RESET:
-            self.cut(leg.server)  # guards against a server that sheds what it cannot carry
+            self.cut_limit(leg.server)  # guards against a server that sheds what it cannot carry
             self.balancer.overload.dropped(leg.server, self.host.now)
-        self.count(leg.call, leg.server, -1)
+        self.count_leg(leg.call, leg.server, -1)
         leg.server.local_state.established_legs.pop(leg, None)
         soon = not leg.established or self.host.now - leg.sent < SOON
         if result.kind not in (model.COMPLETED, model.CANCELLED, model.MOOT) and soon:
-            self.failed(leg.server)
+            self.record_failure(leg.server)
         self.previous.on_leg_ended(leg, result)
 
-    def failed(self, server: Server) -> None:
+    def record_failure(self, server: Server) -> None:
         stand = server.local_state
         stand.failure_weight, stand.consecutive_failures = (
             max(FLOOR, stand.failure_weight / 2),
@@ -610,7 +618,7 @@
         self.answer.on_call(call)
 
     def on_resumed(self, leg: Leg) -> None:
-        self.selection.count(leg.call, leg.server, 1)
+        self.selection.count_leg(leg.call, leg.server, 1)
         leg.server.local_state.established_legs[leg] = None
 
     def on_established(self, leg: Leg) -> None:
@@ -657,7 +665,7 @@
             self.host.set_timer(
                 self.host.now + TIDY_EVERY, "tidy"
             )  # first: a fault in one look ends no other
-            self.selection.look()
+            self.selection.update_overload_shares()
             self.zone.limit_fleet_overload()
             self.zone.rebalance()
         elif what == "tell":
@@ -670,9 +678,9 @@
         now, selection, slow_start = self.host.now, self.selection, self.slow_start
         return (
             not call.awaited_servers
-            or selection.beyond(call)
+            or selection.may_leave_group(call)
             or any(
-                now >= s.local_state.next_leg_at and selection.room(s) and slow_start.accepts(s)
+                now >= s.local_state.next_leg_at and selection.has_room(s) and slow_start.accepts(s)
                 for s in call.awaited_servers
             )
         )
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -162,7 +162,7 @@
         _of(
             "FillsCold",
             slow_start={"accepts": _all_bear, "warm_share": _warm_at_once, "record_setup": _unpaced},
-            selection={"room": _room_at_once},
+            selection={"has_room": _room_at_once},
             overload={"found": _unheard},
         ),
     ),
--- a/bellrack/simulator/tally.py
+++ b/bellrack/simulator/tally.py
@@ -45,12 +45,12 @@
 class WatchedDraw(choice.SelectionStage):
     seen: Seen
 
-    def room(self, server: Server, full: float = FROM_PICK) -> bool:
+    def has_room(self, server: Server, full: float = FROM_PICK) -> bool:
         if full == FROM_PICK:
-            return super().room(server)
-        found = super().room(server, full)
+            return super().has_room(server)
+        found = super().has_room(server, full)
         if not found:
-            reported = self.reported(server) and server.local_state.reported_load >= full
+            reported = self.has_report(server) and server.local_state.reported_load >= full
             self.seen.refused[
                 "load"
                 if reported
@@ -62,21 +62,21 @@
             ] += 1
         return found
 
-    def ask(self, server: Server) -> None:
+    def request_report(self, server: Server) -> None:
         before = server.local_state.probed_at
-        super().ask(server)
+        super().request_report(server)
         if server.local_state.probed_at != before:
             self.seen.probes[server.id_hash, int(self.host.now)] += 1
             self.seen.cold[server.id_hash, int(self.host.now)] += server.local_state.warm_at > self.host.now
 
     def on_probe_result(self, server: Server, result: choice.Result) -> None:
         super().on_probe_result(server, result)
-        if result.report and self.fullness is not None:
-            self.seen.loads[server.zone].append(result.report[self.fullness])
+        if result.report and self.load_field is not None:
+            self.seen.loads[server.zone].append(result.report[self.load_field])
 
-    def failed(self, server: Server) -> None:
+    def record_failure(self, server: Server) -> None:
         was = self.healthy(server)
-        super().failed(server)
+        super().record_failure(server)
         self.seen.failures += 1
         self.seen.marks += was and not self.healthy(server)
 
--- a/tests/test_blind.py
+++ b/tests/test_blind.py
@@ -119,7 +119,7 @@
 
 def test_a_reset_closes_its_server_where_nothing_else_tells_that_it_is_late():
     bench, one, _, held = shed()
-    room = bench.balancer.selection.room
+    room = bench.balancer.selection.has_room
     assert held > 2 and one.local_state.limit == pytest.approx(0.6 * held)
     assert not one.local_state.open_legs and not room(one)
     bench.run(bench.now + 2.9)
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -29,7 +29,7 @@
     assert {server.zone for server in place(bench, 40)} == {0}
     for server in home:
         for _ in range(3):
-            bench.balancer.selection.failed(server)
+            bench.balancer.selection.record_failure(server)
     assert {server.zone for server in place(bench, 20)} == {1}
     bench.run(bench.now + 5.1)
     assert {server.zone for server in place(bench, 40)} == {0}
@@ -155,9 +155,9 @@
     (server,) = bench.fleet(0)
     place(bench, 1)
     bench.balancer.on_delay_reported(next(iter(server.local_state.established_legs)), 0.07)
-    assert not bench.balancer.selection.room(server)
+    assert not bench.balancer.selection.has_room(server)
     bench.run(bench.now + 20)
-    assert server.local_state.open_legs == 1 and bench.balancer.selection.room(server)
+    assert server.local_state.open_legs == 1 and bench.balancer.selection.has_room(server)
 
 
 def test_a_rejected_call_comes_again_before_the_longest_wait():
@@ -233,7 +233,7 @@
     for server in fleet:
         server.local_state.delay_ratio, server.local_state.delay_reported_at = 1.0, bench.now
     call, asked = bench.call(), []
-    bench.balancer.selection.room = asked.append
+    bench.balancer.selection.has_room = asked.append
     bench.run(bench.now + 0.1)
     assert not call.legs and 0 < len(asked) <= 12
 
@@ -332,7 +332,7 @@
             moved += 1
             bench.end_leg(leg, model.CANCELLED)
         bench.run(bench.now + 2 * choice.SWAMPED_FOR)
-        refilled += bench.balancer.selection.room(server) and not server.local_state.open_legs
+        refilled += bench.balancer.selection.has_room(server) and not server.local_state.open_legs
     share = choice.MOVE_SHARE * choice.MOVE_MOST
     assert 0.4 * 40 * share <= moved
     assert 0 < refilled <= 1.5 * (1 - share) * moved
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -232,7 +232,7 @@
             server.local_state.delay_reported_at,
             server.local_state.delay_valid_for,
         ) = 0.7, bench.now, 1.5
-    bench.balancer.selection.look()
+    bench.balancer.selection.update_overload_shares()
     bench.balancer.zone.limit_fleet_overload()
     assert bench.balancer.zone.limit > 2
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -117,13 +117,13 @@
     bench.fleet(0, 0)
     (first,) = asked(bench, 0.1)
     bench.establish(bench.sent[0][0])
-    assert bench.balancer.selection.reported(first)
+    assert bench.balancer.selection.has_report(first)
     bench.end_leg(bench.sent[0][0], kind)
-    assert not bench.balancer.selection.reported(first)
+    assert not bench.balancer.selection.has_report(first)
     bench.run(bench.now + 1.1)
     asked(bench, 0.1)
     bench.end_leg(bench.sent[-1][0], kind)  # this one while it is set up
-    assert sent(bench) == [first, first] and not bench.balancer.selection.reported(first)
+    assert sent(bench) == [first, first] and not bench.balancer.selection.has_report(first)
 
 
 def test_a_full_report_stands_longer_than_others():
