--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -264,7 +264,7 @@
         most = self.limit * (1 + CEILING_GROWTH * (now - self.cut)) - 0.5
         if (
             not server
-            and self.balancer.held < most
+            and self.balancer.open_legs < most
             and not any(map(selection.awaits_report, call.awaited_servers))
         ):
             # Guards against a zone whose servers stand but drown: what finds no room in it leaves; and what
@@ -281,7 +281,7 @@
             for zone in dict.fromkeys(s.zone for s in self.balancer.fleet)
         ]
         if sum(zones) < SPILLOVER_RATIO * len(zones):
-            held = max(self.balancer.held, FEW if self.balancer.overload.hears(self.host.now) else 1)
+            held = max(self.balancer.open_legs, FEW if self.balancer.overload.hears(self.host.now) else 1)
             self.limit, self.cut = JAM_CUT * min(self.limit, held), self.host.now
 
     def rebalance(self) -> None:
@@ -540,7 +540,7 @@
 
     def count_leg(self, call: Call, server: Server, by: int) -> None:
         server.local_state.open_legs += by
-        self.balancer.held += by
+        self.balancer.open_legs += by
         server.local_state.legs_by_group[call.group] = left = (
             server.local_state.legs_by_group.get(call.group, 0) + by
         )
@@ -598,7 +598,7 @@
         self.queued: list[Call] = []
         self.looks = False  # a look at them is due
         self.sizes: dict[int, float] = {}  # by kind of machine, where listed weights are live
-        self.held = 0  # own connections and legs out, everywhere
+        self.open_legs = 0  # own connections and legs out, everywhere
         self.discovery_retry = RetrySchedule(settings, self.rng)
         self.seen: dict[int, list[float]] = {}  # by zone: late servers and all that we hear of
         self.answer, self.listing, self.effect = AnswerStage(self), ListedStage(self), EffectStage(self)
@@ -713,7 +713,7 @@
             self.sized(server)
             if server.started_at != server.local_state.started_at:  # restarted under the same id
                 # Guards against a restart that takes servers half warm for cold: others knew them before us.
-                self.starts(server, server.started_at if first else self.host.now, server.started_at)
+                self.on_server_start(server, server.started_at if first else self.host.now, server.started_at)
                 server.local_state.started_at = server.started_at
                 if first:
                     self.slow_start.use_up_tokens(server)
@@ -725,7 +725,7 @@
         self.listing.ready = [s for s in self.fleet if s.usable]
         self.zone.looked, self.filled = -math.inf, (-math.inf, {})
 
-    def starts(self, server: Server, told: float, since: float) -> None:
+    def on_server_start(self, server: Server, told: float, since: float) -> None:
         """It is cold since then, and we were told then; what it did before counts no more."""
         stand = server.local_state
         if stand.warm_at <= self.host.now:
@@ -749,7 +749,7 @@
             if (
                 stand.started_at < stand.cordoned_at
             ):  # guards against a list that does not know of the restart yet
-                self.starts(server, now, now)
+                self.on_server_start(server, now, now)
         self.on_servers_listed([server])
 
     def sized(self, server: Server) -> None:
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -452,7 +452,7 @@
 def test_a_cold_server_takes_nothing_where_a_clock_ran_back():
     bench = Bench(settings(peers=3, ramp_time=20.0))
     (one,) = bench.fleet(0)
-    bench.balancer.starts(one, bench.now, bench.now)
+    bench.balancer.on_server_start(one, bench.now, bench.now)
     one.local_state.tokens_issued, one.local_state.tokens_used, one.local_state.tokens_issued_at = (
         0.0,
         5,
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -52,7 +52,7 @@
         client, server = await world.standing()
         server.say(last)
         assert [await client.line(), await client.line(), await server.line()] == [last, "fin", "fin"]
-        assert not world.node.balancer.held
+        assert not world.node.balancer.open_legs
 
 
 @pytest.mark.parametrize("last", ["BYE", "MOVE"])
@@ -136,7 +136,7 @@
         _, server = await asyncio.wait_for(world.arrived.get(), 5)
         assert await server.line() == how  # and not the line
         await world.until(lambda: not world.node.clients)
-        assert not world.node.counters["upstream_requests"] and not world.node.balancer.held
+        assert not world.node.counters["upstream_requests"] and not world.node.balancer.open_legs
 
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
@@ -155,7 +155,7 @@
 
         burst()  # the loop stands meanwhile
         await world.until(lambda: world.node.counters["ended_client"] >= 60 and not world.node.clients)
-        assert not world.node.counters["upstream_requests"] and not world.node.balancer.held
+        assert not world.node.counters["upstream_requests"] and not world.node.balancer.open_legs
 
 
 @played
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -43,7 +43,7 @@
 
 
 async def nothing_left(world):
-    await world.until(lambda: not world.node.clients and not world.node.balancer.held)
+    await world.until(lambda: not world.node.clients and not world.node.balancer.open_legs)
     assert not world.node.counters["faults"]
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -105,10 +105,10 @@
             assert await client.line() == f"answer {number} to {number}"
         await world.first_ends(serving)
         new = world.node
-        assert (old.counters["moved"], new.counters["taken_over"], old.balancer.held) == (0, 40, 0)
+        assert (old.counters["moved"], new.counters["taken_over"], old.balancer.open_legs) == (0, 40, 0)
         assert {
             s.id_hash: s.local_state.open_legs for s in new.servers.values()
-        } == held and new.balancer.held == 40
+        } == held and new.balancer.open_legs == 40
         assert (await world.figures())["pending"] == 40
         pairs[0][0].end("fin")
         pairs[1][1].end("rst")
@@ -116,7 +116,7 @@
         pairs[2][1].end("fin")
         assert [await pairs[0][1].line(), await pairs[1][0].line()] == ["fin", "rst"]
         assert [await pairs[2][0].line(), await pairs[2][0].line()] == ["BYE", "fin"]
-        await world.until(lambda: new.balancer.held == 37 and len(new.clients) == 37)
+        await world.until(lambda: new.balancer.open_legs == 37 and len(new.clients) == 37)
         assert not new.counters["faults"] and not old.counters["faults"]
 
 
@@ -278,7 +278,7 @@
         await world.until(lambda: world.node.counters["ended_server"])
         up(taker, *late)
         await asyncio.sleep(0.02)
-        assert world.node.balancer.held == 0 and not world.node.counters["faults"]
+        assert world.node.balancer.open_legs == 0 and not world.node.counters["faults"]
         for sock in (ours, sides[0][0], sides[0][1], sides[1][0]):
             sock.close()
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -168,7 +168,7 @@
     assert len(entries(world, "gone")) > 5
     assert kept(world)
     for node in world.nodes:
-        assert not node.attempts and not node.balancer.held
+        assert not node.attempts and not node.balancer.open_legs
         assert not any(
             server.local_state.open_legs or server.local_state.established_legs
             for server in node.servers.values()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -46,7 +46,7 @@
         server.end("fin")
         assert [await client.line(), await client.line()] == ["BYE", "fin"]
         await world.until(lambda: world.node.counters["leg_completed"] == 1)
-        assert world.node.balancer.held == 0
+        assert world.node.balancer.open_legs == 0
 
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
@@ -57,7 +57,7 @@
         pair = await world.standing()
         pair[side].end(how)
         assert await pair[1 - side].line() == how
-        await world.until(lambda: not world.node.balancer.held and not world.node.clients)
+        await world.until(lambda: not world.node.balancer.open_legs and not world.node.clients)
 
 
 @played
@@ -102,7 +102,7 @@
         await world.until(lambda: room.descriptors == before and not (room.ids or room.spare))
         stands = [server.local_state for server in world.node.servers.values()]
         assert not any(stand.open_legs or stand.established_legs or stand.legs_by_group for stand in stands)
-        assert not (world.node.clients or world.node.balancer.held or world.node.counters["faults"])
+        assert not (world.node.clients or world.node.balancer.open_legs or world.node.counters["faults"])
 
 
 @pytest.mark.parametrize(
@@ -186,7 +186,7 @@
         assert await client.line() == "ERR"
         server.say("UP 1")
         assert [await server.line(), await client.line()] == ["fin", "fin"]
-        assert not world.node.balancer.held
+        assert not world.node.balancer.open_legs
 
 
 @played
@@ -368,7 +368,7 @@
         client.writer.write(b"x" * 5000)
         assert [await client.line(), await client.line()] == ["SYNTAX", "fin"]
         assert await server.line() == "fin"
-        await world.until(lambda: not world.node.balancer.held)
+        await world.until(lambda: not world.node.balancer.open_legs)
         assert world.node.counters["legs"] == 1
 
 
@@ -465,7 +465,9 @@
         _, server, _ = await world.leg()
         client.end("fin")
         assert await server.line() == "fin"
-        await world.until(lambda: world.node.counters["leg_cancelled"] == 1 and not world.node.balancer.held)
+        await world.until(
+            lambda: world.node.counters["leg_cancelled"] == 1 and not world.node.balancer.open_legs
+        )
 
 
 @played
@@ -533,7 +535,7 @@
             pair[1 - side].writer.write((b"x" * 1000 + b"\r\n") * 3)
             await asyncio.sleep(0.001)
         pair[1 - side].end("rst")
-        await world.until(lambda: client.over and not world.node.balancer.held, 0.9)
+        await world.until(lambda: client.over and not world.node.balancer.open_legs, 0.9)
 
 
 @played
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -402,13 +402,13 @@
     async with World(servers=3) as world:
         client = await world.call(AT)
         _, server, _ = await world.leg()
-        assert world.node.balancer.held == 0
+        assert world.node.balancer.open_legs == 0
         server.say("UP 0")
         assert await client.line() == "UP 0"
         assert [one.local_state.open_legs for one in world.node.servers.values()] == [1, 0, 0]
         client.end("fin")
         assert await server.line() == "fin"
-        await world.until(lambda: world.node.balancer.held == 0)
+        await world.until(lambda: world.node.balancer.open_legs == 0)
 
 
 @played
