--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -608,9 +608,9 @@
             (-math.inf, {}),
         )
         link(self.answer, self.listing, self.effect, self.zone, self.selection)
-        host.set_timer(host.now + TIDY_EVERY * (1 + self.rng.uniform()), "tidy")
+        host.set_timer(host.now + TIDY_EVERY * (1 + self.rng.uniform()), "rebalance")
         if settings.may_publish:
-            host.set_timer(host.now + TELL_EVERY * (1 + self.rng.uniform()), "tell")
+            host.set_timer(host.now + TELL_EVERY * (1 + self.rng.uniform()), "publish")
         if settings.asks:
             host.set_timer(host.now + self.discovery_retry.first(), "watch")
 
@@ -653,7 +653,7 @@
         elif isinstance(what, Server) and what.cordoned:
             self.selection.move(list(what.local_state.established_legs), OUT_SHARE)
             self.host.set_timer(self.host.now + OUT_EVERY, what)
-        elif what == "kept":
+        elif what == "queue":
             waiting, self.queued, self.looks = self.queued, [], False
             for call in waiting:
                 # Guards against a long queue, and looking everywhere while none it waits for has room.
@@ -661,15 +661,15 @@
                     self.again(call)
                 else:
                     self.enqueue(call)
-        elif what == "tidy":
+        elif what == "rebalance":
             self.host.set_timer(
-                self.host.now + TIDY_EVERY, "tidy"
+                self.host.now + TIDY_EVERY, "rebalance"
             )  # first: a fault in one look ends no other
             self.selection.update_overload_shares()
             self.zone.limit_fleet_overload()
             self.zone.rebalance()
-        elif what == "tell":
-            self.host.set_timer(self.host.now + TELL_EVERY, "tell")
+        elif what == "publish":
+            self.host.set_timer(self.host.now + TELL_EVERY, "publish")
             self.overload.turn(self.host.now)
         elif what == "watch":
             self.host.watch()
@@ -698,7 +698,7 @@
             return
         if not self.looks:
             self.looks = True
-            self.host.set_timer(self.host.now + KEEP_STEP, "kept")
+            self.host.set_timer(self.host.now + KEEP_STEP, "queue")
         self.queued.append(call)
 
     def on_servers_listed(self, servers: list[Server]) -> None:
--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -134,7 +134,7 @@
     def on_delay_reported(self, leg: Leg, delay: float) -> None: ...
 
     def on_timer(self, what: object) -> None:
-        if what != "tidy":
+        if what != "rebalance":
             super().on_timer(what)
 
 
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -159,7 +159,7 @@
     def start(self) -> None: ...
 
     def on_timer(self, what: Any) -> None:
-        if what != "tidy":
+        if what != "rebalance":
             super().on_timer(what)
 
     def takes(self, count: int) -> None:
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -455,7 +455,7 @@
                 host.balancer.overload.sums.holds(server.id_hash, 1, 0, 0)
             host.now += overload.AGAIN
             host.hears()
-            host.balancer.on_timer("tell")
+            host.balancer.on_timer("publish")
 
         return turn
 
@@ -463,7 +463,7 @@
         host = host_of(BALANCERS, 9)
         host.holds(host.fleet(count, 10), count)
         host.hears()
-        tidy.append(processor_time(lambda host=host: host.balancer.on_timer("tidy"), repeats))
+        tidy.append(processor_time(lambda host=host: host.balancer.on_timer("rebalance"), repeats))
         tell.append(processor_time(told(host), repeats))
         with looked_after(count, count) as node:
             look.append(processor_time(node.server_watch.look, repeats))
@@ -477,7 +477,7 @@
         host = host_of(BALANCERS, 9)
         host.holds(host.fleet(servers, 10), count)
         host.hears()
-        tidy.append(processor_time(lambda host=host: host.balancer.on_timer("tidy"), repeats))
+        tidy.append(processor_time(lambda host=host: host.balancer.on_timer("rebalance"), repeats))
         tell.append(processor_time(told(host), repeats))
         with looked_after(servers, count) as node:
             look.append(processor_time(node.server_watch.look, repeats))
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -65,7 +65,7 @@
             world.node.server_list.on_list(
                 lines.listing({"generation": 42, "reset": True, "instances": [entry]})
             )
-            world.node.balancer.on_timer("kept")
+            world.node.balancer.on_timer("queue")
             assert not world.node.balancer.queued and world.node.actions  # it was placed
 
         world.node.queue(one_turn)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -65,7 +65,7 @@
     home, away = bench.fleet(0, 1)
     asked(bench, 1.2)
     assert bench.probes == [away] and not bench.sent
-    assert [what for _, what in bench.wakes].count("kept") == 1  # guards against a look more for each answer
+    assert [what for _, what in bench.wakes].count("queue") == 1  # guards against a look more for each answer
     bench.answer(away, 0.1, 0.1)
     assert sent(bench) == [away]
 
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -123,7 +123,7 @@
     async with World(servers=2, apart=True) as world:
         pairs = [await resumes(world, f"{AT[:-3]}s-1") for _ in range(10)]
         for _ in range(40):
-            world.node.queue(world.node.balancer.on_timer, "tidy")
+            world.node.queue(world.node.balancer.on_timer, "rebalance")
         await world.until(lambda: not (world.node.events or world.node.actions))
         assert len(world.node.servers[lines.mark("s-1")].local_state.established_legs) == 10
         assert not world.node.counters["moved"]
@@ -135,7 +135,7 @@
         expired = world.node.resumed.window
         expired.last_resumed -= expired.evidence
         for _ in range(200):
-            world.node.queue(world.node.balancer.on_timer, "tidy")
+            world.node.queue(world.node.balancer.on_timer, "rebalance")
         await world.until(lambda: world.node.counters["moved"] == 10)  # home, once they may
         assert [await client.line() for client, _ in pairs] == ["MOVE"] * 10
 
