--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -612,7 +612,7 @@
         if settings.may_publish:
             host.set_timer(host.now + TELL_EVERY * (1 + self.rng.uniform()), "publish")
         if settings.asks:
-            host.set_timer(host.now + self.discovery_retry.first(), "watch")
+            host.set_timer(host.now + self.discovery_retry.first_delay(), "watch")
 
     def on_call(self, call: Call) -> None:
         self.answer.on_call(call)
@@ -702,7 +702,7 @@
         self.queued.append(call)
 
     def on_servers_listed(self, servers: list[Server]) -> None:
-        self.discovery_retry.answered()
+        self.discovery_retry.reset()
         first = not self.fleet
         for server in servers:
             if server.local_state is None:
@@ -770,4 +770,4 @@
     def on_discovery_failed(self, reached: bool = True) -> None:
         """Discovery failed us; `reached` unless it did not even take the call."""
         if self.settings.asks:
-            self.host.set_timer(self.host.now + self.discovery_retry.gap(reached), "watch")
+            self.host.set_timer(self.host.now + self.discovery_retry.next_delay(reached), "watch")
--- a/bellrack/discovery_retry.py
+++ b/bellrack/discovery_retry.py
@@ -63,17 +63,17 @@
         return even if even <= GAP_BUSY else max(GAP_BUSY, self.settings.peers / TIER_MOST)
 
     @property
-    def patience(self) -> float:
+    def hedge_patience(self) -> float:
         return PATIENCE * max(1.0, self.share)
 
-    def answered(self) -> None:
+    def reset(self) -> None:
         self.failures = 0
 
-    def first(self) -> float:
+    def first_delay(self) -> float:
         """Seconds from the start until the first call."""
         return GAP_FIRST * self.rng.uniform()
 
-    def gap(self, reached: bool = True) -> float:
+    def next_delay(self, reached: bool = True) -> float:
         """Seconds until the next call after one that failed. Where discovery was not even reached a call
         costs it nothing, so the tier's size does not count."""
         cap = min(GAP_REFUSED, max(GAP_FIRST, self.share)) * 2**self.failures
@@ -81,7 +81,7 @@
         most = min(GAP_MOST, self.settings.ask_within)
         return self._drawn(min(cap, max(most, self.share) if reached else most), self.rng)
 
-    def overlap(self) -> float:
+    def hedge_delay(self) -> float:
         """Seconds that a call may be silent before another goes out beside it."""
         # Not sooner: guards against a second place in the queue for each caller that only waits in turn.
         # Nor later each time: guards against gaps that grow while what took the calls is long dead.
@@ -102,26 +102,26 @@
     """Since when the list in hand may lack a change that counts as told."""
 
     def __init__(self, now: float):
-        self.good, self.reached = now, False  # reached: by a call of ours since then
-        self.proofs_from = -math.inf  # what servers showed before proves nothing
+        self.confirmed_at, self.reached = now, False  # reached: by a call of ours since then
+        self.proofs_valid_from = -math.inf  # what servers showed before proves nothing
 
-    def confirmed(self, now: float) -> None:
+    def confirm(self, now: float) -> None:
         """Discovery wrote that this is the list, or what has changed of it."""
-        self.good, self.reached, self.proofs_from = now, False, -math.inf
+        self.confirmed_at, self.reached, self.proofs_valid_from = now, False, -math.inf
 
-    def silent(self) -> None:
+    def on_watch_silent(self) -> None:
         """A watch fell silent after its last line. All that it misses counts as told TOLD after that, even a
         change just before then: a server that took a connection meanwhile may have drained since."""
-        self.proofs_from = self.good + TOLD
+        self.proofs_valid_from = self.confirmed_at + TOLD
 
-    def met(self) -> None:
+    def on_reached(self) -> None:
         """It let a call of ours wait, or began to answer: it counts as reached from now on."""
         self.reached = True
 
-    def unreached(self, begun: float) -> None:
+    def on_unreachable(self, begun: float) -> None:
         """It could not be reached by a call that began then, or was down."""
         if not self.reached:
-            self.good = max(self.good, begun)
+            self.confirmed_at = max(self.confirmed_at, begun)
 
-    def doubtful(self, now: float, window: float) -> bool:
-        return self.reached and now - self.good >= window
+    def is_doubtful(self, now: float, window: float) -> bool:
+        return self.reached and now - self.confirmed_at >= window
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -132,7 +132,7 @@
         self.end("watch-ended")
         if on:
             self.standing = self.call(self.node, self.address, True)
-            self.overlap_at = self.node.now + self.node.balancer.discovery_retry.overlap()
+            self.overlap_at = self.node.now + self.node.balancer.discovery_retry.hedge_delay()
 
     def end(self, reason: str) -> None:
         for question in (self.standing, self.younger):
@@ -147,7 +147,7 @@
         """Another address from now on. Its versions are its own, so the first list is asked for whole; till
         it has come, the watch at the old address tells what it still has to."""
         self.address, self.node.server_list.version = address, 0
-        self.node.balancer.discovery_retry.answered()
+        self.node.balancer.discovery_retry.reset()
         if self.standing and not self.standing.waits:
             self.former, self.standing = self.standing, self.former
         self.end("watch-replaced")
@@ -169,9 +169,9 @@
 
     def confirmed(self, since: float) -> None:
         """The list is what discovery had then, and was heeded."""
-        self.age.confirmed(since)
+        self.age.confirm(since)
         self.node.server_list.confirmed = True
-        self.node.balancer.discovery_retry.answered()
+        self.node.balancer.discovery_retry.reset()
         self.judge()
 
     def failed(self, question: Any) -> None:
@@ -179,15 +179,15 @@
             self.former = None  # expected, so not a failure of the list
             return
         if question.met and not question.begun:  # the end of a watch tells nothing of what comes after it
-            self.age.met()
+            self.age.on_reached()
         elif not question.met:
-            self.age.unreached(question.started)
+            self.age.on_unreachable(question.started)
         if question is self.younger or question is self.standing and self.younger:
             # The other one may still be answered; the next beside it goes out as if there were none.
             self.standing = self.younger if question is self.standing else self.standing
             self.younger = None
             self.node.counters["list_failures"] += 1
-            self.overlap_at = self.node.now + self.node.balancer.discovery_retry.gap(question.reached)
+            self.overlap_at = self.node.now + self.node.balancer.discovery_retry.next_delay(question.reached)
             return
         if question is self.standing:
             self.standing = None
@@ -205,7 +205,7 @@
             self.former.fail("watch-silent")
         if (watch := self.standing) and not watch.waits and now - watch.heard > SILENT:
             if watch.begun:
-                self.age.silent()
+                self.age.on_watch_silent()
                 self.end("watch-silent")
                 self.watch()
             else:
@@ -218,19 +218,19 @@
         """The standing call has not been answered for long."""
         self.node.counters["list_failures"] += 1
         retry = self.node.balancer.discovery_retry
-        if self.younger and self.node.now - self.standing.started > retry.patience:
+        if self.younger and self.node.now - self.standing.started > retry.hedge_patience:
             self.standing, self.younger = self.younger, self.standing
         if self.younger:
             self.younger.stop("watch-late")
         self.younger = self.call(self.node, self.address, True)
-        self.overlap_at = self.node.now + retry.overlap()
+        self.overlap_at = self.node.now + retry.hedge_delay()
 
     def judge(self) -> None:
         """May the list still be used for whatever it names?"""
         if any(call and not call.begun and call.met for call in (self.standing, self.younger)):
-            self.age.met()
+            self.age.on_reached()
         window = self.node.balancer.discovery_retry.window()
-        doubts = self.age.doubtful(self.node.now, window)
+        doubts = self.age.is_doubtful(self.node.now, window)
         if doubts != self.doubts:
             self.doubts = doubts
             self.node.counters["doubtful_lists"] += doubts
@@ -239,7 +239,7 @@
                 self.node.server_list.mark_doubtful(math.inf)
         if doubts:
             self.node.server_list.mark_doubtful(window)
-        ages = self.age.doubtful(self.node.now, window / 2)
+        ages = self.age.is_doubtful(self.node.now, window / 2)
         if ages or self.ages:
             self.node.server_list.mark_unproved(window / 2 if ages else math.inf)
         self.ages = ages
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -365,12 +365,12 @@
 def test_a_large_tier_repeats_at_its_own_rate_and_a_small_one_within_the_bound():
     for peers in (1, 10, 60, 200, 4800):
         retry = discovery_retry.RetrySchedule(settings(peers=peers), Rng(5))
-        gaps = [retry.gap() for _ in range(400)][10:]
+        gaps = [retry.next_delay() for _ in range(400)][10:]
         rate = peers / (sum(gaps) / len(gaps))
         most = min(discovery_retry.TIER_MOST, peers / discovery_retry.GAP_BUSY)
         assert rate <= 1.5 * max(discovery_retry.TIER_RATE, most) or peers < 10
         assert max(gaps) <= discovery_retry.GAP_MOST or peers > 10
-        assert max(retry.gap(reached=False) for _ in range(40)) <= discovery_retry.GAP_MOST
+        assert max(retry.next_delay(reached=False) for _ in range(40)) <= discovery_retry.GAP_MOST
 
 
 def test_the_arithmetic_of_the_bound():
@@ -456,11 +456,11 @@
     async with World() as world:
         age = world.node.discovery.age
         for number in range(3):
-            before = age.good
+            before = age.confirmed_at
             call, _ = await world.question()
             call.writer.write(refusal)
             await world.until(lambda least=number: world.node.counters["list_failures"] > least)
-            assert age.good > before and not age.reached
+            assert age.confirmed_at > before and not age.reached
         monkeypatch.setattr(discovery_retry, "AT_ONCE", 0.0)
         call, _ = await world.question()
         call.writer.write(refusal)
