--- a/bellrack/discovery_retry.py
+++ b/bellrack/discovery_retry.py
@@ -33,18 +33,34 @@
 from bellrack.model import Settings
 from bellrack.rng import Rng, lcg_step
 
-TOLD = 6.0  # seconds from when discovery had a change, and could be reached, until it counts as told
-SPARE = 0.5  # seconds of that and of the grace which we leave: looks and what is under way
-CONNECT = 1.5  # seconds in which a connection to discovery has to come up
-GAP_FIRST, GAP_MOST = 0.5, 2.0  # seconds until the first call and the first repeat, at most; a later one
-OVERLAP = 3.25  # seconds without an answer after which a second call goes out beside the first
-GAP_REFUSED, GAP_BUSY = 1.5, 8.0  # the first repeat after a refusal, at most; the longest for hundreds
-TIER_MOST = 30.0  # repeats a second, about, by all balancers of a tier in which that is too often
-TIER_RATE = 6.0  # repeats a second, about, by all balancers of a tier, while discovery refuses them
-AT_ONCE = 0.25  # seconds within which a call fails if discovery is down, and not for having waited too long
-PATIENCE = 10.0  # seconds for which the first of two calls is kept: its place in the queue is the better one
-JITTER = 0.5  # the share of a gap that chance takes off: balancers lose their watches all at once
-DOUBLINGS = 10  # at most
+TOLD_AFTER_SECONDS = (
+    6.0  # seconds from when discovery had a change, and could be reached, until it counts as told
+)
+MARGIN_SECONDS = 0.5  # seconds of that and of the grace which we leave: looks and what is under way
+CONNECT_TIMEOUT_SECONDS = 1.5  # seconds in which a connection to discovery has to come up
+FIRST_DELAY_SECONDS, MAX_DELAY_SECONDS = (
+    0.5,
+    2.0,
+)  # seconds until the first call and the first repeat, at most; a later one
+HEDGE_AFTER_SECONDS = 3.25  # seconds without an answer after which a second call goes out beside the first
+REFUSED_DELAY_SECONDS, MAX_BUSY_DELAY_SECONDS = (
+    1.5,
+    8.0,
+)  # the first repeat after a refusal, at most; the longest for hundreds
+MAX_TIER_CALLS_PER_SECOND = (
+    30.0  # repeats a second, about, by all balancers of a tier in which that is too often
+)
+TIER_CALLS_PER_SECOND = (
+    6.0  # repeats a second, about, by all balancers of a tier, while discovery refuses them
+)
+PROMPT_FAILURE_SECONDS = (
+    0.25  # seconds within which a call fails if discovery is down, and not for having waited too long
+)
+HEDGE_PATIENCE_SECONDS = (
+    10.0  # seconds for which the first of two calls is kept: its place in the queue is the better one
+)
+JITTER_SHARE = 0.5  # the share of a gap that chance takes off: balancers lose their watches all at once
+MAX_DOUBLINGS = 10  # at most
 
 
 class RetrySchedule:
@@ -58,44 +74,52 @@
     @property
     def share(self) -> float:
         """Seconds between two repeats of ours at the tier's rate."""
-        even = self.settings.peers / TIER_RATE
+        even = self.settings.peers / TIER_CALLS_PER_SECOND
         # Guards against hundreds that lose their watches at once and then wait for longer than a list stands.
-        return even if even <= GAP_BUSY else max(GAP_BUSY, self.settings.peers / TIER_MOST)
+        return (
+            even
+            if even <= MAX_BUSY_DELAY_SECONDS
+            else max(MAX_BUSY_DELAY_SECONDS, self.settings.peers / MAX_TIER_CALLS_PER_SECOND)
+        )
 
     @property
     def hedge_patience(self) -> float:
-        return PATIENCE * max(1.0, self.share)
+        return HEDGE_PATIENCE_SECONDS * max(1.0, self.share)
 
     def reset(self) -> None:
         self.failures = 0
 
     def first_delay(self) -> float:
         """Seconds from the start until the first call."""
-        return GAP_FIRST * self.rng.uniform()
+        return FIRST_DELAY_SECONDS * self.rng.uniform()
 
     def next_delay(self, reached: bool = True) -> float:
         """Seconds until the next call after one that failed. Where discovery was not even reached a call
         costs it nothing, so the tier's size does not count."""
-        cap = min(GAP_REFUSED, max(GAP_FIRST, self.share)) * 2**self.failures
-        self.failures = min(DOUBLINGS, self.failures + 1)
-        most = min(GAP_MOST, self.settings.ask_within)
+        cap = min(REFUSED_DELAY_SECONDS, max(FIRST_DELAY_SECONDS, self.share)) * 2**self.failures
+        self.failures = min(MAX_DOUBLINGS, self.failures + 1)
+        most = min(MAX_DELAY_SECONDS, self.settings.ask_within)
         return self._drawn(min(cap, max(most, self.share) if reached else most), self.rng)
 
     def hedge_delay(self) -> float:
         """Seconds that a call may be silent before another goes out beside it."""
         # Not sooner: guards against a second place in the queue for each caller that only waits in turn.
         # Nor later each time: guards against gaps that grow while what took the calls is long dead.
-        return max(OVERLAP, self._drawn(self.share, self.own))
+        return max(HEDGE_AFTER_SECONDS, self._drawn(self.share, self.own))
 
     def window(self) -> float:
         """Seconds for which the last proof, of the list or of a server, stands."""
         # Guards against a tier so large that a gap is longer than a list stands without a call: from then on
         # each change counts as told that long after it was made.
-        told = TOLD if self.share <= self.settings.ask_within else min(TOLD, self.settings.ask_within)
-        return told + self.settings.drain_grace - SPARE
+        told = (
+            TOLD_AFTER_SECONDS
+            if self.share <= self.settings.ask_within
+            else min(TOLD_AFTER_SECONDS, self.settings.ask_within)
+        )
+        return told + self.settings.drain_grace - MARGIN_SECONDS
 
     def _drawn(self, cap: float, rng: Rng) -> float:
-        return cap * (1 - JITTER * rng.uniform())
+        return cap * (1 - JITTER_SHARE * rng.uniform())
 
 
 class ListAge:
@@ -112,7 +136,7 @@
     def on_watch_silent(self) -> None:
         """A watch fell silent after its last line. All that it misses counts as told TOLD after that, even a
         change just before then: a server that took a connection meanwhile may have drained since."""
-        self.proofs_valid_from = self.confirmed_at + TOLD
+        self.proofs_valid_from = self.confirmed_at + TOLD_AFTER_SECONDS
 
     def on_reached(self) -> None:
         """It let a call of ours wait, or began to answer: it counts as reached from now on."""
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -33,7 +33,7 @@
         self.reply, self.body, self.asked = lines.Answer(), b"", False
         self.started = self.heard = self.asked_at = node.now
         self.objects, self.begun = lines.Objects(), False
-        self.open(address, discovery_retry.CONNECT)
+        self.open(address, discovery_retry.CONNECT_TIMEOUT_SECONDS)
         if not watch:
             self.lasts(SILENT, self.fail, "list-silent")  # a watch is looked after for as long as it lasts
 
@@ -45,7 +45,7 @@
     @property
     def met(self) -> bool:
         """Did discovery begin to answer it, or let it wait? One that fails at once found it down."""
-        waited = self.node.now - self.asked_at > discovery_retry.AT_ONCE
+        waited = self.node.now - self.asked_at > discovery_retry.PROMPT_FAILURE_SECONDS
         return self.reached and (self.reply.status == 200 or self.asked and waited)
 
     @property
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -26,7 +26,7 @@
 from bellrack.rng import Rng
 
 A_SECOND, PATIENCE = 10, 2.0  # lists that the service writes; seconds until a call in its queue gets 503
-BOUND = discovery_retry.TOLD + 1.0  # and the grace
+BOUND = discovery_retry.TOLD_AFTER_SECONDS + 1.0  # and the grace
 DRAINS, SERVERS = 3, 8  # the one that drains, by its mark; all
 
 
@@ -42,7 +42,9 @@
 
     @property
     def met(self):
-        return self.reached and (self.begun or self.node.now - self.taken > discovery_retry.AT_ONCE)
+        return self.reached and (
+            self.begun or self.node.now - self.taken > discovery_retry.PROMPT_FAILURE_SECONDS
+        )
 
     def fail(self, reason):
         if not self.over:
@@ -67,7 +69,7 @@
         mine = [one for one in self.open.get(call.node, ()) if not one.over] + [call]
         self.open[call.node] = mine
         self.most_open = max(self.most_open, len(mine))
-        wait = discovery_retry.CONNECT if self.mode == "lost" else 0.001
+        wait = discovery_retry.CONNECT_TIMEOUT_SECONDS if self.mode == "lost" else 0.001
         self.world.after(call.node, wait, self.connected, call, self.mode)
 
     def connected(self, call, mode):
@@ -249,7 +251,7 @@
     tier.drain()
     tier.run(4.0)
     tier.service.becomes("up")
-    tier.run(discovery_retry.TOLD)
+    tier.run(discovery_retry.TOLD_AFTER_SECONDS)
     assert not tier.without
 
 
@@ -265,7 +267,7 @@
         tier.run(at + 4.5)
         tier.drain()
         tier.service.becomes("up")
-        tier.run(discovery_retry.TOLD)
+        tier.run(discovery_retry.TOLD_AFTER_SECONDS)
         assert not tier.without and tier.service.most_open == 2
 
 
@@ -367,18 +369,18 @@
         retry = discovery_retry.RetrySchedule(settings(peers=peers), Rng(5))
         gaps = [retry.next_delay() for _ in range(400)][10:]
         rate = peers / (sum(gaps) / len(gaps))
-        most = min(discovery_retry.TIER_MOST, peers / discovery_retry.GAP_BUSY)
-        assert rate <= 1.5 * max(discovery_retry.TIER_RATE, most) or peers < 10
-        assert max(gaps) <= discovery_retry.GAP_MOST or peers > 10
-        assert max(retry.next_delay(reached=False) for _ in range(40)) <= discovery_retry.GAP_MOST
+        most = min(discovery_retry.MAX_TIER_CALLS_PER_SECOND, peers / discovery_retry.MAX_BUSY_DELAY_SECONDS)
+        assert rate <= 1.5 * max(discovery_retry.TIER_CALLS_PER_SECOND, most) or peers < 10
+        assert max(gaps) <= discovery_retry.MAX_DELAY_SECONDS or peers > 10
+        assert max(retry.next_delay(reached=False) for _ in range(40)) <= discovery_retry.MAX_DELAY_SECONDS
 
 
 def test_the_arithmetic_of_the_bound():
-    worst = discovery_retry.CONNECT + discovery_retry.GAP_MOST + discovery.LOOK
-    assert worst <= discovery_retry.TOLD - 2.0
-    assert worst >= discovery_retry.OVERLAP + discovery.LOOK
+    worst = discovery_retry.CONNECT_TIMEOUT_SECONDS + discovery_retry.MAX_DELAY_SECONDS + discovery.LOOK
+    assert worst <= discovery_retry.TOLD_AFTER_SECONDS - 2.0
+    assert worst >= discovery_retry.HEDGE_AFTER_SECONDS + discovery.LOOK
     retry = discovery_retry.RetrySchedule(settings(drain_grace=0.0), Rng(5))
-    assert discovery.SILENT + discovery.LOOK < retry.window() < discovery_retry.TOLD
+    assert discovery.SILENT + discovery.LOOK < retry.window() < discovery_retry.TOLD_AFTER_SECONDS
     # Of a tier whose gaps are longer than a list stands without a call, each change is told that soon.
     assert discovery_retry.RetrySchedule(settings(peers=4800, ask_within=3.0), Rng(5)).window() < 3.0 + 1.0
 
@@ -538,7 +540,9 @@
                 peer = await world.questions.get()
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                     await peer.reader.readuntil(b"\r\n\r\n")
-                    await asyncio.sleep(2 * discovery_retry.AT_ONCE)  # as one that waited too long is told
+                    await asyncio.sleep(
+                        2 * discovery_retry.PROMPT_FAILURE_SECONDS
+                    )  # as one that waited too long is told
                     refusal = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
                     peer.writer.write(HEAD + news(world) if living.is_set() else refusal)
 
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -329,7 +329,7 @@
 async def test_a_watch_that_only_dribbles_is_silent(monkeypatch, begun, part):
     monkeypatch.setattr(discovery, "SILENT", 0.3)
     monkeypatch.setattr(discovery, "LOOK", 0.05)
-    monkeypatch.setattr("bellrack.discovery_retry.GAP_FIRST", 0.02)
+    monkeypatch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.02)
     if part == b"x" and begun.endswith(b"\n"):
         part = b"9" * 1  # the head of a chunk that never ends
     async with World() as world:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -225,7 +225,7 @@
 @pytest.mark.parametrize("broken", [b'{"generation":1}', b"[" * 50_000, b'{"generation":1e999,"reset":true}'])
 @played
 async def test_a_broken_list_harms_its_own_connection_alone(broken, monkeypatch):
-    monkeypatch.setattr("bellrack.discovery_retry.GAP_FIRST", 0.05)
+    monkeypatch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.05)
     async with World() as world:
         watch, _ = await world.question()
         client, server = await world.standing()
@@ -566,7 +566,7 @@
 
 @played
 async def test_the_watch_brings_changes_and_is_renewed_when_it_fails(monkeypatch):
-    monkeypatch.setattr("bellrack.discovery_retry.GAP_FIRST", 0.05)
+    monkeypatch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.05)
     monkeypatch.setattr(discovery, "LOOK", 0.05)
     monkeypatch.setattr(discovery, "SILENT", 0.4)
     async with World(servers=2) as world:
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -143,7 +143,7 @@
     } | changes
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(node, "LISTED", patience)
-        patch.setattr("bellrack.discovery_retry.GAP_FIRST", 0.02)
+        patch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.02)
         patch.delenv("TMPDIR", raising=False)
         world = World()
         world.node = Node(parse_config(raw), asyncio.get_running_loop())
