--- a/bellrack/lab/scale/figures.py
+++ b/bellrack/lab/scale/figures.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from bellrack.peers import sums
+from bellrack.peers import aggregation
 
 HEAD = 28  # bytes of IP and UDP before a datagram's payload
 BUDGET_BYTES = 3000.0  # a second: 3 KB, in and out together, datagrams with their heads, and lists
@@ -72,9 +72,9 @@
 def records(data: bytes) -> int:
     """Of a datagram in a form whose records are of one size; of another, none."""
     form = data[0] if data else -1
-    if form in (sums.REPORT, sums.BROADCAST):
+    if form in (aggregation.REPORT, aggregation.BROADCAST):
         return (len(data) - 1) // 3
-    return (len(data) - 1) // 4 if form in (sums.GROUPS, sums.PLACEMENTS) else 0
+    return (len(data) - 1) // 4 if form in (aggregation.GROUPS, aggregation.PLACEMENTS) else 0
 
 
 class Desk:
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -47,7 +47,7 @@
 from bellrack.net.node import Node
 from bellrack.net.peer_socket import PeerSocket
 from bellrack.net.servers import ServerLink
-from bellrack.peers import overload, sums
+from bellrack.peers import aggregation, overload
 from bellrack.settings import parse_settings
 
 BALANCERS, SERVERS, CONNECTIONS, SHARDS = 4800, 6000, 50_000, 1_200_000  # the target; servers are assumed
@@ -225,7 +225,7 @@
 
     def hears(self) -> None:
         """An aggregator speaks: what is done once balancers tell one another is done."""
-        for data in sums.pack(sums.BROADCAST, [(sums.TOOK, 0, 20.0)]):
+        for data in aggregation.pack(aggregation.BROADCAST, [(aggregation.TOOK, 0, 20.0)]):
             self.balancer.on_datagram(0, data)
 
     def holds(self, servers: list[Server], count: int) -> None:
@@ -535,10 +535,10 @@
     def __init__(self, balancers: int, seed: int = 3):
         self.chance, self.now = random.Random(seed), BEGUN
         self.servers = [lines.mark(f"server-{n:06d}") for n in range(round(PER_BALANCER * balancers))]
-        self.listed = dict.fromkeys((mark & sums.MARK for mark in self.servers), True)
+        self.listed = dict.fromkeys((mark & aggregation.MARK for mark in self.servers), True)
         self.out: deque[tuple[int, int | None, bytes]] = deque()
         self.all = [
-            sums.Sums(n, balancers, lambda peer, data, n=n: self.out.append((n, peer, data)))
+            aggregation.Sums(n, balancers, lambda peer, data, n=n: self.out.append((n, peer, data)))
             for n in range(balancers)
         ]
         self.reports = self.report_bytes = self.broadcast_bytes = self.replies = 0
@@ -564,13 +564,13 @@
 
     def turn(self) -> None:
         """Half a second: what changes, what is said, what the aggregator and one other make of it."""
-        self.now += sums.BROADCAST_EACH
-        quiet = next(sums.pack(sums.BROADCAST, []))
+        self.now += aggregation.BROADCAST_EACH
+        quiet = next(aggregation.pack(aggregation.BROADCAST, []))
         for own, one in enumerate(self.all[1:], 1):
-            for _ in range(int(CHURN * sums.BROADCAST_EACH)):
+            for _ in range(int(CHURN * aggregation.BROADCAST_EACH)):
                 self.end(own)
                 self.set_up(own)
-                one.report(sums.TOOK, self.standing[own][-1][0], 20.0)
+                one.report(aggregation.TOOK, self.standing[own][-1][0], 20.0)
             if own > 1:
                 one.heard(self.now, 0, quiet, {})  # that somebody speaks; what is said one hears for all
             one.turn(self.now, 0.02)
@@ -599,7 +599,7 @@
             self.turn()
         self.reports = self.report_bytes = self.broadcast_bytes = self.replies = 0
         self.spent = self.heard = 0  # nanoseconds of the aggregator, and of who hears it
-        for _ in range(int(seconds / sums.BROADCAST_EACH)):
+        for _ in range(int(seconds / aggregation.BROADCAST_EACH)):
             self.turn()
         return {
             "datagrams": self.reports / seconds,
@@ -656,23 +656,25 @@
 
 
 def unspoken_by_formula(count: int) -> float:
-    return count * (1 - (1 - 1 / (sums.MARK + 1)) ** (count - 1))
+    return count * (1 - (1 - 1 / (aggregation.MARK + 1)) ** (count - 1))
 
 
-def placed(count: int, own: int) -> sums.Sums:
+def placed(count: int, own: int) -> aggregation.Sums:
     """The records of the aggregator (0), or of who hears it: so many pairs, each at two balancers."""
     out: list[bytes] = []
-    one = sums.Sums(own, BALANCERS, lambda peer, data: out.append(data))
+    one = aggregation.Sums(own, BALANCERS, lambda peer, data: out.append(data))
     if own:
-        one.heard(BEGUN, 0, next(sums.pack(sums.BROADCAST, [])), {})
+        one.heard(BEGUN, 0, next(aggregation.pack(aggregation.BROADCAST, [])), {})
     else:
         one.aggregator = 0
     pairs = [(n % 6000, n // 6000 * 6007 + n % 6000 + 1) for n in range(count)]
-    for first in range(0, count, sums.MOST_PAIRS):
-        some = pairs[first : first + sums.MOST_PAIRS]
-        for copy in range(sums.HOLDERS if not own else 1):
-            for data in sums.pack_pairs(sums.PLACEMENTS if own else sums.GROUPS, some, [1] * len(some)):
-                peer = first // sums.MOST_PAIRS * sums.HOLDERS + copy + 1
+    for first in range(0, count, aggregation.MOST_PAIRS):
+        some = pairs[first : first + aggregation.MOST_PAIRS]
+        for copy in range(aggregation.HOLDERS if not own else 1):
+            for data in aggregation.pack_pairs(
+                aggregation.PLACEMENTS if own else aggregation.GROUPS, some, [1] * len(some)
+            ):
+                peer = first // aggregation.MOST_PAIRS * aggregation.HOLDERS + copy + 1
                 one.heard(BEGUN, 0 if own else peer, data, {})
     if not own:
         one.turn(BEGUN, 0.02)
@@ -703,7 +705,11 @@
         True,
     )
     news = next(
-        sums.pack_pairs(sums.PLACEMENTS, [(n, 65000) for n in range(sums.MOST_PAIRS)], [1] * sums.MOST_PAIRS)
+        aggregation.pack_pairs(
+            aggregation.PLACEMENTS,
+            [(n, 65000) for n in range(aggregation.MOST_PAIRS)],
+            [1] * aggregation.MOST_PAIRS,
+        )
     )
     yield Figure(
         "placements",
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -12,7 +12,7 @@
 
 A datagram, big-endian, is at most 256 bytes:
     head:    form u8 (6), version u8, held u32, late u8, polled u8
-    record:  hashed identifier u24, value u8 on the scale of `sums`     (late + polled times)
+    record:  hashed identifier u24, value u8 on the scale of `aggregation`     (late + polled times)
 `held` is what the sender holds at all servers of its zone; late records say how late a server is, as a share
 of the shortest message aim, by what the sender saw itself; polled ones what it holds there. The build before
 knows the forms 1 to 5 and ignores this one, as this one ignores those.
@@ -27,7 +27,7 @@
 from statistics import median
 from typing import Any
 
-from bellrack.peers import sums
+from bellrack.peers import aggregation
 
 LARGE = 256  # balancers; up to so many one of them adds up for all, as the benches have seen it
 FORM, VERSION = 6, 1
@@ -48,7 +48,7 @@
 SEEN_FOR, LATE = 4.0, 0.5  # seconds, share of the aim: two peers that say it so soon and so much are believed
 WORST = 4.0  # a lateness that is told as more counts as this
 GOLDEN = 0.618034  # from one record's chance to the next: even over a datagram
-SCALE = [2 ** (step / sums.STEPS) - 1 for step in range(257)]
+SCALE = [2 ** (step / aggregation.STEPS) - 1 for step in range(257)]
 
 Said = tuple[int, list[tuple[int, float]], list[tuple[int, float]]]  # held, late, polled
 
@@ -87,7 +87,7 @@
 
 
 class Gossip:
-    """One balancer's part, behind the surface of `sums.Sums`. `tell(peer, data)` sends, `draw()` gives
+    """One balancer's part, behind the surface of `aggregation.Sums`. `tell(peer, data)` sends, `draw()` gives
     [0, 1); `wait` is by how many seconds a set-up exceeds the usual at a server that is late by one aim."""
 
     id_bits, refresh = ID, 1.0
@@ -140,7 +140,7 @@
 
     def report(self, kind: int, mark: int, value: float) -> None:
         """What we saw ourselves, for others: a set-up (its milliseconds), or how late a server is."""
-        late = value if kind == sums.LATE else (value / 1000 - self.baseline) / self.wait
+        late = value if kind == aggregation.LATE else (value / 1000 - self.baseline) / self.wait
         if late >= LATE and (mark & ID in self.news or len(self.news) < MOST_LATE):
             self.news[mark & ID] = late, REPEATS
 
@@ -203,7 +203,9 @@
             return peer + (peer >= self.own) if self.peers > 1 else None
         return list(self.mates)[int(self.draw() * len(self.mates))]
 
-    def heard(self, now: float, peer: int, data: bytes, listed: dict[int, object]) -> list[sums.Record]:
+    def heard(
+        self, now: float, peer: int, data: bytes, listed: dict[int, object]
+    ) -> list[aggregation.Record]:
         """Takes votes, and returns what two peers say of lateness."""
         said = unpack(data)
         if said is None or peer == self.own or not 0 <= peer < self.peers or self.taken >= HEARD:
@@ -221,7 +223,7 @@
             for one, count in known if held >= LEAST_HELD * len(self.near) else ():
                 self.vote(one, peer, min(1.0, count / held), now)
         return [
-            (sums.LATE, one, mean)
+            (aggregation.LATE, one, mean)
             for one, value in late
             if listed.get(one) and (mean := self.sign(one, peer, min(WORST, value), now)) >= LATE
         ]
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -1,7 +1,7 @@
 """What is known of servers beyond own connections: how full all balancers together have made each, where
 groups stand, and which are late by what set-ups and resets show.
 
-Owns the reading of that evidence and its way to the aggregator and back (`sums`). It never decides what
+Owns the reading of that evidence and its way to the aggregator and back (`aggregation`). Never decides what
 becomes of a call: it tells the decisions how late a server is, as a share of the shortest message aim, and
 answers what they ask. No clock, no socket; without messages between balancers it finds nothing late.
 
@@ -18,7 +18,7 @@
 from collections.abc import Callable, Iterable
 
 from bellrack.model import Server, Settings
-from bellrack.peers import gossip, sums
+from bellrack.peers import aggregation, gossip
 from bellrack.rng import Rng
 
 RECENT, RECENT_FOR = 24, 4.0  # set-ups, and seconds, from which the usual is taken,
@@ -46,7 +46,7 @@
     ):
         self.settings, self.late = settings, late
         own, peers = settings.number, settings.peers
-        self.sums: sums.Sums | gossip.Gossip = sums.Sums(own, peers, tell)
+        self.sums: aggregation.Sums | gossip.Gossip = aggregation.Sums(own, peers, tell)
         if peers > (gossip.LARGE if large is None else large):
             self.sums = gossip.Gossip(
                 own, peers, tell, Rng(own).uniform, WAITS * settings.shortest_message_aim
@@ -98,7 +98,7 @@
     def stood(self, server: Server, took: float, now: float) -> None:
         """A set-up of ours took so long."""
         if self.settings.may_publish:
-            self.sums.report(sums.TOOK, server.id_hash, took * 1000)
+            self.sums.report(aggregation.TOOK, server.id_hash, took * 1000)
         self.set_up(server, took, now)
 
     def set_up(self, server: Server, took: float, now: float) -> None:
@@ -109,7 +109,7 @@
     def dropped(self, server: Server, now: float) -> None:
         """It reset what stood. What one balancer meets is the decisions' own; here, that several do."""
         if self.hears(now):
-            self.sums.report(sums.LATE, server.id_hash, DROPPED)
+            self.sums.report(aggregation.LATE, server.id_hash, DROPPED)
             self.sign(server, DROPPED, now)
         elif self.unsaid(now):
             self.judged += 1
@@ -138,7 +138,7 @@
         """A datagram; what is none of ours says nothing."""
         for kind, mark, value in self.sums.heard(now, peer, data, self.servers):
             server = self.servers[mark]
-            if kind == sums.TOOK:
+            if kind == aggregation.TOOK:
                 self.set_up(server, value / 1000, now)
             elif self.sums.aggregator == self.sums.own:
                 self.sign(server, value, now)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -13,7 +13,7 @@
 from bellrack.lab.scale.fit import fit_line, fit_power
 from bellrack.net import lines
 from bellrack.net.node import Node
-from bellrack.peers import sums
+from bellrack.peers import aggregation
 
 SIZES = [50, 100, 200, 400, 800]
 PAGE = Path(__file__).parents[1] / "docs" / "CAPACITY.md"
@@ -134,14 +134,14 @@
     for count in (600, 3000):
         expected = roles.unspoken_by_formula(count)
         assert abs(roles.unspoken(count) - expected) < 5 * math.sqrt(expected)
-    names = [lines.mark(f"server-{n:06d}") & sums.MARK for n in range(3000)]
+    names = [lines.mark(f"server-{n:06d}") & aggregation.MARK for n in range(3000)]
     assert roles.unspoken(3000) == sum(names.count(name) > 1 for name in names)
 
 
 def test_placements_end_at_their_bound():
     for own in (0, 5):
         assert len(roles.placed(1000, own).placements) == 1000
-    assert len(roles.placed(sums.MOST_PLACEMENTS + 5, 5).placements) == sums.MOST_PLACEMENTS
+    assert len(roles.placed(aggregation.MOST_PLACEMENTS + 5, 5).placements) == aggregation.MOST_PLACEMENTS
 
 
 def test_what_a_process_tells_the_next_grows_with_servers_and_with_ids():
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -13,7 +13,7 @@
 
 from bellrack import model
 from bellrack.net.peer_socket import PeerSocket
-from bellrack.peers import gossip, sums, wire
+from bellrack.peers import aggregation, gossip, wire
 from bellrack.peers.gossip import Gossip
 from bellrack.peers.overload import OverloadDetector
 from bellrack.rng import Rng
@@ -323,7 +323,7 @@
     late = poll([30] * 10, [(4, 9.0)])
     assert not [news for _ in range(9) for news in node.heard(10.0, 1, late, listed)]
     ((kind, mark, value),) = node.heard(11.0, 2, late, listed)
-    assert (kind, mark) == (sums.LATE, 4) and value <= gossip.WORST
+    assert (kind, mark) == (aggregation.LATE, 4) and value <= gossip.WORST
     assert not node.heard(20.0, 1, late, listed)  # the other is long ago
     for peer in (2, 3):
         assert not node.heard(20.0, peer, poll([30] * 10, [(99, 9.0)]), listed)  # no list names that server
@@ -335,11 +335,11 @@
 def test_what_we_saw_ourselves_is_told_a_few_times_and_never_more_than_fits():
     node, _, out = pair()
     node.turn(10.0, 0.02)
-    node.report(sums.TOOK, 3, 30)  # milliseconds; late by 0.15 of the aim
+    node.report(aggregation.TOOK, 3, 30)  # milliseconds; late by 0.15 of the aim
     node.turn(11.0, 0.02)
-    node.report(sums.TOOK, 3, 85)  # by a whole aim
+    node.report(aggregation.TOOK, 3, 85)  # by a whole aim
     for mark in range(1, 11):
-        node.report(sums.LATE, mark, 0.9)
+        node.report(aggregation.LATE, mark, 0.9)
     assert len(node.news) == gossip.MOST_LATE
     for turn in range(2, 8):
         node.turn(10.0 + turn, 0.02)
@@ -367,7 +367,7 @@
 
 def test_the_build_before_ignores_the_new_form_and_the_new_build_the_old_ones():
     _, listed, _ = pair()
-    old, new = sums.Sums(0, 300, lambda peer, data: None), pair()[0]
+    old, new = aggregation.Sums(0, 300, lambda peer, data: None), pair()[0]
     old.turn(0.0, 0.02)
     state = repr(vars(old))
     for data in (poll([30] * 10, [(4, 9.0)]), bytes([gossip.FORM]), bytes([gossip.FORM, 9]) + bytes(60)):
@@ -376,10 +376,10 @@
             wire.unpack(data)
     state = repr(vars(new))
     theirs = [
-        *sums.pack(sums.REPORT, [(sums.HELD, 4, 9), (sums.LATE, 4, 3)]),
-        *sums.pack(sums.BROADCAST, [(sums.SUM, 4, 9), (sums.LATE, 4, 3)]),
-        *sums.pack_pairs(sums.GROUPS, [(4, 1)], [1]),
-        *sums.pack_pairs(sums.PLACEMENTS, [(4, 1)], [1]),
+        *aggregation.pack(aggregation.REPORT, [(aggregation.HELD, 4, 9), (aggregation.LATE, 4, 3)]),
+        *aggregation.pack(aggregation.BROADCAST, [(aggregation.SUM, 4, 9), (aggregation.LATE, 4, 3)]),
+        *aggregation.pack_pairs(aggregation.GROUPS, [(4, 1)], [1]),
+        *aggregation.pack_pairs(aggregation.PLACEMENTS, [(4, 1)], [1]),
         wire.pack(wire.Datagram(wire.PING, 1, 1, 1)),
         bytes([gossip.FORM, gossip.VERSION + 1]) + poll([30] * 10)[2:],
         *(bytes([form]) + poll([30] * 10)[1:] for form in range(1, 6)),
@@ -405,7 +405,7 @@
 
         for own in range(count):
             node = (
-                sums.Sums(own, 300, told(own))
+                aggregation.Sums(own, 300, told(own))
                 if own < 6
                 else Gossip(own, 20, told(own), Rng(own).uniform, 0.065)
             )
@@ -426,7 +426,7 @@
 
 
 @pytest.mark.parametrize(
-    "peers, kind", [(3, sums.Sums), (gossip.LARGE, sums.Sums), (gossip.LARGE + 1, Gossip)]
+    "peers, kind", [(3, aggregation.Sums), (gossip.LARGE, aggregation.Sums), (gossip.LARGE + 1, Gossip)]
 )
 def test_the_size_of_the_tier_chooses_and_up_to_256_nothing_is_changed(peers, kind):
     out = []
@@ -439,7 +439,7 @@
     for turn in range(20):
         one.turn(100.0 + turn)
     assert type(one.sums) is kind
-    assert {data[0] for data in out} == {gossip.FORM if kind is Gossip else sums.BROADCAST}
+    assert {data[0] for data in out} == {gossip.FORM if kind is Gossip else aggregation.BROADCAST}
 
 
 def test_a_peer_that_the_file_has_no_address_of_is_passed_by():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -551,7 +551,7 @@
         "bellrack.peers",
         "bellrack.peers.gossip",
         "bellrack.peers.overload",
-        "bellrack.peers.sums",
+        "bellrack.peers.aggregation",
         "bellrack.settings",
         "bellrack.start_signals",
     }
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -7,7 +7,7 @@
 
 from bellrack import model
 from bellrack.accounting import Accounting
-from bellrack.peers import sums
+from bellrack.peers import aggregation
 from bellrack.peers.overload import OverloadDetector
 from tests.helpers import Bench, settings
 
@@ -55,10 +55,12 @@
             self.run(0.25)
 
 
-@given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, sums.MARK), st.floats(0, 1e4)), max_size=200))
+@given(
+    st.lists(st.tuples(st.integers(0, 3), st.integers(0, aggregation.MARK), st.floats(0, 1e4)), max_size=200)
+)
 def test_records_come_back_within_a_step_and_in_datagrams_of_the_platforms_size(records):
-    told = list(sums.pack(sums.BROADCAST, records))
-    back = [record for data in told for record in sums.unpack(data)[1]]
+    told = list(aggregation.pack(aggregation.BROADCAST, records))
+    back = [record for data in told for record in aggregation.unpack(data)[1]]
     assert all(len(data) <= 256 for data in told) and [r[:2] for r in back] == [r[:2] for r in records]
     assert all(abs(got[2] - sent[2]) <= 0.05 * (1 + sent[2]) for got, sent in zip(back, records))
 
@@ -112,14 +114,17 @@
 
 def test_two_servers_of_one_short_mark_are_known_by_nothing():
     tier = Tier()
-    twin = model.Server(tier.fleet[0].id_hash + sums.MARK + 1)
+    twin = model.Server(tier.fleet[0].id_hash + aggregation.MARK + 1)
     for detector in tier.detectors:
         detector.listed([*tier.fleet, twin])
         detector.sums.holds(tier.fleet[0].id_hash, 9, 0, 0)
         detector.sums.holds(tier.fleet[1].id_hash, 1, 0, 0)
     tier.run(10)
     told = tier.detectors[4].sums.sums
-    assert tier.fleet[1].id_hash & sums.MARK in told and tier.fleet[0].id_hash & sums.MARK not in told
+    assert (
+        tier.fleet[1].id_hash & aggregation.MARK in told
+        and tier.fleet[0].id_hash & aggregation.MARK not in told
+    )
 
 
 def test_a_server_that_never_says_it_is_late_is_found_out_by_who_saw_nothing_of_it():
@@ -178,13 +183,15 @@
     """One that has heard the aggregator once, before ten servers."""
     bench = Bench(settings(peers=peers, number=number, may_publish=True))
     fleet = bench.fleet(*[0] * 10)
-    bench.balancer.on_datagram(0, next(sums.pack(sums.BROADCAST, [])))
+    bench.balancer.on_datagram(0, next(aggregation.pack(aggregation.BROADCAST, [])))
     return bench, fleet
 
 
 def held(fleet, counts):
     return next(
-        sums.pack(sums.BROADCAST, [(sums.SUM, server.id_hash, n) for server, n in zip(fleet, counts)])
+        aggregation.pack(
+            aggregation.BROADCAST, [(aggregation.SUM, server.id_hash, n) for server, n in zip(fleet, counts)]
+        )
     )
 
 
@@ -203,7 +210,7 @@
     bench.balancer.on_datagram(0, held(fleet, [10] * 10))
     home = fleet[7]
     bench.balancer.on_datagram(
-        0, next(sums.pack_pairs(sums.PLACEMENTS, [(home.id_hash & sums.MARK, 41)], [1]))
+        0, next(aggregation.pack_pairs(aggregation.PLACEMENTS, [(home.id_hash & aggregation.MARK, 41)], [1]))
     )
     for _ in range(20):
         bench.call(group=41)
@@ -214,7 +221,7 @@
 
 def test_a_broadcast_of_lateness_shuts_the_server_for_one_that_sees_it_once_in_ten_seconds():
     bench, fleet = balancer()
-    late = next(sums.pack(sums.BROADCAST, [(sums.LATE, fleet[4].id_hash, 0.8)]))
+    late = next(aggregation.pack(aggregation.BROADCAST, [(aggregation.LATE, fleet[4].id_hash, 0.8)]))
     for _ in range(20):
         bench.balancer.on_datagram(0, late)
         bench.call()
@@ -240,7 +247,12 @@
 def test_broadcasts_of_servers_that_no_list_names_count_for_nothing():
     bench, fleet = balancer()
     bench.balancer.on_datagram(
-        0, next(sums.pack(sums.BROADCAST, [(sums.SUM, 12345, 9), (sums.LATE, 12345, 3)]))
+        0,
+        next(
+            aggregation.pack(
+                aggregation.BROADCAST, [(aggregation.SUM, 12345, 9), (aggregation.LATE, 12345, 3)]
+            )
+        ),
     )
     assert not bench.balancer.overload.sums.sums and len(bench.balancer.fleet) == 10
 
