--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -538,7 +538,7 @@
         self.listed = dict.fromkeys((mark & aggregation.MARK for mark in self.servers), True)
         self.out: deque[tuple[int, int | None, bytes]] = deque()
         self.all = [
-            aggregation.Sums(n, balancers, lambda peer, data, n=n: self.out.append((n, peer, data)))
+            aggregation.Aggregation(n, balancers, lambda peer, data, n=n: self.out.append((n, peer, data)))
             for n in range(balancers)
         ]
         self.reports = self.report_bytes = self.broadcast_bytes = self.replies = 0
@@ -659,10 +659,10 @@
     return count * (1 - (1 - 1 / (aggregation.MARK + 1)) ** (count - 1))
 
 
-def placed(count: int, own: int) -> aggregation.Sums:
+def placed(count: int, own: int) -> aggregation.Aggregation:
     """The records of the aggregator (0), or of who hears it: so many pairs, each at two balancers."""
     out: list[bytes] = []
-    one = aggregation.Sums(own, BALANCERS, lambda peer, data: out.append(data))
+    one = aggregation.Aggregation(own, BALANCERS, lambda peer, data: out.append(data))
     if own:
         one.heard(BEGUN, 0, next(aggregation.pack(aggregation.BROADCAST, [])), {})
     else:
--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -82,7 +82,7 @@
     return [(one >> 30, (one >> 16 & MARK, one & 0xFFFF)) for one in packed]
 
 
-class Sums:
+class Aggregation:
     """One balancer's part. `tell(peer, data)` sends; None is everybody."""
 
     id_bits, refresh = MARK, 0.0  # of a hashed identifier; seconds for which sums may be used again
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -87,7 +87,7 @@
 
 
 class Gossip:
-    """One balancer's part, behind the surface of `aggregation.Sums`. `tell(peer, data)` sends, `draw()` gives
+    """One balancer's part, behind the surface of `Aggregation`. `tell(peer, data)` sends, `draw()` gives
     [0, 1); `wait` is by how many seconds a set-up exceeds the usual at a server that is late by one aim."""
 
     id_bits, refresh = ID, 1.0
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -46,7 +46,7 @@
     ):
         self.settings, self.late = settings, late
         own, peers = settings.number, settings.peers
-        self.sums: aggregation.Sums | gossip.Gossip = aggregation.Sums(own, peers, tell)
+        self.sums: aggregation.Aggregation | gossip.Gossip = aggregation.Aggregation(own, peers, tell)
         if peers > (gossip.LARGE if large is None else large):
             self.sums = gossip.Gossip(
                 own, peers, tell, Rng(own).uniform, WAITS * settings.shortest_message_aim
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -367,7 +367,7 @@
 
 def test_the_build_before_ignores_the_new_form_and_the_new_build_the_old_ones():
     _, listed, _ = pair()
-    old, new = aggregation.Sums(0, 300, lambda peer, data: None), pair()[0]
+    old, new = aggregation.Aggregation(0, 300, lambda peer, data: None), pair()[0]
     old.turn(0.0, 0.02)
     state = repr(vars(old))
     for data in (poll([30] * 10, [(4, 9.0)]), bytes([gossip.FORM]), bytes([gossip.FORM, 9]) + bytes(60)):
@@ -405,7 +405,7 @@
 
         for own in range(count):
             node = (
-                aggregation.Sums(own, 300, told(own))
+                aggregation.Aggregation(own, 300, told(own))
                 if own < 6
                 else Gossip(own, 20, told(own), Rng(own).uniform, 0.065)
             )
@@ -426,7 +426,8 @@
 
 
 @pytest.mark.parametrize(
-    "peers, kind", [(3, aggregation.Sums), (gossip.LARGE, aggregation.Sums), (gossip.LARGE + 1, Gossip)]
+    "peers, kind",
+    [(3, aggregation.Aggregation), (gossip.LARGE, aggregation.Aggregation), (gossip.LARGE + 1, Gossip)],
 )
 def test_the_size_of_the_tier_chooses_and_up_to_256_nothing_is_changed(peers, kind):
     out = []
