--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -546,7 +546,7 @@
         )
         if not left:
             del server.local_state.legs_by_group[call.group]
-        self.balancer.overload.sums.holds(server.id_hash, server.local_state.open_legs, call.group, left)
+        self.balancer.overload.exchange.holds(server.id_hash, server.local_state.open_legs, call.group, left)
 
     def on_established(self, leg: Leg) -> None:
         self.balancer.overload.stood(leg.server, self.host.now - leg.sent, self.host.now)
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -452,7 +452,7 @@
     def told(host: Host) -> Callable[[], None]:
         def turn() -> None:
             for server in host.balancer.fleet[: int(SET_UPS)]:  # whose counts change in half a second
-                host.balancer.overload.sums.holds(server.id_hash, 1, 0, 0)
+                host.balancer.overload.exchange.holds(server.id_hash, 1, 0, 0)
             host.now += overload.AGAIN
             host.hears()
             host.balancer.on_timer("publish")
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -46,9 +46,9 @@
     ):
         self.settings, self.late = settings, late
         own, peers = settings.number, settings.peers
-        self.sums: aggregation.Aggregation | gossip.Gossip = aggregation.Aggregation(own, peers, tell)
+        self.exchange: aggregation.Aggregation | gossip.Gossip = aggregation.Aggregation(own, peers, tell)
         if peers > (gossip.LARGE if large is None else large):
-            self.sums = gossip.Gossip(
+            self.exchange = gossip.Gossip(
                 own, peers, tell, Rng(own).uniform, WAITS * settings.shortest_message_aim
             )
         self.filled: tuple[float, dict[Server, float]] = -math.inf, {}
@@ -63,9 +63,9 @@
         """The servers that may be spoken of. Guards against evidence taken for another server's."""
         self.servers = {}
         for server in fleet:
-            short = server.id_hash & self.sums.id_bits
+            short = server.id_hash & self.exchange.id_bits
             self.servers[short] = None if short in self.servers else server
-        self.sums.listed(self.servers, self.settings.zone)
+        self.exchange.listed(self.servers, self.settings.zone)
         self.filled = -math.inf, {}
         known = {server.id_hash for server in self.servers.values() if server}
         self.slow = {mark: seen for mark, seen in self.slow.items() if mark in known}
@@ -73,7 +73,7 @@
 
     def hears(self, now: float) -> bool:
         """Somebody publishes what all balancers know, and servers do not say themselves how they fare."""
-        return self.settings.may_publish and self.sums.hears(now) and not self.better(now)
+        return self.settings.may_publish and self.exchange.hears(now) and not self.better(now)
 
     def better(self, now: float) -> bool:
         """Servers send notices of late messages, or report their load: evidence that goes before this."""
@@ -85,11 +85,11 @@
 
     def holder(self, server: Server, group: int, now: float) -> bool:
         """Is this group known to stand there?"""
-        return self.hears(now) and self.sums.holder(server.id_hash, group, now)
+        return self.hears(now) and self.exchange.holder(server.id_hash, group, now)
 
     def usual(self, now: float) -> float:
         """What a set-up takes just now at a server that is not late, in seconds."""
-        told = self.sums
+        told = self.exchange
         if told.usual is not None and told.aggregator != told.own and told.hears(now):
             return told.usual
         took = sorted(took for when, took in self.took if now - when < RECENT_FOR)
@@ -98,7 +98,7 @@
     def stood(self, server: Server, took: float, now: float) -> None:
         """A set-up of ours took so long."""
         if self.settings.may_publish:
-            self.sums.report(aggregation.TOOK, server.id_hash, took * 1000)
+            self.exchange.report(aggregation.TOOK, server.id_hash, took * 1000)
         self.set_up(server, took, now)
 
     def set_up(self, server: Server, took: float, now: float) -> None:
@@ -109,7 +109,7 @@
     def dropped(self, server: Server, now: float) -> None:
         """It reset what stood. What one balancer meets is the decisions' own; here, that several do."""
         if self.hears(now):
-            self.sums.report(aggregation.LATE, server.id_hash, DROPPED)
+            self.exchange.report(aggregation.LATE, server.id_hash, DROPPED)
             self.sign(server, DROPPED, now)
         elif self.unsaid(now):
             self.judged += 1
@@ -119,13 +119,13 @@
         before, when = self.slow.get(server.id_hash, (0.0, -math.inf))
         late = (late + (before if now - when < SEEN_FOR else 0.0)) / 2
         self.slow[server.id_hash] = late, now
-        aggregator = self.sums.aggregator == self.sums.own
+        aggregator = self.exchange.aggregator == self.exchange.own
         if late < (LATE if aggregator else ALONE):
             return
         before, when = self.said.get(server.id_hash, (0.0, -math.inf))
         if aggregator and (now - when > AGAIN or late > 2 * before):
             self.said[server.id_hash] = late, now
-            self.sums.passes_on(server.id_hash, late)
+            self.exchange.passes_on(server.id_hash, late)
         self.found(server, late, now)
 
     def found(self, server: Server, late: float, now: float) -> None:
@@ -136,11 +136,11 @@
 
     def heard(self, peer: int, data: bytes, now: float) -> None:
         """A datagram; what is none of ours says nothing."""
-        for kind, mark, value in self.sums.heard(now, peer, data, self.servers):
+        for kind, mark, value in self.exchange.heard(now, peer, data, self.servers):
             server = self.servers[mark]
             if kind == aggregation.TOOK:
                 self.set_up(server, value / 1000, now)
-            elif self.sums.aggregator == self.sums.own:
+            elif self.exchange.aggregator == self.exchange.own:
                 self.sign(server, value, now)
             else:
                 self.found(server, value, now)
@@ -149,19 +149,19 @@
         """A few times a second: say what is due; nothing where servers say more themselves."""
         if self.better(now):
             return
-        self.sums.turn(now, self.usual(now))
+        self.exchange.turn(now, self.usual(now))
 
     def fill(self, servers: list[Server], now: float) -> dict[Server, float]:
         """What all balancers hold of each; nothing if that is not known of most. Where it is not known of one
         it is taken to be as full as the others."""
         if not self.hears(now):
             return {}
-        if now < self.filled[0] + self.sums.refresh:
+        if now < self.filled[0] + self.exchange.refresh:
             return self.filled[1]
         known = {
-            server: self.sums.total(server.id_hash, now)
+            server: self.exchange.total(server.id_hash, now)
             for server in servers
-            if self.sums.covers(server.id_hash)
+            if self.exchange.covers(server.id_hash)
         }
         told = {server: total for server, total in known.items() if total is not None}
         if not told or len(told) < LEAST_KNOWN * len(known):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -439,7 +439,7 @@
     one.listed([model.Server(5)])
     for turn in range(20):
         one.turn(100.0 + turn)
-    assert type(one.sums) is kind
+    assert type(one.exchange) is kind
     assert {data[0] for data in out} == {gossip.FORM if kind is Gossip else aggregation.BROADCAST}
 
 
@@ -520,7 +520,7 @@
         )
         one.listed(fleet)
         for server in fleet:
-            one.sums.holds(server.id_hash, 20, 0, 0)
+            one.exchange.holds(server.id_hash, 20, 0, 0)
         detectors.append(one)
     for turn in range(120):
         now[0] += 0.5
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -75,7 +75,7 @@
 def test_all_learn_what_all_hold_also_when_datagrams_get_lost():
     tier = Tier(count=12, loss=0.1)
     for number, detector in enumerate(tier.detectors):
-        detector.sums.holds(tier.fleet[number % 2].id_hash, 2, 9, 2)
+        detector.exchange.holds(tier.fleet[number % 2].id_hash, 2, 9, 2)
     right = {detector: [0, 0] for detector in tier.detectors}
     for look in range(30):  # broadcasts may be lost in a row, and parts run out; none may stay without them
         tier.run(2)
@@ -94,12 +94,12 @@
 def test_another_adds_up_when_the_aggregator_is_gone_and_what_that_one_held_is_forgotten():
     tier = Tier()
     for detector in tier.detectors:
-        detector.sums.holds(tier.fleet[0].id_hash, 2, 0, 0)
+        detector.exchange.holds(tier.fleet[0].id_hash, 2, 0, 0)
     tier.run(6)
-    first = tier.detectors[5].sums.aggregator
+    first = tier.detectors[5].exchange.aggregator
     tier.cut.add(first)
     tier.run(25)
-    assert tier.detectors[5].sums.aggregator not in (None, first)
+    assert tier.detectors[5].exchange.aggregator not in (None, first)
     assert round(tier.detectors[5].fill(tier.fleet, tier.now)[tier.fleet[0]]) == 10
     assert not tier.detectors[first].fill(tier.fleet, tier.now + 60)  # it hears nobody
 
@@ -107,9 +107,9 @@
 def test_of_two_aggregators_one_falls_silent():
     tier = Tier()
     tier.run(3)
-    tier.detectors[3].sums.aggregator = 3
+    tier.detectors[3].exchange.aggregator = 3
     tier.run(6)
-    assert {detector.sums.aggregator for detector in tier.detectors} == {0}
+    assert {detector.exchange.aggregator for detector in tier.detectors} == {0}
 
 
 def test_two_servers_of_one_short_mark_are_known_by_nothing():
@@ -117,10 +117,10 @@
     twin = model.Server(tier.fleet[0].id_hash + aggregation.MARK + 1)
     for detector in tier.detectors:
         detector.listed([*tier.fleet, twin])
-        detector.sums.holds(tier.fleet[0].id_hash, 9, 0, 0)
-        detector.sums.holds(tier.fleet[1].id_hash, 1, 0, 0)
+        detector.exchange.holds(tier.fleet[0].id_hash, 9, 0, 0)
+        detector.exchange.holds(tier.fleet[1].id_hash, 1, 0, 0)
     tier.run(10)
-    told = tier.detectors[4].sums.sums
+    told = tier.detectors[4].exchange.sums
     assert (
         tier.fleet[1].id_hash & aggregation.MARK in told
         and tier.fleet[0].id_hash & aggregation.MARK not in told
@@ -254,7 +254,7 @@
             )
         ),
     )
-    assert not bench.balancer.overload.sums.sums and len(bench.balancer.fleet) == 10
+    assert not bench.balancer.overload.exchange.sums and len(bench.balancer.fleet) == 10
 
 
 def test_a_server_told_late_stays_shut_for_the_process_that_takes_over():
