--- a/bellrack/peers/membership.py
+++ b/bellrack/peers/membership.py
@@ -1,12 +1,12 @@
 """Which balancers of the tier are alive, since when and in which incarnation: a SWIM-like protocol.
 
 After Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-Protocol" (2002), sections 3 and 4: one seat is pinged a period, others are asked to ping one that does not
+Protocol" (2002), sections 3 and 4: one member is pinged a period, others are asked to ping one that does not
 answer, suspicion precedes death and can be refuted by a higher incarnation, and rumours travel on pings and
-answers. Ours: the seats are known beforehand, a process draws a life at its start, and a dead seat is asked
+answers. Ours: the members are known beforehand, a process draws a life at its start, and the dead are asked
 again now and then, so that a tier cut in two finds itself again.
 
-Owns the state of each seat and when who is asked. It never reads a clock or a socket, compares no clocks of
+Owns the state of each member and when who is asked. It never reads a clock or a socket, compares no clocks of
 two machines, and decides nothing about calls: a test holds that decisions are the same without it.
 """
 
@@ -24,19 +24,19 @@
 DOUBT = 3.0  # periods, times the logarithm of the tier's size, from suspicion to death
 TELLING = 3.0  # times that logarithm a rumour is passed on
 CARRIED = 8  # rumours on one datagram
-DEAD_EACH = 6  # one question in so many goes to a seat that counts as dead or never spoke
+DEAD_EACH = 6  # one question in so many goes to a member that counts as dead or never spoke
 ANSWERS = 12  # datagrams in answer within a period, at most: what a flood of questions can make us send
 STRANGERS, STRANGERS_ASKED = 4, 3  # asked a period after a start, and how often each: rumours tell only news
 EARLY = 0.001  # seconds
 ASKED_FOR = 16  # questions of others that are under way through us, at most
-RIVALS = 3  # times that another life claims our seat, until it is told
+RIVALS = 3  # times that another life claims our member, until it is told
 RIVAL_EACH = 10.0  # seconds between claims of ours from then on
-UNKNOWN = -1  # a seat that never spoke
+UNKNOWN = -1  # a member that never spoke
 NAMES = {UNKNOWN: "unknown", ALIVE: "alive", SUSPECT: "suspect", DEAD: "dead", LEFT: "left"}
 
 
 @dataclass(eq=False)
-class Seat:
+class Member:
     """What is believed of one balancer of the tier."""
 
     number: int
@@ -57,47 +57,47 @@
 class Change:
     """For the log and for whoever builds on it."""
 
-    seat: int
+    member: int
     status: int
     why: str
 
 
 @dataclass(eq=False)
 class Question:
-    seat: Seat
+    member: Member
     sequence: int
     asked: float
     helped: bool = False
 
 
 class Membership:
-    """One balancer's view. `send(seat, datagram)` is called for what goes out; `draw()` gives [0, 1)."""
+    """One balancer's view. `send(member, datagram)` is called for what goes out; `draw()` gives [0, 1)."""
 
     def __init__(
         self,
         own: int,
-        seats: int,
+        members: int,
         life: int,
         now: float,
         send: Callable[[int, Datagram], None],
         draw: Callable[[], float],
     ):
         self.own, self.life, self.incarnation = own, life, 1
-        self.seats = [Seat(number, since=now) for number in range(seats)]
-        self.seats[own].status, self.seats[own].life, self.seats[own].incarnation = ALIVE, life, 1
+        self.members = [Member(number, since=now) for number in range(members)]
+        self.members[own].status, self.members[own].life, self.members[own].incarnation = ALIVE, life, 1
         self.send_out, self.draw = send, draw
-        self.spread = max(1.0, math.log2(seats + 1))
+        self.spread = max(1.0, math.log2(members + 1))
         self.changes: list[Change] = []
         self.sequence = 0
         self.question: Question | None = None
-        self.order: list[Seat] = []
+        self.order: list[Member] = []
         self.turns = 0
         self.asked_for: dict[int, tuple[int, int, float]] = {}  # our sequence: who asked, theirs, until when
         self.answers = 0  # in this period
         self.rivals, self.claimed = 0, -math.inf
         self.left = False
         self.next_turn = now + PERIOD * draw()
-        self.tell(self.seats[own])
+        self.tell(self.members[own])
 
     # Time.
 
@@ -117,13 +117,13 @@
         if question and not question.helped and now >= question.asked + ANSWER:
             question.helped = True
             helpers = [
-                seat
-                for seat in self.seats
-                if seat.status == ALIVE and seat.number not in (self.own, question.seat.number)
+                member
+                for member in self.members
+                if member.status == ALIVE and member.number not in (self.own, question.member.number)
             ]
             for _ in range(min(HELPERS, len(helpers))):
                 helper = helpers.pop(int(self.draw() * len(helpers)))
-                self.say(helper.number, ASK, question.sequence, question.seat.number)
+                self.say(helper.number, ASK, question.sequence, question.member.number)
         if now >= self.next_turn:
             self.turn(now)
 
@@ -132,28 +132,30 @@
         self.next_turn = max(self.next_turn + PERIOD, now + PERIOD / 2)
         self.answers = 0
         self.asked_for = {mine: asked for mine, asked in self.asked_for.items() if asked[2] > now}
-        if self.question and self.question.seat.status == ALIVE:
-            self.believe(now, self.question.seat.rumour(), SUSPECT, "no answer")
+        if self.question and self.question.member.status == ALIVE:
+            self.believe(now, self.question.member.rumour(), SUSPECT, "no answer")
         self.question = None
-        for seat in self.seats:
-            if seat.status == SUSPECT and now >= seat.since + DOUBT * self.spread * PERIOD:
-                self.believe(now, seat.rumour(), DEAD, "suspected for long")
-        strangers = [seat for seat in self.seats if seat.status == UNKNOWN and seat.asked < STRANGERS_ASKED]
+        for member in self.members:
+            if member.status == SUSPECT and now >= member.since + DOUBT * self.spread * PERIOD:
+                self.believe(now, member.rumour(), DEAD, "suspected for long")
+        strangers = [
+            member for member in self.members if member.status == UNKNOWN and member.asked < STRANGERS_ASKED
+        ]
         for _ in range(min(STRANGERS, len(strangers))):
             stranger = strangers.pop(int(self.draw() * len(strangers)))
             stranger.asked += 1
             self.answer(stranger.number, PING, 0)
-        seat = self.next_seat()
-        if seat:
+        member = self.next_member()
+        if member:
             self.sequence += 1
-            self.question = Question(seat, self.sequence, now)
-            self.say(seat.number, PING, self.sequence)
+            self.question = Question(member, self.sequence, now)
+            self.say(member.number, PING, self.sequence)
 
-    def next_seat(self) -> Seat | None:
+    def next_member(self) -> Member | None:
         """Each in turn, in an order drawn anew each round; the dead and unknown only now and then."""
         self.turns += 1
         here = self.alive()
-        away = [seat for seat in self.seats if seat not in here and seat.number != self.own]
+        away = [member for member in self.members if member not in here and member.number != self.own]
         if away and (not here or self.turns % DEAD_EACH == 0):
             return away[int(self.draw() * len(away))]
         while self.order and self.order[-1] not in here:
@@ -166,18 +168,18 @@
 
     def heard(self, now: float, peer: int, message: Datagram) -> None:
         """A datagram from the known address of a peer."""
-        if self.left or message.sender != peer or peer == self.own or peer >= len(self.seats):
+        if self.left or message.sender != peer or peer == self.own or peer >= len(self.members):
             return
-        seat = self.seats[peer]
-        seat.heard, seat.spoken = now, message.life
+        member = self.members[peer]
+        member.heard, member.spoken = now, message.life
         status = LEFT if message.kind == LEAVE else ALIVE
         self.believe(now, Rumour(peer, status, message.life, message.incarnation), status, "spoke")
         for rumour in message.rumours:
-            if rumour.seat < len(self.seats):
+            if rumour.member < len(self.members):
                 self.believe(now, rumour, rumour.status, f"told by {peer}")
         if message.kind == PING:
             self.answer(peer, ACK, message.sequence)
-        elif message.kind == ASK and message.target < len(self.seats) and message.target != self.own:
+        elif message.kind == ASK and message.target < len(self.members) and message.target != self.own:
             if len(self.asked_for) < ASKED_FOR:
                 self.sequence += 1
                 self.asked_for[self.sequence] = peer, message.sequence, now + 2 * PERIOD
@@ -191,26 +193,26 @@
             self.answer(asker, ACK, theirs, peer)
         question = self.question
         about = peer if message.target == NOBODY else message.target
-        if question and question.sequence == message.sequence and question.seat.number == about:
+        if question and question.sequence == message.sequence and question.member.number == about:
             self.question = None
 
     def believe(self, now: float, rumour: Rumour, status: int, why: str) -> None:
         """Take what is newer: a higher incarnation, or of the same one the worse."""
-        if rumour.seat == self.own:
+        if rumour.member == self.own:
             self.refute(now, rumour)
             return
-        seat = self.seats[rumour.seat]
-        if (rumour.incarnation, status) <= (seat.incarnation, seat.status):
+        member = self.members[rumour.member]
+        if (rumour.incarnation, status) <= (member.incarnation, member.status):
             # Also where it speaks itself: it hears from us what is said of it, and says so with a higher one.
             # Guards against old datagrams that come late and raise the dead.
             return
-        restarted = seat.life not in (0, rumour.life)
-        if status != seat.status or restarted:
-            seat.since = now
+        restarted = member.life not in (0, rumour.life)
+        if status != member.status or restarted:
+            member.since = now
             again = restarted and status == ALIVE
-            self.changes.append(Change(seat.number, status, "restarted" if again else why))
-        seat.status, seat.life, seat.incarnation = status, rumour.life, rumour.incarnation
-        self.tell(seat)
+            self.changes.append(Change(member.number, status, "restarted" if again else why))
+        member.status, member.life, member.incarnation = status, rumour.life, rumour.incarnation
+        self.tell(member)
 
     def refute(self, now: float, rumour: Rumour) -> None:
         """Something is said of ourselves: if it is not so, say more loudly that we are here."""
@@ -226,26 +228,26 @@
                 return
         self.claimed = now
         self.incarnation = rumour.incarnation + 1
-        own = self.seats[self.own]
+        own = self.members[self.own]
         own.incarnation, own.since = self.incarnation, now
         self.tell(own)
 
     # What is said.
 
-    def tell(self, seat: Seat) -> None:
-        seat.left_to_tell = math.ceil(TELLING * self.spread)
+    def tell(self, member: Member) -> None:
+        member.left_to_tell = math.ceil(TELLING * self.spread)
 
     def say(self, peer: int, kind: int, sequence: int, target: int = NOBODY) -> None:
         """With what is most to be told; always with what is said of the receiver, that it may refute it."""
-        to = self.seats[peer]
+        to = self.members[peer]
         first = [to] if to.status in (SUSPECT, DEAD, LEFT) or to.spoken not in (0, to.life) else []
         rest = sorted(
-            (s for s in self.seats if s.left_to_tell and s not in first and s.status != UNKNOWN),
-            key=lambda seat: -seat.left_to_tell,
+            (s for s in self.members if s.left_to_tell and s not in first and s.status != UNKNOWN),
+            key=lambda member: -member.left_to_tell,
         )
         told = (first + rest)[:CARRIED]
-        for seat in told:
-            seat.left_to_tell = max(0, seat.left_to_tell - 1)
+        for member in told:
+            member.left_to_tell = max(0, member.left_to_tell - 1)
         self.send_out(
             peer,
             Datagram(
@@ -255,7 +257,7 @@
                 self.incarnation,
                 sequence,
                 target,
-                tuple(seat.rumour() for seat in told),
+                tuple(member.rumour() for member in told),
             ),
         )
 
@@ -267,13 +269,21 @@
 
     def leave(self) -> None:
         """Tell some that we go, so that nobody suspects us; they pass it on."""
-        own = self.seats[self.own]
+        own = self.members[self.own]
         own.status = LEFT
-        others = [seat for seat in self.seats if seat.status in (ALIVE, SUSPECT) and seat.number != self.own]
+        others = [
+            member
+            for member in self.members
+            if member.status in (ALIVE, SUSPECT) and member.number != self.own
+        ]
         for _ in range(min(len(others), math.ceil(TELLING * self.spread))):
             self.say(others.pop(int(self.draw() * len(others))).number, LEAVE, 0)
         self.left = True
 
-    def alive(self) -> list[Seat]:
+    def alive(self) -> list[Member]:
         """The others that are taken for alive, suspects among them."""
-        return [seat for seat in self.seats if seat.status in (ALIVE, SUSPECT) and seat.number != self.own]
+        return [
+            member
+            for member in self.members
+            if member.status in (ALIVE, SUSPECT) and member.number != self.own
+        ]
--- a/bellrack/peers/wire.py
+++ b/bellrack/peers/wire.py
@@ -4,7 +4,7 @@
 numbers are big-endian; a datagram is at most 256 bytes, whatever the size of the tier.
 
     head:    version u8, kind u8, sender u16, life u32, incarnation u32, sequence u32, target u16, count u8
-    rumour:  seat u16, status u8, life u32, incarnation u32      (count times)
+    rumour:  member u16, status u8, life u32, incarnation u32      (count times)
 """
 
 from __future__ import annotations
@@ -27,9 +27,9 @@
 
 @dataclass(frozen=True)
 class Rumour:
-    """What is said of one seat of the tier."""
+    """What is said of one member of the tier."""
 
-    seat: int
+    member: int
     status: int
     life: int  # drawn anew at each start of a process
     incarnation: int
@@ -60,7 +60,7 @@
         message.target,
         len(message.rumours),
     )
-    return head + b"".join(RUMOUR.pack(r.seat, r.status, r.life, r.incarnation) for r in message.rumours)
+    return head + b"".join(RUMOUR.pack(r.member, r.status, r.life, r.incarnation) for r in message.rumours)
 
 
 def unpack(data: bytes) -> Datagram:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -78,14 +78,16 @@
         return self
 
     def views(self, of):
-        """What those who are there believe of one seat."""
+        """What those who are there believe of one member."""
         there = [node for node in self.nodes if node and not node.left and node.own != of]
-        return [node.seats[of].status for node in there]
+        return [node.members[of].status for node in there]
 
     def agree(self):
         """Everyone takes those for alive that are, and no one else."""
         up = [number for number, node in enumerate(self.nodes) if node and not node.left]
-        taken = [{seat.number for seat in self.nodes[one].seats if seat.status == ALIVE} for one in up]
+        taken = [
+            {member.number for member in self.nodes[one].members if member.status == ALIVE} for one in up
+        ]
         return all(one == set(up) for one in taken)
 
     def deaths(self):
@@ -114,7 +116,7 @@
     tier.run(30)
     assert set(tier.views(7)) == {DEAD} and set(tier.views(3)) == {LEFT}
     assert not any(
-        change.seat == 3 and change.status not in (ALIVE, LEFT)
+        change.member == 3 and change.status not in (ALIVE, LEFT)
         for node in tier.nodes
         if node
         for change in node.changes
@@ -128,7 +130,7 @@
     tier.start(7)
     tier.run(10)
     assert tier.agree() and not tier.deaths()
-    lives = {node.seats[7].life for node in tier.nodes}
+    lives = {node.members[7].life for node in tier.nodes}
     assert lives == {tier.nodes[7].life}
     others = [node for node in tier.nodes if node.own != 7]
     assert all(any(change.why == "restarted" for change in node.changes) for node in others)
@@ -165,7 +167,7 @@
     tier.run(40)
     assert tier.views(2) == [DEAD] * 3
     tier.nodes[0].heard(tier.agenda.now, 2, old)
-    assert tier.nodes[0].seats[2].status == DEAD
+    assert tier.nodes[0].members[2].status == DEAD
 
 
 def test_all_restarted_in_turn_and_all_at_once():
@@ -215,7 +217,7 @@
     tier.nodes[0].heard(
         tier.agenda.now, 1, Datagram(ACK, 1, tier.nodes[1].life, 1, 0, 60_000, (Rumour(60_000, DEAD, 1, 1),))
     )
-    assert tier.nodes[0].seats[2].incarnation < 99 and tier.run(5).agree() and tier.agenda.now > START
+    assert tier.nodes[0].members[2].incarnation < 99 and tier.run(5).agree() and tier.agenda.now > START
 
 
 short, long = some.integers(0, 0xFFFF), some.integers(0, 0xFFFFFFFF)
