--- a/bellrack/peers/membership.py
+++ b/bellrack/peers/membership.py
@@ -2,7 +2,7 @@
 
 After Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (2002), sections 3 and 4: one member is pinged a period, others are asked to ping one that does not
-answer, suspicion precedes death and can be refuted by a higher incarnation, and rumours travel on pings and
+answer, suspicion precedes death and can be refuted by a higher incarnation, and updates travel on pings and
 answers. Ours: the members are known beforehand, a process draws a life at its start, and the dead are asked
 again now and then, so that a tier cut in two finds itself again.
 
@@ -16,17 +16,29 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from bellrack.peers.wire import ACK, ALIVE, ASK, DEAD, LEAVE, LEFT, NOBODY, PING, SUSPECT, Datagram, Rumour
+from bellrack.peers.wire import (
+    ACK,
+    ALIVE,
+    ASK,
+    DEAD,
+    LEAVE,
+    LEFT,
+    NOBODY,
+    PING,
+    SUSPECT,
+    Datagram,
+    MemberUpdate,
+)
 
 PERIOD = 0.5  # seconds from one question to the next
 ANSWER = 0.15  # seconds in which an answer is due, before others are asked to try
 HELPERS = 2  # that are asked
 DOUBT = 3.0  # periods, times the logarithm of the tier's size, from suspicion to death
-TELLING = 3.0  # times that logarithm a rumour is passed on
-CARRIED = 8  # rumours on one datagram
+TELLING = 3.0  # times that logarithm a update is passed on
+CARRIED = 8  # updates on one datagram
 DEAD_EACH = 6  # one question in so many goes to a member that counts as dead or never spoke
 ANSWERS = 12  # datagrams in answer within a period, at most: what a flood of questions can make us send
-STRANGERS, STRANGERS_ASKED = 4, 3  # asked a period after a start, and how often each: rumours tell only news
+STRANGERS, STRANGERS_ASKED = 4, 3  # asked a period after a start, and how often each: updates tell only news
 EARLY = 0.001  # seconds
 ASKED_FOR = 16  # questions of others that are under way through us, at most
 RIVALS = 3  # times that another life claims our member, until it is told
@@ -47,10 +59,10 @@
     heard: float = -math.inf  # when it last spoke to us itself
     spoken: int = 0  # the life in which it last spoke to us itself
     asked: int = 0  # times that we asked it before it ever spoke
-    left_to_tell: int = 0  # times that its rumour is still to be passed on
+    left_to_tell: int = 0  # times that its update is still to be passed on
 
-    def rumour(self) -> Rumour:
-        return Rumour(self.number, max(ALIVE, self.status), self.life, self.incarnation)
+    def update(self) -> MemberUpdate:
+        return MemberUpdate(self.number, max(ALIVE, self.status), self.life, self.incarnation)
 
 
 @dataclass(frozen=True)
@@ -133,11 +145,11 @@
         self.answers = 0
         self.asked_for = {mine: asked for mine, asked in self.asked_for.items() if asked[2] > now}
         if self.question and self.question.member.status == ALIVE:
-            self.believe(now, self.question.member.rumour(), SUSPECT, "no answer")
+            self.believe(now, self.question.member.update(), SUSPECT, "no answer")
         self.question = None
         for member in self.members:
             if member.status == SUSPECT and now >= member.since + DOUBT * self.spread * PERIOD:
-                self.believe(now, member.rumour(), DEAD, "suspected for long")
+                self.believe(now, member.update(), DEAD, "suspected for long")
         strangers = [
             member for member in self.members if member.status == UNKNOWN and member.asked < STRANGERS_ASKED
         ]
@@ -173,10 +185,10 @@
         member = self.members[peer]
         member.heard, member.spoken = now, message.life
         status = LEFT if message.kind == LEAVE else ALIVE
-        self.believe(now, Rumour(peer, status, message.life, message.incarnation), status, "spoke")
-        for rumour in message.rumours:
-            if rumour.member < len(self.members):
-                self.believe(now, rumour, rumour.status, f"told by {peer}")
+        self.believe(now, MemberUpdate(peer, status, message.life, message.incarnation), status, "spoke")
+        for update in message.updates:
+            if update.member < len(self.members):
+                self.believe(now, update, update.status, f"told by {peer}")
         if message.kind == PING:
             self.answer(peer, ACK, message.sequence)
         elif message.kind == ASK and message.target < len(self.members) and message.target != self.own:
@@ -196,30 +208,30 @@
         if question and question.sequence == message.sequence and question.member.number == about:
             self.question = None
 
-    def believe(self, now: float, rumour: Rumour, status: int, why: str) -> None:
+    def believe(self, now: float, update: MemberUpdate, status: int, why: str) -> None:
         """Take what is newer: a higher incarnation, or of the same one the worse."""
-        if rumour.member == self.own:
-            self.refute(now, rumour)
+        if update.member == self.own:
+            self.refute(now, update)
             return
-        member = self.members[rumour.member]
-        if (rumour.incarnation, status) <= (member.incarnation, member.status):
+        member = self.members[update.member]
+        if (update.incarnation, status) <= (member.incarnation, member.status):
             # Also where it speaks itself: it hears from us what is said of it, and says so with a higher one.
             # Guards against old datagrams that come late and raise the dead.
             return
-        restarted = member.life not in (0, rumour.life)
+        restarted = member.life not in (0, update.life)
         if status != member.status or restarted:
             member.since = now
             again = restarted and status == ALIVE
             self.changes.append(Change(member.number, status, "restarted" if again else why))
-        member.status, member.life, member.incarnation = status, rumour.life, rumour.incarnation
+        member.status, member.life, member.incarnation = status, update.life, update.incarnation
         self.tell(member)
 
-    def refute(self, now: float, rumour: Rumour) -> None:
+    def refute(self, now: float, update: MemberUpdate) -> None:
         """Something is said of ourselves: if it is not so, say more loudly that we are here."""
-        ours = rumour.life == self.life
-        if rumour.incarnation < self.incarnation or ours and rumour.status == ALIVE:
+        ours = update.life == self.life
+        if update.incarnation < self.incarnation or ours and update.status == ALIVE:
             return
-        if not ours and rumour.status == ALIVE and rumour.incarnation >= self.incarnation:
+        if not ours and update.status == ALIVE and update.incarnation >= self.incarnation:
             # A process before us under our name; if it goes on, another one beside us.
             self.rivals += 1
             if self.rivals == RIVALS:
@@ -227,7 +239,7 @@
             if self.rivals >= RIVALS and now < self.claimed + RIVAL_EACH:
                 return
         self.claimed = now
-        self.incarnation = rumour.incarnation + 1
+        self.incarnation = update.incarnation + 1
         own = self.members[self.own]
         own.incarnation, own.since = self.incarnation, now
         self.tell(own)
@@ -257,7 +269,7 @@
                 self.incarnation,
                 sequence,
                 target,
-                tuple(member.rumour() for member in told),
+                tuple(member.update() for member in told),
             ),
         )
 
--- a/bellrack/peers/wire.py
+++ b/bellrack/peers/wire.py
@@ -4,7 +4,7 @@
 numbers are big-endian; a datagram is at most 256 bytes, whatever the size of the tier.
 
     head:    version u8, kind u8, sender u16, life u32, incarnation u32, sequence u32, target u16, count u8
-    rumour:  member u16, status u8, life u32, incarnation u32      (count times)
+    update:  member u16, status u8, life u32, incarnation u32      (count times)
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 PING, ACK, ASK, LEAVE = 1, 2, 3, 4  # a question; its answer; "ping the target for me"; "I go"
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
 NOBODY = 0xFFFF  # as target: nobody but the receiver
-HEAD, RUMOUR = struct.Struct(">BBHIIIHB"), struct.Struct(">HBII")
-RUMOURS = (MOST - HEAD.size) // RUMOUR.size  # that a datagram has room for
+HEAD, UPDATE = struct.Struct(">BBHIIIHB"), struct.Struct(">HBII")
+MAX_UPDATES = (MOST - HEAD.size) // UPDATE.size  # that a datagram has room for
 
 
 class DatagramError(ValueError):
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Rumour:
+class MemberUpdate:
     """What is said of one member of the tier."""
 
     member: int
@@ -43,13 +43,13 @@
     incarnation: int
     sequence: int = 0
     target: int = NOBODY
-    rumours: tuple[Rumour, ...] = field(default=())
+    updates: tuple[MemberUpdate, ...] = field(default=())
 
 
 def pack(message: Datagram) -> bytes:
-    """Raises ValueError for more rumours than there is room for."""
-    if len(message.rumours) > RUMOURS:
-        raise ValueError(f"{len(message.rumours)} rumours, {RUMOURS} at most")
+    """Raises ValueError for more updates than there is room for."""
+    if len(message.updates) > MAX_UPDATES:
+        raise ValueError(f"{len(message.updates)} updates, {MAX_UPDATES} at most")
     head = HEAD.pack(
         VERSION,
         message.kind,
@@ -58,9 +58,9 @@
         message.incarnation,
         message.sequence,
         message.target,
-        len(message.rumours),
+        len(message.updates),
     )
-    return head + b"".join(RUMOUR.pack(r.member, r.status, r.life, r.incarnation) for r in message.rumours)
+    return head + b"".join(UPDATE.pack(r.member, r.status, r.life, r.incarnation) for r in message.updates)
 
 
 def unpack(data: bytes) -> Datagram:
@@ -74,9 +74,9 @@
         raise DatagramError("other-version")
     if kind not in (PING, ACK, ASK, LEAVE):
         raise DatagramError("unknown-kind")
-    if len(data) != HEAD.size + count * RUMOUR.size:
+    if len(data) != HEAD.size + count * UPDATE.size:
         raise DatagramError("wrong-length")
-    rumours = tuple(Rumour(*values) for values in RUMOUR.iter_unpack(data[HEAD.size :]))
-    if any(rumour.status > LEFT for rumour in rumours):
+    updates = tuple(MemberUpdate(*values) for values in UPDATE.iter_unpack(data[HEAD.size :]))
+    if any(update.status > LEFT for update in updates):
         raise DatagramError("unknown-status")
-    return Datagram(kind, sender, life, incarnation, sequence, target, rumours)
+    return Datagram(kind, sender, life, incarnation, sequence, target, updates)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -17,7 +17,7 @@
     PING,
     Datagram,
     DatagramError,
-    Rumour,
+    MemberUpdate,
     pack,
     unpack,
 )
@@ -195,8 +195,8 @@
     tier = Tier(4).run(10)
     node = tier.nodes[1]
     for _ in range(50):
-        claim = Rumour(1, ALIVE, 99, node.incarnation + 1)
-        node.heard(tier.agenda.now, 0, Datagram(PING, 0, tier.nodes[0].life, 1, 5, rumours=(claim,)))
+        claim = MemberUpdate(1, ALIVE, 99, node.incarnation + 1)
+        node.heard(tier.agenda.now, 0, Datagram(PING, 0, tier.nodes[0].life, 1, 5, updates=(claim,)))
         tier.run(0.1)
     assert sum("twice" in change.why for change in node.changes) == 1
     assert node.incarnation < 20
@@ -215,15 +215,17 @@
     tier.nodes[0].heard(tier.agenda.now, 1, Datagram(PING, 2, 77, 99))
     tier.nodes[0].heard(tier.agenda.now, 9, Datagram(PING, 9, 77, 99))
     tier.nodes[0].heard(
-        tier.agenda.now, 1, Datagram(ACK, 1, tier.nodes[1].life, 1, 0, 60_000, (Rumour(60_000, DEAD, 1, 1),))
+        tier.agenda.now,
+        1,
+        Datagram(ACK, 1, tier.nodes[1].life, 1, 0, 60_000, (MemberUpdate(60_000, DEAD, 1, 1),)),
     )
     assert tier.nodes[0].members[2].incarnation < 99 and tier.run(5).agree() and tier.agenda.now > START
 
 
 short, long = some.integers(0, 0xFFFF), some.integers(0, 0xFFFFFFFF)
-rumours = some.builds(Rumour, short, some.integers(0, 3), long, long)
+updates = some.builds(MemberUpdate, short, some.integers(0, 3), long, long)
 messages = some.builds(
-    Datagram, some.integers(1, 4), short, long, long, long, short, some.lists(rumours, max_size=20).map(tuple)
+    Datagram, some.integers(1, 4), short, long, long, long, short, some.lists(updates, max_size=20).map(tuple)
 )
 
 
