--- a/bellrack/peers/membership.py
+++ b/bellrack/peers/membership.py
@@ -3,7 +3,7 @@
 After Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (2002), sections 3 and 4: one member is pinged a period, others are asked to ping one that does not
 answer, suspicion precedes death and can be refuted by a higher incarnation, and updates travel on pings and
-answers. Ours: the members are known beforehand, a process draws a life at its start, and the dead are asked
+answers. Ours: the members are known beforehand, a process draws a start id, and the dead are asked
 again now and then, so that a tier cut in two finds itself again.
 
 Owns the state of each member and when who is asked. It never reads a clock or a socket, compares no clocks of
@@ -41,7 +41,7 @@
 STRANGERS, STRANGERS_ASKED = 4, 3  # asked a period after a start, and how often each: updates tell only news
 EARLY = 0.001  # seconds
 ASKED_FOR = 16  # questions of others that are under way through us, at most
-RIVALS = 3  # times that another life claims our member, until it is told
+RIVALS = 3  # times that another start id claims our member, until it is told
 RIVAL_EACH = 10.0  # seconds between claims of ours from then on
 UNKNOWN = -1  # a member that never spoke
 NAMES = {UNKNOWN: "unknown", ALIVE: "alive", SUSPECT: "suspect", DEAD: "dead", LEFT: "left"}
@@ -53,16 +53,16 @@
 
     number: int
     status: int = UNKNOWN
-    life: int = 0
+    start_id: int = 0
     incarnation: int = 0
     since: float = 0.0  # when it came to this status, by our clock
     heard: float = -math.inf  # when it last spoke to us itself
-    spoken: int = 0  # the life in which it last spoke to us itself
+    spoken: int = 0  # the start id in which it last spoke to us itself
     asked: int = 0  # times that we asked it before it ever spoke
     left_to_tell: int = 0  # times that its update is still to be passed on
 
     def update(self) -> MemberUpdate:
-        return MemberUpdate(self.number, max(ALIVE, self.status), self.life, self.incarnation)
+        return MemberUpdate(self.number, max(ALIVE, self.status), self.start_id, self.incarnation)
 
 
 @dataclass(frozen=True)
@@ -89,14 +89,18 @@
         self,
         own: int,
         members: int,
-        life: int,
+        start_id: int,
         now: float,
         send: Callable[[int, Datagram], None],
         draw: Callable[[], float],
     ):
-        self.own, self.life, self.incarnation = own, life, 1
+        self.own, self.start_id, self.incarnation = own, start_id, 1
         self.members = [Member(number, since=now) for number in range(members)]
-        self.members[own].status, self.members[own].life, self.members[own].incarnation = ALIVE, life, 1
+        self.members[own].status, self.members[own].start_id, self.members[own].incarnation = (
+            ALIVE,
+            start_id,
+            1,
+        )
         self.send_out, self.draw = send, draw
         self.spread = max(1.0, math.log2(members + 1))
         self.changes: list[Change] = []
@@ -183,9 +187,9 @@
         if self.left or message.sender != peer or peer == self.own or peer >= len(self.members):
             return
         member = self.members[peer]
-        member.heard, member.spoken = now, message.life
+        member.heard, member.spoken = now, message.start_id
         status = LEFT if message.kind == LEAVE else ALIVE
-        self.believe(now, MemberUpdate(peer, status, message.life, message.incarnation), status, "spoke")
+        self.believe(now, MemberUpdate(peer, status, message.start_id, message.incarnation), status, "spoke")
         for update in message.updates:
             if update.member < len(self.members):
                 self.believe(now, update, update.status, f"told by {peer}")
@@ -218,17 +222,17 @@
             # Also where it speaks itself: it hears from us what is said of it, and says so with a higher one.
             # Guards against old datagrams that come late and raise the dead.
             return
-        restarted = member.life not in (0, update.life)
+        restarted = member.start_id not in (0, update.start_id)
         if status != member.status or restarted:
             member.since = now
             again = restarted and status == ALIVE
             self.changes.append(Change(member.number, status, "restarted" if again else why))
-        member.status, member.life, member.incarnation = status, update.life, update.incarnation
+        member.status, member.start_id, member.incarnation = status, update.start_id, update.incarnation
         self.tell(member)
 
     def refute(self, now: float, update: MemberUpdate) -> None:
         """Something is said of ourselves: if it is not so, say more loudly that we are here."""
-        ours = update.life == self.life
+        ours = update.start_id == self.start_id
         if update.incarnation < self.incarnation or ours and update.status == ALIVE:
             return
         if not ours and update.status == ALIVE and update.incarnation >= self.incarnation:
@@ -252,7 +256,7 @@
     def say(self, peer: int, kind: int, sequence: int, target: int = NOBODY) -> None:
         """With what is most to be told; always with what is said of the receiver, that it may refute it."""
         to = self.members[peer]
-        first = [to] if to.status in (SUSPECT, DEAD, LEFT) or to.spoken not in (0, to.life) else []
+        first = [to] if to.status in (SUSPECT, DEAD, LEFT) or to.spoken not in (0, to.start_id) else []
         rest = sorted(
             (s for s in self.members if s.left_to_tell and s not in first and s.status != UNKNOWN),
             key=lambda member: -member.left_to_tell,
@@ -265,7 +269,7 @@
             Datagram(
                 kind,
                 self.own,
-                self.life,
+                self.start_id,
                 self.incarnation,
                 sequence,
                 target,
--- a/bellrack/peers/wire.py
+++ b/bellrack/peers/wire.py
@@ -3,8 +3,9 @@
 Owns the packing. It keeps no state and believes nothing: what the values mean is membership's to judge. All
 numbers are big-endian; a datagram is at most 256 bytes, whatever the size of the tier.
 
-    head:    version u8, kind u8, sender u16, life u32, incarnation u32, sequence u32, target u16, count u8
-    update:  member u16, status u8, life u32, incarnation u32      (count times)
+    head:    version u8, kind u8, sender u16, start_id u32, incarnation u32, sequence u32, target u16,
+             count u8
+    update:  member u16, status u8, start_id u32, incarnation u32      (count times)
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
     member: int
     status: int
-    life: int  # drawn anew at each start of a process
+    start_id: int  # drawn anew at each start of a process
     incarnation: int
 
 
@@ -39,7 +40,7 @@
 class Datagram:
     kind: int
     sender: int
-    life: int
+    start_id: int
     incarnation: int
     sequence: int = 0
     target: int = NOBODY
@@ -54,13 +55,15 @@
         VERSION,
         message.kind,
         message.sender,
-        message.life,
+        message.start_id,
         message.incarnation,
         message.sequence,
         message.target,
         len(message.updates),
     )
-    return head + b"".join(UPDATE.pack(r.member, r.status, r.life, r.incarnation) for r in message.updates)
+    return head + b"".join(
+        UPDATE.pack(r.member, r.status, r.start_id, r.incarnation) for r in message.updates
+    )
 
 
 def unpack(data: bytes) -> Datagram:
@@ -69,7 +72,7 @@
         raise DatagramError("too-long")
     if len(data) < HEAD.size:
         raise DatagramError("too-short")
-    version, kind, sender, life, incarnation, sequence, target, count = HEAD.unpack_from(data)
+    version, kind, sender, start_id, incarnation, sequence, target, count = HEAD.unpack_from(data)
     if version != VERSION:
         raise DatagramError("other-version")
     if kind not in (PING, ACK, ASK, LEAVE):
@@ -79,4 +82,4 @@
     updates = tuple(MemberUpdate(*values) for values in UPDATE.iter_unpack(data[HEAD.size :]))
     if any(update.status > LEFT for update in updates):
         raise DatagramError("unknown-status")
-    return Datagram(kind, sender, life, incarnation, sequence, target, updates)
+    return Datagram(kind, sender, start_id, incarnation, sequence, target, updates)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -130,8 +130,8 @@
     tier.start(7)
     tier.run(10)
     assert tier.agree() and not tier.deaths()
-    lives = {node.members[7].life for node in tier.nodes}
-    assert lives == {tier.nodes[7].life}
+    lives = {node.members[7].start_id for node in tier.nodes}
+    assert lives == {tier.nodes[7].start_id}
     others = [node for node in tier.nodes if node.own != 7]
     assert all(any(change.why == "restarted" for change in node.changes) for node in others)
 
@@ -162,7 +162,7 @@
 
 def test_an_old_datagram_that_comes_late_raises_nobody():
     tier = Tier(4).run(10)
-    old = Datagram(PING, 2, tier.nodes[2].life, tier.nodes[2].incarnation)
+    old = Datagram(PING, 2, tier.nodes[2].start_id, tier.nodes[2].incarnation)
     tier.kill(2)
     tier.run(40)
     assert tier.views(2) == [DEAD] * 3
@@ -196,7 +196,7 @@
     node = tier.nodes[1]
     for _ in range(50):
         claim = MemberUpdate(1, ALIVE, 99, node.incarnation + 1)
-        node.heard(tier.agenda.now, 0, Datagram(PING, 0, tier.nodes[0].life, 1, 5, updates=(claim,)))
+        node.heard(tier.agenda.now, 0, Datagram(PING, 0, tier.nodes[0].start_id, 1, 5, updates=(claim,)))
         tier.run(0.1)
     assert sum("twice" in change.why for change in node.changes) == 1
     assert node.incarnation < 20
@@ -206,7 +206,7 @@
     tier = Tier(3).run(10)
     tier.sent[0] = 0
     for sequence in range(1000):
-        tier.nodes[0].heard(tier.agenda.now, 1, Datagram(PING, 1, tier.nodes[1].life, 1, sequence))
+        tier.nodes[0].heard(tier.agenda.now, 1, Datagram(PING, 1, tier.nodes[1].start_id, 1, sequence))
     assert tier.sent[0] <= membership.ANSWERS
 
 
@@ -217,7 +217,7 @@
     tier.nodes[0].heard(
         tier.agenda.now,
         1,
-        Datagram(ACK, 1, tier.nodes[1].life, 1, 0, 60_000, (MemberUpdate(60_000, DEAD, 1, 1),)),
+        Datagram(ACK, 1, tier.nodes[1].start_id, 1, 0, 60_000, (MemberUpdate(60_000, DEAD, 1, 1),)),
     )
     assert tier.nodes[0].members[2].incarnation < 99 and tier.run(5).agree() and tier.agenda.now > START
 
