--- a/bellrack/peers/membership.py
+++ b/bellrack/peers/membership.py
@@ -19,8 +19,8 @@
 from bellrack.peers.wire import (
     ACK,
     ALIVE,
-    ASK,
     DEAD,
+    INDIRECT_PROBE,
     LEAVE,
     LEFT,
     NOBODY,
@@ -40,7 +40,7 @@
 ANSWERS = 12  # datagrams in answer within a period, at most: what a flood of questions can make us send
 STRANGERS, STRANGERS_ASKED = 4, 3  # asked a period after a start, and how often each: updates tell only news
 EARLY = 0.001  # seconds
-ASKED_FOR = 16  # questions of others that are under way through us, at most
+MAX_RELAYED_PROBES = 16  # questions of others that are under way through us, at most
 RIVALS = 3  # times that another start id claims our member, until it is told
 RIVAL_EACH = 10.0  # seconds between claims of ours from then on
 UNKNOWN = -1  # a member that never spoke
@@ -75,7 +75,7 @@
 
 
 @dataclass(eq=False)
-class Question:
+class PendingProbe:
     member: Member
     sequence: int
     asked: float
@@ -105,10 +105,12 @@
         self.spread = max(1.0, math.log2(members + 1))
         self.changes: list[Change] = []
         self.sequence = 0
-        self.question: Question | None = None
+        self.pending_probe: PendingProbe | None = None
         self.order: list[Member] = []
         self.turns = 0
-        self.asked_for: dict[int, tuple[int, int, float]] = {}  # our sequence: who asked, theirs, until when
+        self.relayed_probes: dict[
+            int, tuple[int, int, float]
+        ] = {}  # our sequence: who asked, theirs, until when
         self.answers = 0  # in this period
         self.rivals, self.claimed = 0, -math.inf
         self.left = False
@@ -120,8 +122,8 @@
     def due(self) -> float:
         """When `tick` is to be called next."""
         times = [self.next_turn]
-        if self.question and not self.question.helped:
-            times.append(self.question.asked + ANSWER)
+        if self.pending_probe and not self.pending_probe.helped:
+            times.append(self.pending_probe.asked + ANSWER)
         return min(times)
 
     def tick(self, now: float) -> None:
@@ -129,7 +131,7 @@
         if self.left:
             return
         now += EARLY  # guards against a timer that goes off a moment early, and would do so for ever
-        question = self.question
+        question = self.pending_probe
         if question and not question.helped and now >= question.asked + ANSWER:
             question.helped = True
             helpers = [
@@ -139,7 +141,7 @@
             ]
             for _ in range(min(HELPERS, len(helpers))):
                 helper = helpers.pop(int(self.draw() * len(helpers)))
-                self.say(helper.number, ASK, question.sequence, question.member.number)
+                self.say(helper.number, INDIRECT_PROBE, question.sequence, question.member.number)
         if now >= self.next_turn:
             self.turn(now)
 
@@ -147,10 +149,10 @@
         """The end of a period and the beginning of the next."""
         self.next_turn = max(self.next_turn + PERIOD, now + PERIOD / 2)
         self.answers = 0
-        self.asked_for = {mine: asked for mine, asked in self.asked_for.items() if asked[2] > now}
-        if self.question and self.question.member.status == ALIVE:
-            self.believe(now, self.question.member.update(), SUSPECT, "no answer")
-        self.question = None
+        self.relayed_probes = {mine: asked for mine, asked in self.relayed_probes.items() if asked[2] > now}
+        if self.pending_probe and self.pending_probe.member.status == ALIVE:
+            self.believe(now, self.pending_probe.member.update(), SUSPECT, "no answer")
+        self.pending_probe = None
         for member in self.members:
             if member.status == SUSPECT and now >= member.since + DOUBT * self.spread * PERIOD:
                 self.believe(now, member.update(), DEAD, "suspected for long")
@@ -164,7 +166,7 @@
         member = self.next_member()
         if member:
             self.sequence += 1
-            self.question = Question(member, self.sequence, now)
+            self.pending_probe = PendingProbe(member, self.sequence, now)
             self.say(member.number, PING, self.sequence)
 
     def next_member(self) -> Member | None:
@@ -195,22 +197,26 @@
                 self.believe(now, update, update.status, f"told by {peer}")
         if message.kind == PING:
             self.answer(peer, ACK, message.sequence)
-        elif message.kind == ASK and message.target < len(self.members) and message.target != self.own:
-            if len(self.asked_for) < ASKED_FOR:
+        elif (
+            message.kind == INDIRECT_PROBE
+            and message.target < len(self.members)
+            and message.target != self.own
+        ):
+            if len(self.relayed_probes) < MAX_RELAYED_PROBES:
                 self.sequence += 1
-                self.asked_for[self.sequence] = peer, message.sequence, now + 2 * PERIOD
+                self.relayed_probes[self.sequence] = peer, message.sequence, now + 2 * PERIOD
                 self.answer(message.target, PING, self.sequence)
         elif message.kind == ACK:
             self.acknowledged(peer, message)
 
     def acknowledged(self, peer: int, message: Datagram) -> None:
-        if message.sequence in self.asked_for and message.target == NOBODY:
-            asker, theirs, _ = self.asked_for.pop(message.sequence)
+        if message.sequence in self.relayed_probes and message.target == NOBODY:
+            asker, theirs, _ = self.relayed_probes.pop(message.sequence)
             self.answer(asker, ACK, theirs, peer)
-        question = self.question
+        question = self.pending_probe
         about = peer if message.target == NOBODY else message.target
         if question and question.sequence == message.sequence and question.member.number == about:
-            self.question = None
+            self.pending_probe = None
 
     def believe(self, now: float, update: MemberUpdate, status: int, why: str) -> None:
         """Take what is newer: a higher incarnation, or of the same one the worse."""
--- a/bellrack/peers/wire.py
+++ b/bellrack/peers/wire.py
@@ -15,7 +15,7 @@
 
 VERSION = 1
 MOST = 256  # bytes of a datagram
-PING, ACK, ASK, LEAVE = 1, 2, 3, 4  # a question; its answer; "ping the target for me"; "I go"
+PING, ACK, INDIRECT_PROBE, LEAVE = 1, 2, 3, 4  # a question; its answer; "ping the target for me"; "I go"
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
 NOBODY = 0xFFFF  # as target: nobody but the receiver
 HEAD, UPDATE = struct.Struct(">BBHIIIHB"), struct.Struct(">HBII")
@@ -75,7 +75,7 @@
     version, kind, sender, start_id, incarnation, sequence, target, count = HEAD.unpack_from(data)
     if version != VERSION:
         raise DatagramError("other-version")
-    if kind not in (PING, ACK, ASK, LEAVE):
+    if kind not in (PING, ACK, INDIRECT_PROBE, LEAVE):
         raise DatagramError("unknown-kind")
     if len(data) != HEAD.size + count * UPDATE.size:
         raise DatagramError("wrong-length")
