--- a/bellrack/peers/membership.py
+++ b/bellrack/peers/membership.py
@@ -115,7 +115,7 @@
         self.rivals, self.claimed = 0, -math.inf
         self.left = False
         self.next_turn = now + PERIOD * draw()
-        self.tell(self.members[own])
+        self.enqueue_broadcast(self.members[own])
 
     # Time.
 
@@ -141,21 +141,21 @@
             ]
             for _ in range(min(HELPERS, len(helpers))):
                 helper = helpers.pop(int(self.draw() * len(helpers)))
-                self.say(helper.number, INDIRECT_PROBE, question.sequence, question.member.number)
+                self.send(helper.number, INDIRECT_PROBE, question.sequence, question.member.number)
         if now >= self.next_turn:
-            self.turn(now)
+            self.on_period(now)
 
-    def turn(self, now: float) -> None:
+    def on_period(self, now: float) -> None:
         """The end of a period and the beginning of the next."""
         self.next_turn = max(self.next_turn + PERIOD, now + PERIOD / 2)
         self.answers = 0
         self.relayed_probes = {mine: asked for mine, asked in self.relayed_probes.items() if asked[2] > now}
         if self.pending_probe and self.pending_probe.member.status == ALIVE:
-            self.believe(now, self.pending_probe.member.update(), SUSPECT, "no answer")
+            self.merge(now, self.pending_probe.member.update(), SUSPECT, "no answer")
         self.pending_probe = None
         for member in self.members:
             if member.status == SUSPECT and now >= member.since + DOUBT * self.spread * PERIOD:
-                self.believe(now, member.update(), DEAD, "suspected for long")
+                self.merge(now, member.update(), DEAD, "suspected for long")
         strangers = [
             member for member in self.members if member.status == UNKNOWN and member.asked < STRANGERS_ASKED
         ]
@@ -167,7 +167,7 @@
         if member:
             self.sequence += 1
             self.pending_probe = PendingProbe(member, self.sequence, now)
-            self.say(member.number, PING, self.sequence)
+            self.send(member.number, PING, self.sequence)
 
     def next_member(self) -> Member | None:
         """Each in turn, in an order drawn anew each round; the dead and unknown only now and then."""
@@ -184,17 +184,17 @@
 
     # What is heard.
 
-    def heard(self, now: float, peer: int, message: Datagram) -> None:
+    def on_datagram(self, now: float, peer: int, message: Datagram) -> None:
         """A datagram from the known address of a peer."""
         if self.left or message.sender != peer or peer == self.own or peer >= len(self.members):
             return
         member = self.members[peer]
         member.heard, member.spoken = now, message.start_id
         status = LEFT if message.kind == LEAVE else ALIVE
-        self.believe(now, MemberUpdate(peer, status, message.start_id, message.incarnation), status, "spoke")
+        self.merge(now, MemberUpdate(peer, status, message.start_id, message.incarnation), status, "spoke")
         for update in message.updates:
             if update.member < len(self.members):
-                self.believe(now, update, update.status, f"told by {peer}")
+                self.merge(now, update, update.status, f"told by {peer}")
         if message.kind == PING:
             self.answer(peer, ACK, message.sequence)
         elif (
@@ -218,7 +218,7 @@
         if question and question.sequence == message.sequence and question.member.number == about:
             self.pending_probe = None
 
-    def believe(self, now: float, update: MemberUpdate, status: int, why: str) -> None:
+    def merge(self, now: float, update: MemberUpdate, status: int, why: str) -> None:
         """Take what is newer: a higher incarnation, or of the same one the worse."""
         if update.member == self.own:
             self.refute(now, update)
@@ -234,7 +234,7 @@
             again = restarted and status == ALIVE
             self.changes.append(Change(member.number, status, "restarted" if again else why))
         member.status, member.start_id, member.incarnation = status, update.start_id, update.incarnation
-        self.tell(member)
+        self.enqueue_broadcast(member)
 
     def refute(self, now: float, update: MemberUpdate) -> None:
         """Something is said of ourselves: if it is not so, say more loudly that we are here."""
@@ -252,14 +252,14 @@
         self.incarnation = update.incarnation + 1
         own = self.members[self.own]
         own.incarnation, own.since = self.incarnation, now
-        self.tell(own)
+        self.enqueue_broadcast(own)
 
     # What is said.
 
-    def tell(self, member: Member) -> None:
+    def enqueue_broadcast(self, member: Member) -> None:
         member.left_to_tell = math.ceil(TELLING * self.spread)
 
-    def say(self, peer: int, kind: int, sequence: int, target: int = NOBODY) -> None:
+    def send(self, peer: int, kind: int, sequence: int, target: int = NOBODY) -> None:
         """With what is most to be told; always with what is said of the receiver, that it may refute it."""
         to = self.members[peer]
         first = [to] if to.status in (SUSPECT, DEAD, LEFT) or to.spoken not in (0, to.start_id) else []
@@ -287,7 +287,7 @@
         """Guards against a flood of questions that makes us send without bound."""
         if self.answers < ANSWERS:
             self.answers += 1
-            self.say(peer, kind, sequence, target)
+            self.send(peer, kind, sequence, target)
 
     def leave(self) -> None:
         """Tell some that we go, so that nobody suspects us; they pass it on."""
@@ -299,7 +299,7 @@
             if member.status in (ALIVE, SUSPECT) and member.number != self.own
         ]
         for _ in range(min(len(others), math.ceil(TELLING * self.spread))):
-            self.say(others.pop(int(self.draw() * len(others))).number, LEAVE, 0)
+            self.send(others.pop(int(self.draw() * len(others))).number, LEAVE, 0)
         self.left = True
 
     def alive(self) -> list[Member]:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -68,7 +68,7 @@
 
     def arrives(self, sender, receiver, data):
         if self.nodes[receiver]:
-            self.nodes[receiver].heard(self.agenda.now, sender, unpack(data))
+            self.nodes[receiver].on_datagram(self.agenda.now, sender, unpack(data))
 
     def kill(self, number):
         self.nodes[number] = None
@@ -166,7 +166,7 @@
     tier.kill(2)
     tier.run(40)
     assert tier.views(2) == [DEAD] * 3
-    tier.nodes[0].heard(tier.agenda.now, 2, old)
+    tier.nodes[0].on_datagram(tier.agenda.now, 2, old)
     assert tier.nodes[0].members[2].status == DEAD
 
 
@@ -196,7 +196,9 @@
     node = tier.nodes[1]
     for _ in range(50):
         claim = MemberUpdate(1, ALIVE, 99, node.incarnation + 1)
-        node.heard(tier.agenda.now, 0, Datagram(PING, 0, tier.nodes[0].start_id, 1, 5, updates=(claim,)))
+        node.on_datagram(
+            tier.agenda.now, 0, Datagram(PING, 0, tier.nodes[0].start_id, 1, 5, updates=(claim,))
+        )
         tier.run(0.1)
     assert sum("twice" in change.why for change in node.changes) == 1
     assert node.incarnation < 20
@@ -206,15 +208,15 @@
     tier = Tier(3).run(10)
     tier.sent[0] = 0
     for sequence in range(1000):
-        tier.nodes[0].heard(tier.agenda.now, 1, Datagram(PING, 1, tier.nodes[1].start_id, 1, sequence))
+        tier.nodes[0].on_datagram(tier.agenda.now, 1, Datagram(PING, 1, tier.nodes[1].start_id, 1, sequence))
     assert tier.sent[0] <= membership.ANSWERS
 
 
 def test_who_speaks_for_another_is_not_heard():
     tier = Tier(3).run(10)
-    tier.nodes[0].heard(tier.agenda.now, 1, Datagram(PING, 2, 77, 99))
-    tier.nodes[0].heard(tier.agenda.now, 9, Datagram(PING, 9, 77, 99))
-    tier.nodes[0].heard(
+    tier.nodes[0].on_datagram(tier.agenda.now, 1, Datagram(PING, 2, 77, 99))
+    tier.nodes[0].on_datagram(tier.agenda.now, 9, Datagram(PING, 9, 77, 99))
+    tier.nodes[0].on_datagram(
         tier.agenda.now,
         1,
         Datagram(ACK, 1, tier.nodes[1].start_id, 1, 0, 60_000, (MemberUpdate(60_000, DEAD, 1, 1),)),
