--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -163,7 +163,7 @@
             "FillsCold",
             slow_start={"accepts": _all_bear, "warm_share": _warm_at_once, "record_setup": _unpaced},
             selection={"has_room": _room_at_once},
-            overload={"found": _unheard},
+            overload={"report_overload": _unheard},
         ),
     ),
 }
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -35,16 +35,16 @@
 
 
 class OverloadDetector:
-    """One balancer's part. `late(server, delay)` hears what is found."""
+    """One balancer's part. `on_overload(server, delay)` hears what is found."""
 
     def __init__(
         self,
         settings: Settings,
         tell: Callable[[int | None, bytes], None],
-        late: Callable[[Server, float], None],
+        on_overload: Callable[[Server, float], None],
         large: int | None = None,
     ):
-        self.settings, self.late = settings, late
+        self.settings, self.on_overload = settings, on_overload
         own, peers = settings.number, settings.peers
         self.exchange: aggregation.Aggregation | gossip.Gossip = aggregation.Aggregation(own, peers, tell)
         if peers > (gossip.LARGE if large is None else large):
@@ -113,7 +113,7 @@
             self.sign(server, DROPPED, now)
         elif self.unsaid(now):
             self.judged += 1
-            self.late(server, DROPPED)
+            self.on_overload(server, DROPPED)
 
     def sign(self, server: Server, late: float, now: float) -> None:
         before, when = self.slow.get(server.id_hash, (0.0, -math.inf))
@@ -126,13 +126,13 @@
         if aggregator and (now - when > AGAIN or late > 2 * before):
             self.said[server.id_hash] = late, now
             self.exchange.passes_on(server.id_hash, late)
-        self.found(server, late, now)
+        self.report_overload(server, late, now)
 
-    def found(self, server: Server, late: float, now: float) -> None:
+    def report_overload(self, server: Server, late: float, now: float) -> None:
         # Guards against few balancers that take the chance of a set-up or two for a server's state.
         if self.hears(now):
             self.judged += 1
-            self.late(server, late)
+            self.on_overload(server, late)
 
     def heard(self, peer: int, data: bytes, now: float) -> None:
         """A datagram; what is none of ours says nothing."""
@@ -143,7 +143,7 @@
             elif self.exchange.aggregator == self.exchange.own:
                 self.sign(server, value, now)
             else:
-                self.found(server, value, now)
+                self.report_overload(server, value, now)
 
     def turn(self, now: float) -> None:
         """A few times a second: say what is due; nothing where servers say more themselves."""
