--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -549,7 +549,7 @@
         self.balancer.overload.exchange.holds(server.id_hash, server.local_state.open_legs, call.group, left)
 
     def on_established(self, leg: Leg) -> None:
-        self.balancer.overload.stood(leg.server, self.host.now - leg.sent, self.host.now)
+        self.balancer.overload.on_established(leg.server, self.host.now - leg.sent, self.host.now)
         stand = leg.server.local_state
         stand.consecutive_failures, stand.established_legs[leg], stand.failure_weight = (
             0,
@@ -565,7 +565,7 @@
             )  # guards against a report from before it broke
         if leg.established and result.kind == model.RESET:
             self.cut_limit(leg.server)  # guards against a server that sheds what it cannot carry
-            self.balancer.overload.dropped(leg.server, self.host.now)
+            self.balancer.overload.on_reset(leg.server, self.host.now)
         self.count_leg(leg.call, leg.server, -1)
         leg.server.local_state.established_legs.pop(leg, None)
         soon = not leg.established or self.host.now - leg.sent < SOON
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -95,7 +95,7 @@
         took = sorted(took for when, took in self.took if now - when < RECENT_FOR)
         return took[int(USUAL * len(took))] if len(took) >= FEWEST else self.settings.shortest_message_aim / 2
 
-    def stood(self, server: Server, took: float, now: float) -> None:
+    def on_established(self, server: Server, took: float, now: float) -> None:
         """A set-up of ours took so long."""
         if self.settings.may_publish:
             self.exchange.report(aggregation.TOOK, server.id_hash, took * 1000)
@@ -104,18 +104,18 @@
     def set_up(self, server: Server, took: float, now: float) -> None:
         late = (took - self.usual(now)) / (WAITS * self.settings.shortest_message_aim)
         self.took.append((now, took))
-        self.sign(server, max(0.0, late), now)
+        self.on_sign(server, max(0.0, late), now)
 
-    def dropped(self, server: Server, now: float) -> None:
+    def on_reset(self, server: Server, now: float) -> None:
         """It reset what stood. What one balancer meets is the decisions' own; here, that several do."""
         if self.hears(now):
             self.exchange.report(aggregation.LATE, server.id_hash, DROPPED)
-            self.sign(server, DROPPED, now)
+            self.on_sign(server, DROPPED, now)
         elif self.unsaid(now):
             self.judged += 1
             self.on_overload(server, DROPPED)
 
-    def sign(self, server: Server, late: float, now: float) -> None:
+    def on_sign(self, server: Server, late: float, now: float) -> None:
         before, when = self.slow.get(server.id_hash, (0.0, -math.inf))
         late = (late + (before if now - when < SEEN_FOR else 0.0)) / 2
         self.slow[server.id_hash] = late, now
@@ -141,7 +141,7 @@
             if kind == aggregation.TOOK:
                 self.set_up(server, value / 1000, now)
             elif self.exchange.aggregator == self.exchange.own:
-                self.sign(server, value, now)
+                self.on_sign(server, value, now)
             else:
                 self.report_overload(server, value, now)
 
--- a/tests/test_blind.py
+++ b/tests/test_blind.py
@@ -147,5 +147,5 @@
         0.0,
         0.0,
     )
-    bench.balancer.overload.dropped(one, bench.now)
+    bench.balancer.overload.on_reset(one, bench.now)
     assert one.local_state.delay_ratio == 0 and one.local_state.limit == ceiling
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -527,7 +527,7 @@
         for own, one in enumerate(detectors):
             if own < 10 and turn > 20:
                 server = fleet[(own + turn) % 10]
-                one.stood(server, 0.25 if server is fleet[2] else 0.02, now[0])
+                one.on_established(server, 0.25 if server is fleet[2] else 0.02, now[0])
             one.turn(now[0])
     assert {server for _, server in found} == {fleet[2]} and {own for own, _ in found} >= {10, 11}
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -51,7 +51,9 @@
         """Each balancer in turn sets up at each server, by what it takes there."""
         for turn in range(times):
             for place, server in enumerate(self.fleet):
-                self.detectors[(turn + place) % len(self.detectors)].stood(server, took(server), self.now)
+                self.detectors[(turn + place) % len(self.detectors)].on_established(
+                    server, took(server), self.now
+                )
             self.run(0.25)
 
 
@@ -151,7 +153,7 @@
     tier.run(3)
     for turn in range(6):
         for place, server in enumerate(tier.fleet):
-            tier.detectors[(turn + place) % 12].dropped(server, tier.now)
+            tier.detectors[(turn + place) % 12].on_reset(server, tier.now)
         tier.run(0.5)
     assert {server for _, server, _ in tier.late} == set(tier.fleet)
 
@@ -160,8 +162,8 @@
     tier = Tier(count=12)
     tier.run(3)
     tier.set_ups(lambda server: 0.02, times=4)
-    tier.detectors[4].dropped(tier.fleet[1], tier.now)
-    tier.detectors[5].stood(tier.fleet[2], 0.07, tier.now)
+    tier.detectors[4].on_reset(tier.fleet[1], tier.now)
+    tier.detectors[5].on_established(tier.fleet[2], 0.07, tier.now)
     tier.run(2)
     assert not tier.late
 
