--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -638,7 +638,7 @@
         return self.filled[1]
 
     def on_datagram(self, peer: int, data: bytes) -> None:
-        self.overload.heard(peer, data, self.host.now)
+        self.overload.on_datagram(peer, data, self.host.now)
 
     def on_probe_result(self, server: Server, result: Result) -> None:
         self.selection.on_probe_result(server, result)
@@ -670,7 +670,7 @@
             self.zone.rebalance()
         elif what == "publish":
             self.host.set_timer(self.host.now + TELL_EVERY, "publish")
-            self.overload.turn(self.host.now)
+            self.overload.on_period(self.host.now)
         elif what == "watch":
             self.host.watch()
 
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -572,15 +572,17 @@
                 self.set_up(own)
                 one.report(aggregation.TOOK, self.standing[own][-1][0], 20.0)
             if own > 1:
-                one.heard(self.now, 0, quiet, {})  # that somebody speaks; what is said one hears for all
-            one.turn(self.now, 0.02)
+                one.on_datagram(
+                    self.now, 0, quiet, {}
+                )  # that somebody speaks; what is said one hears for all
+            one.on_period(self.now, 0.02)
         aggregator, hears = self.all[0], self.all[1]
         arrived = [(peer, data) for peer, to, data in self.out if to == 0]
         self.out.clear()
         begun = time.process_time_ns()
         for peer, data in arrived:
-            aggregator.heard(self.now, peer, data, self.listed)
-        aggregator.turn(self.now, 0.02)
+            aggregator.on_datagram(self.now, peer, data, self.listed)
+        aggregator.on_period(self.now, 0.02)
         self.spent += time.process_time_ns() - begun
         self.reports += len(arrived)
         self.report_bytes += sum(len(data) for _, data in arrived)
@@ -590,7 +592,7 @@
         self.out.clear()
         begun = time.process_time_ns()
         for data in said:
-            hears.heard(self.now, 0, data, self.listed)
+            hears.on_datagram(self.now, 0, data, self.listed)
         self.heard += time.process_time_ns() - begun
 
     def play(self, seconds: float, warm: float = 10.0) -> dict[str, float]:
@@ -664,7 +666,7 @@
     out: list[bytes] = []
     one = aggregation.Aggregation(own, BALANCERS, lambda peer, data: out.append(data))
     if own:
-        one.heard(BEGUN, 0, next(aggregation.pack(aggregation.BROADCAST, [])), {})
+        one.on_datagram(BEGUN, 0, next(aggregation.pack(aggregation.BROADCAST, [])), {})
     else:
         one.aggregator = 0
     pairs = [(n % 6000, n // 6000 * 6007 + n % 6000 + 1) for n in range(count)]
@@ -675,9 +677,9 @@
                 aggregation.PLACEMENTS if own else aggregation.GROUPS, some, [1] * len(some)
             ):
                 peer = first // aggregation.MOST_PAIRS * aggregation.HOLDERS + copy + 1
-                one.heard(BEGUN, 0 if own else peer, data, {})
+                one.on_datagram(BEGUN, 0 if own else peer, data, {})
     if not own:
-        one.turn(BEGUN, 0.02)
+        one.on_period(BEGUN, 0.02)
     return one
 
 
@@ -717,7 +719,7 @@
         "us",
         "placements told before",
         list(asked),
-        [processor_time(lambda one=one: one.heard(BEGUN, 0, news, {}), 1) for one in known],
+        [processor_time(lambda one=one: one.on_datagram(BEGUN, 0, news, {}), 1) for one in known],
         False,
     )
     servers = (600, 2400, 5000, SERVERS)
--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -143,7 +143,7 @@
         total, when = self.sums.get(mark & MARK, (0.0, now))
         return total if now - when <= SUM_STANDS else 0.0
 
-    def turn(self, now: float, usual: float) -> None:
+    def on_period(self, now: float, usual: float) -> None:
         """Say what is due; a few times a second. `usual` is what a set-up takes as far as we know."""
         if self.broadcast_at == -math.inf:
             self.broadcast_at = now  # nobody has published yet; as if one had just now
@@ -204,7 +204,7 @@
         for data in pack(BROADCAST, [(TOOK, 0, usual * 1000), *late, *records]):
             self.tell(None, data)
 
-    def heard(self, now: float, peer: int, data: bytes, listed: dict[int, object]) -> list[Record]:
+    def on_datagram(self, now: float, peer: int, data: bytes, listed: dict[int, object]) -> list[Record]:
         """Those of its records that are for us to judge: lateness; as the aggregator, set-up times too."""
         if peer != self.own and data[:1] in (bytes([GROUPS]), bytes([PLACEMENTS])):
             self.heard_pairs(now, peer, data)
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -175,7 +175,7 @@
             )
         return self.middle[1]
 
-    def turn(self, now: float, usual: float) -> None:
+    def on_period(self, now: float, usual: float) -> None:
         """Say what is due; a few times a second. `usual` is what a set-up takes as far as we know."""
         self.baseline, self.taken = usual, 0
         if now - self.said < EACH or not self.order:
@@ -203,7 +203,7 @@
             return peer + (peer >= self.own) if self.peers > 1 else None
         return list(self.mates)[int(self.draw() * len(self.mates))]
 
-    def heard(
+    def on_datagram(
         self, now: float, peer: int, data: bytes, listed: dict[int, object]
     ) -> list[aggregation.Record]:
         """Takes votes, and returns what two peers say of lateness."""
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -134,9 +134,9 @@
             self.judged += 1
             self.on_overload(server, late)
 
-    def heard(self, peer: int, data: bytes, now: float) -> None:
+    def on_datagram(self, peer: int, data: bytes, now: float) -> None:
         """A datagram; what is none of ours says nothing."""
-        for kind, mark, value in self.exchange.heard(now, peer, data, self.servers):
+        for kind, mark, value in self.exchange.on_datagram(now, peer, data, self.servers):
             server = self.servers[mark]
             if kind == aggregation.TOOK:
                 self.set_up(server, value / 1000, now)
@@ -145,11 +145,11 @@
             else:
                 self.report_overload(server, value, now)
 
-    def turn(self, now: float) -> None:
+    def on_period(self, now: float) -> None:
         """A few times a second: say what is due; nothing where servers say more themselves."""
         if self.better(now):
             return
-        self.exchange.turn(now, self.usual(now))
+        self.exchange.on_period(now, self.usual(now))
 
     def fill(self, servers: list[Server], now: float) -> dict[Server, float]:
         """What all balancers hold of each; nothing if that is not known of most. Where it is not known of one
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -75,14 +75,14 @@
             sender, receiver, data = receiver, self.random.choice(self.numbers), self.abroad
         if receiver in self.nodes and not self.cut(sender, receiver) and self.random.random() >= self.loss:
             self.taken[receiver] = self.taken.get(receiver, 0) + len(data) + HEAD
-            self.nodes[receiver].heard(self.now, sender, data, self.listed)
+            self.nodes[receiver].on_datagram(self.now, sender, data, self.listed)
 
     def run(self, seconds):
         for _ in range(round(seconds / TICK)):
             self.now += TICK
             for number in self.random.sample(self.numbers, len(self.numbers)):
                 if number in self.nodes:
-                    self.nodes[number].turn(self.now, 0.02)
+                    self.nodes[number].on_period(self.now, 0.02)
 
     def errors(self, numbers):
         """How far each estimate, over the mean estimate, is from the true one over the true mean."""
@@ -220,20 +220,20 @@
 def test_one_that_lies_loudly_and_often_is_one_vote():
     node, listed, _ = pair()
     for peer in range(1, 6):
-        node.heard(10.0, peer, poll([30] * 10), listed)
+        node.on_datagram(10.0, peer, poll([30] * 10), listed)
     before = node.total(1, 10.0)
     for turn in range(200):
-        node.heard(10.0, 7, poll([60000] + [0] * 9, held=60000), listed)
-        node.heard(10.0, 8, poll([30] * 10), listed)
+        node.on_datagram(10.0, 7, poll([60000] + [0] * 9, held=60000), listed)
+        node.on_datagram(10.0, 8, poll([30] * 10), listed)
         if turn % 4 == 0:
-            node.turn(10.0, 0.02)
+            node.on_period(10.0, 0.02)
     assert before and abs(node.total(1, 10.0) / node.total(2, 10.0) - 1) < 0.1
 
 
 def test_those_that_hold_next_to_nothing_have_no_vote():
     node, listed, _ = pair()
     for peer in range(1, 7):
-        node.heard(10.0, peer, poll([150] + [0] * 9), listed)
+        node.on_datagram(10.0, peer, poll([150] + [0] * 9), listed)
     assert not node.votes and node.hears(10.0)
     for mark in listed:
         node.holds(mark, 0, 0, 0)
@@ -244,14 +244,14 @@
 def test_whatever_is_told_no_server_has_more_than_all_connections():
     node, listed, _ = pair()
     for peer in range(1, 7):
-        node.heard(10.0, peer, poll([60000] + [30] * 9, held=300), listed)
+        node.on_datagram(10.0, peer, poll([60000] + [30] * 9, held=300), listed)
     assert node.total(1, 10.0) == node.typical(10.0) * 300
 
 
 def test_a_vote_from_before_a_servers_restart_counts_no_more():
     node, listed, _ = pair()
     for peer in range(1, 6):
-        node.heard(10.0, peer, poll([90] + [30] * 9), listed)
+        node.on_datagram(10.0, peer, poll([90] + [30] * 9), listed)
     assert node.total(1, 10.0) > 2 * node.total(2, 10.0)
     listed[1].started_at = 11.0
     node.holds(1, 0, 0, 0)
@@ -262,20 +262,20 @@
 def test_a_flood_is_left_unread_until_the_next_turn():
     node, listed, _ = pair()
     for peer in range(1, 100):
-        node.heard(10.0, peer, poll([30] * 10), listed)
+        node.on_datagram(10.0, peer, poll([30] * 10), listed)
     assert len(node.mates) == gossip.HEARD
 
 
 def test_mates_are_few_the_longest_unheard_goes_and_the_dead_are_forgotten():
     node, listed, out = pair()
     for peer in range(1, 100):
-        node.heard(10.0 + peer, peer, poll([30] * 10), listed)
-        node.turn(10.0 + peer, 0.02)
+        node.on_datagram(10.0 + peer, peer, poll([30] * 10), listed)
+        node.on_period(10.0 + peer, 0.02)
     assert sorted(node.mates) == list(range(100 - gossip.MATES, 100))
     assert {len(votes) for votes in node.votes.values()} == {gossip.VOTES}
     assert [peer for peer, _ in out] == list(range(1, 100))  # who is new is answered at once
     for second in range(200):
-        node.turn(111.0 + second, 0.02)
+        node.on_period(111.0 + second, 0.02)
     assert {peer for peer, _ in out[99:160]} & set(node.mates) or not node.mates
     late = [peer for peer, _ in out[240:]]  # after FORGET there are none: anybody is asked
     assert not node.mates and len(set(late)) > 30 and min(late) > 0
@@ -284,7 +284,7 @@
 def test_a_turn_that_comes_often_makes_nobody_speak_more_often():
     node, _, out = pair()
     for turn in range(1000):
-        node.turn(10.0 + turn / 100, 0.02)
+        node.on_period(10.0 + turn / 100, 0.02)
     assert 15 <= len(out) <= 23
 
 
@@ -292,7 +292,7 @@
     node, _, out = pair()
     node.listed({mark: model.Server(mark) for mark in range(1, 4 * gossip.MOST + 1)}, 0)
     for turn in range(4):
-        node.turn(10.0 + turn, 0.02)
+        node.on_period(10.0 + turn, 0.02)
     assert sorted(one for _, data in out for one, _ in gossip.unpack(data)[2]) == list(node.near)
 
 
@@ -300,12 +300,12 @@
     node, listed, _ = pair()
     old = poll([300] + [30] * 9)
     for peer in range(1, 7):
-        node.heard(10.0, peer, old, listed)
+        node.on_datagram(10.0, peer, old, listed)
     assert node.total(1, 10.0) > 3 * node.total(2, 10.0)
-    node.turn(40.0, 0.02)
+    node.on_period(40.0, 0.02)
     for peer in range(1, 7):
-        node.heard(40.0, peer, poll([30] * 10), listed)
-        node.heard(40.0, 3, old, listed)
+        node.on_datagram(40.0, peer, poll([30] * 10), listed)
+        node.on_datagram(40.0, 3, old, listed)
     assert node.total(1, 40.0) < 1.1 * node.total(2, 40.0)
     assert node.total(1, 40.0 + gossip.VOTE_STANDS + 1) == node.typical(200.0) * 300 / 10  # own alone
 
@@ -321,28 +321,30 @@
 def test_lateness_is_believed_of_two_and_never_of_one():
     node, listed, out = pair()
     late = poll([30] * 10, [(4, 9.0)])
-    assert not [news for _ in range(9) for news in node.heard(10.0, 1, late, listed)]
-    ((kind, mark, value),) = node.heard(11.0, 2, late, listed)
+    assert not [news for _ in range(9) for news in node.on_datagram(10.0, 1, late, listed)]
+    ((kind, mark, value),) = node.on_datagram(11.0, 2, late, listed)
     assert (kind, mark) == (aggregation.LATE, 4) and value <= gossip.WORST
-    assert not node.heard(20.0, 1, late, listed)  # the other is long ago
+    assert not node.on_datagram(20.0, 1, late, listed)  # the other is long ago
     for peer in (2, 3):
-        assert not node.heard(20.0, peer, poll([30] * 10, [(99, 9.0)]), listed)  # no list names that server
+        assert not node.on_datagram(
+            20.0, peer, poll([30] * 10, [(99, 9.0)]), listed
+        )  # no list names that server
     assert set(node.signs) == {4}
-    node.turn(20.5, 0.02)
+    node.on_period(20.5, 0.02)
     assert gossip.unpack(out[-1][1])[1] == []  # it is not told on: an echo would never end
 
 
 def test_what_we_saw_ourselves_is_told_a_few_times_and_never_more_than_fits():
     node, _, out = pair()
-    node.turn(10.0, 0.02)
+    node.on_period(10.0, 0.02)
     node.report(aggregation.TOOK, 3, 30)  # milliseconds; late by 0.15 of the aim
-    node.turn(11.0, 0.02)
+    node.on_period(11.0, 0.02)
     node.report(aggregation.TOOK, 3, 85)  # by a whole aim
     for mark in range(1, 11):
         node.report(aggregation.LATE, mark, 0.9)
     assert len(node.news) == gossip.MOST_LATE
     for turn in range(2, 8):
-        node.turn(10.0 + turn, 0.02)
+        node.on_period(10.0 + turn, 0.02)
     told = [len(gossip.unpack(data)[1]) for _, data in out]
     assert told == [0] * 2 + [gossip.MOST_LATE] * gossip.REPEATS + [0] * 2
 
@@ -351,8 +353,8 @@
 def test_any_bytes_are_taken_or_left(data):
     node, listed, _ = pair()
     for head in (b"", bytes([gossip.FORM]), bytes([gossip.FORM, gossip.VERSION])):
-        node.heard(10.0, 1, head + data, listed)
-    node.turn(11.0, 0.02)
+        node.on_datagram(10.0, 1, head + data, listed)
+    node.on_period(11.0, 0.02)
     assert all(total is None or total >= 0 for total in [node.total(mark, 11.0) for mark in listed])
 
 
@@ -368,10 +370,10 @@
 def test_the_build_before_ignores_the_new_form_and_the_new_build_the_old_ones():
     _, listed, _ = pair()
     old, new = aggregation.Aggregation(0, 300, lambda peer, data: None), pair()[0]
-    old.turn(0.0, 0.02)
+    old.on_period(0.0, 0.02)
     state = repr(vars(old))
     for data in (poll([30] * 10, [(4, 9.0)]), bytes([gossip.FORM]), bytes([gossip.FORM, 9]) + bytes(60)):
-        assert not old.heard(1.0, 1, data, listed) and repr(vars(old)) == state
+        assert not old.on_datagram(1.0, 1, data, listed) and repr(vars(old)) == state
         with pytest.raises(wire.DatagramError):
             wire.unpack(data)
     state = repr(vars(new))
@@ -385,7 +387,7 @@
         *(bytes([form]) + poll([30] * 10)[1:] for form in range(1, 6)),
     ]
     for data in theirs:
-        assert not new.heard(1.0, 1, data, listed) and repr(vars(new)) == state
+        assert not new.on_datagram(1.0, 1, data, listed) and repr(vars(new)) == state
 
 
 def test_processes_of_the_build_before_add_up_among_themselves_beside_the_new_ones():
@@ -399,7 +401,7 @@
             def tell(peer, data):
                 for other in range(len(nodes)) if peer is None else [peer]:
                     if other != own and other < len(nodes):
-                        nodes[other].heard(now[0], own, data, listed)
+                        nodes[other].on_datagram(now[0], own, data, listed)
 
             return tell
 
@@ -416,7 +418,7 @@
         for _ in range(120):
             now[0] += 0.5
             for node in nodes:
-                node.turn(now[0], 0.02)
+                node.on_period(now[0], 0.02)
         return [[node.total(mark, now[0]) for mark in listed] for node in nodes], nodes
 
     (alone, _), (mixed, nodes) = played(6), played(20)
@@ -438,7 +440,7 @@
     )
     one.listed([model.Server(5)])
     for turn in range(20):
-        one.turn(100.0 + turn)
+        one.on_period(100.0 + turn)
     assert type(one.exchange) is kind
     assert {data[0] for data in out} == {gossip.FORM if kind is Gossip else aggregation.BROADCAST}
 
@@ -474,7 +476,7 @@
         told(bench, fleet, [90] + [30] * 9)
         bench.call()
         bench.now += 0.5
-        bench.balancer.overload.turn(bench.now)
+        bench.balancer.overload.on_period(bench.now)
     assert len(bench.sent) >= 50 and fleet[0] not in [leg.server for leg, _ in bench.sent]
 
 
@@ -495,7 +497,7 @@
         told(bench, fleet, [30] * 10, [(fleet[4].id_hash & gossip.ID, 1.2)])
         bench.call()
         bench.now += 0.5
-        bench.balancer.overload.turn(bench.now)
+        bench.balancer.overload.on_period(bench.now)
     assert bench.sent and fleet[4] not in [leg.server for leg, _ in bench.sent]
 
 
@@ -507,7 +509,7 @@
     def told(own):
         def tell(peer, data):
             if peer < len(detectors):
-                detectors[peer].heard(own, data, now[0])
+                detectors[peer].on_datagram(own, data, now[0])
 
         return tell
 
@@ -528,7 +530,7 @@
             if own < 10 and turn > 20:
                 server = fleet[(own + turn) % 10]
                 one.on_established(server, 0.25 if server is fleet[2] else 0.02, now[0])
-            one.turn(now[0])
+            one.on_period(now[0])
     assert {server for _, server in found} == {fleet[2]} and {own for own, _ in found} >= {10, 11}
 
 
@@ -577,7 +579,7 @@
     def lies(self, counts, held, late, to):
         data = gossip.pack(held, [(late, 60000.0)], list(zip(self.listed, counts)), self.random.random)
         for _ in range(3):
-            assert not self.nodes[to].heard(self.now, self.LIAR, data, self.listed)
+            assert not self.nodes[to].on_datagram(self.now, self.LIAR, data, self.listed)
 
     @rule(seconds=some.integers(1, 30))
     def passes(self, seconds):
@@ -586,11 +588,11 @@
             for node in self.nodes.values():
                 for mark in self.listed:
                     self.shares[mark].append((self.now, node.held.get(mark, 0) / node.held_near))
-                node.turn(self.now, 0.02)
+                node.on_period(self.now, 0.02)
             due = [one for one in self.waiting if one[0] <= self.now]
             self.waiting = [one for one in self.waiting if one[0] > self.now]
             for _, sender, receiver, data in self.random.sample(due, len(due)):
-                assert not self.nodes[receiver].heard(self.now, sender, data, self.listed)
+                assert not self.nodes[receiver].on_datagram(self.now, sender, data, self.listed)
         for mark, shares in self.shares.items():
             self.shares[mark] = [one for one in shares if self.now - one[0] <= gossip.VOTE_STANDS + 6]
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -36,7 +36,7 @@
             assert len(data) <= 256
             for other in range(len(self.detectors)) if peer is None else [peer]:
                 if other != own and not {own, other} & self.cut and self.chance.random() >= self.loss:
-                    self.detectors[other].heard(own, data, self.now)
+                    self.detectors[other].on_datagram(own, data, self.now)
 
         return told
 
@@ -45,7 +45,7 @@
             self.now += 0.25
             for number, detector in enumerate(self.detectors):
                 if number not in self.cut:
-                    detector.turn(self.now)
+                    detector.on_period(self.now)
 
     def set_ups(self, took, times=12):
         """Each balancer in turn sets up at each server, by what it takes there."""
@@ -70,7 +70,7 @@
 @given(st.binary(max_size=300))
 def test_any_bytes_of_a_peer_are_taken_or_left(data):
     tier = Tier(2)
-    tier.detectors[0].heard(1, data, tier.now)
+    tier.detectors[0].on_datagram(1, data, tier.now)
     tier.run(3)
 
 
