--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -240,7 +240,7 @@
             1 / max(GROWTH * max(server.local_state.open_legs, sure), LEAST_PACE / self.settings.peers) / calm
         )
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
-        sure = max(sure, 2) if self.balancer.overload.hears(self.host.now) else sure
+        sure = max(sure, 2) if self.balancer.overload.has_broadcasts(self.host.now) else sure
         gap *= self.warm_share(server) == 1.0 and (
             server.local_state.open_legs >= sure or calm < SPILLOVER_RATIO
         )
@@ -281,7 +281,9 @@
             for zone in dict.fromkeys(s.zone for s in self.balancer.fleet)
         ]
         if sum(zones) < SPILLOVER_RATIO * len(zones):
-            held = max(self.balancer.open_legs, FEW if self.balancer.overload.hears(self.host.now) else 1)
+            held = max(
+                self.balancer.open_legs, FEW if self.balancer.overload.has_broadcasts(self.host.now) else 1
+            )
             self.limit, self.cut = JAM_CUT * min(self.limit, held), self.host.now
 
     def rebalance(self) -> None:
@@ -358,7 +360,7 @@
             and stand.warm_at <= self.host.now
             and stand.rounding_offset > self.calm_share(server.zone)
         )
-        return unseen and not self.balancer.overload.hears(self.host.now)
+        return unseen and not self.balancer.overload.has_broadcasts(self.host.now)
 
     def reported_overloaded(self, server: Server) -> bool:
         return (
@@ -370,7 +372,7 @@
         """Count, by zone, the servers of which we would be told: those with late messages and all."""
         for seen in self.balancer.seen.values():
             seen[0], seen[1] = seen[0] / 2, seen[1] / 2
-        hears = self.balancer.overload.hears(self.host.now)
+        hears = self.balancer.overload.has_broadcasts(self.host.now)
         for server in self.balancer.listing.ready:
             if (
                 server.local_state.established_legs
@@ -420,7 +422,7 @@
 
     def lower_limit(self, server: Server, ceiling: float) -> None:
         """Not where one of many that know of each other holds one: that is no measure of the server."""
-        if server.local_state.open_legs > 1 or not self.balancer.overload.hears(self.host.now):
+        if server.local_state.open_legs > 1 or not self.balancer.overload.has_broadcasts(self.host.now):
             server.local_state.limit = min(server.local_state.limit, ceiling)
 
     def cut_limit(self, server: Server) -> None:
--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -132,13 +132,13 @@
         """As the aggregator: that a server is late goes out with the next broadcast."""
         self.gathered[mark & MARK] = late
 
-    def hears(self, now: float) -> bool:
+    def has_broadcasts(self, now: float) -> bool:
         """Somebody tells, and has lately; it may be ourselves."""
         return self.aggregator is not None and now - self.broadcast_at <= BROADCAST_STANDS
 
     def total(self, mark: int, now: float) -> float | None:
         """What all hold there; None if nobody tells."""
-        if not self.hears(now) or not self.sums:
+        if not self.has_broadcasts(now) or not self.sums:
             return None
         total, when = self.sums.get(mark & MARK, (0.0, now))
         return total if now - when <= SUM_STANDS else 0.0
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -144,7 +144,7 @@
         if late >= LATE and (mark & ID in self.news or len(self.news) < MOST_LATE):
             self.news[mark & ID] = late, REPEATS
 
-    def hears(self, now: float) -> bool:
+    def has_broadcasts(self, now: float) -> bool:
         """Has somebody of our zone spoken lately?"""
         return now - self.heard_at <= HEARS_FOR
 
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -71,9 +71,9 @@
         self.slow = {mark: seen for mark, seen in self.slow.items() if mark in known}
         self.said = {mark: seen for mark, seen in self.said.items() if mark in known}
 
-    def hears(self, now: float) -> bool:
+    def has_broadcasts(self, now: float) -> bool:
         """Somebody publishes what all balancers know, and servers do not say themselves how they fare."""
-        return self.settings.may_publish and self.exchange.hears(now) and not self.better(now)
+        return self.settings.may_publish and self.exchange.has_broadcasts(now) and not self.better(now)
 
     def better(self, now: float) -> bool:
         """Servers send notices of late messages, or report their load: evidence that goes before this."""
@@ -85,12 +85,12 @@
 
     def holder(self, server: Server, group: int, now: float) -> bool:
         """Is this group known to stand there?"""
-        return self.hears(now) and self.exchange.holder(server.id_hash, group, now)
+        return self.has_broadcasts(now) and self.exchange.holder(server.id_hash, group, now)
 
     def usual(self, now: float) -> float:
         """What a set-up takes just now at a server that is not late, in seconds."""
         told = self.exchange
-        if told.usual is not None and told.aggregator != told.own and told.hears(now):
+        if told.usual is not None and told.aggregator != told.own and told.has_broadcasts(now):
             return told.usual
         took = sorted(took for when, took in self.took if now - when < RECENT_FOR)
         return took[int(USUAL * len(took))] if len(took) >= FEWEST else self.settings.shortest_message_aim / 2
@@ -108,7 +108,7 @@
 
     def on_reset(self, server: Server, now: float) -> None:
         """It reset what stood. What one balancer meets is the decisions' own; here, that several do."""
-        if self.hears(now):
+        if self.has_broadcasts(now):
             self.exchange.report(aggregation.LATE, server.id_hash, DROPPED)
             self.on_sign(server, DROPPED, now)
         elif self.unsaid(now):
@@ -130,7 +130,7 @@
 
     def report_overload(self, server: Server, late: float, now: float) -> None:
         # Guards against few balancers that take the chance of a set-up or two for a server's state.
-        if self.hears(now):
+        if self.has_broadcasts(now):
             self.judged += 1
             self.on_overload(server, late)
 
@@ -154,7 +154,7 @@
     def fill(self, servers: list[Server], now: float) -> dict[Server, float]:
         """What all balancers hold of each; nothing if that is not known of most. Where it is not known of one
         it is taken to be as full as the others."""
-        if not self.hears(now):
+        if not self.has_broadcasts(now):
             return {}
         if now < self.filled[0] + self.exchange.refresh:
             return self.filled[1]
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -120,7 +120,7 @@
 
 def test_at_that_size_with_30_in_100_lost_estimates_are_fair(large):
     some_of_them = large.numbers[:16]
-    assert all(large.nodes[number].hears(large.now) for number in some_of_them)
+    assert all(large.nodes[number].has_broadcasts(large.now) for number in some_of_them)
     assert large.fair(some_of_them)
     alone = [Zone.errors(large, [number]) for number in some_of_them if not large.nodes[number].votes.clear()]
     off = sorted(sum(alone, []))
@@ -141,7 +141,7 @@
     node = zone.start(0, 0)
     assert node.total(zone.near[0].id_hash, zone.now) is None
     zone.run(30)
-    assert node.hears(zone.now) and zone.fair([0])
+    assert node.has_broadcasts(zone.now) and zone.fair([0])
     all_held = sum(node.total(server.id_hash, zone.now) for server in zone.near)
     assert 0.7 < all_held / (zone.peers * 80 * 50) < 1.4  # the unit is what all hold, not what it holds
 
@@ -153,7 +153,7 @@
         del zone.nodes[number]
     zone.run(30)
     rest = list(zone.nodes)
-    assert all(zone.nodes[number].hears(zone.now) for number in rest) and zone.fair(rest)
+    assert all(zone.nodes[number].has_broadcasts(zone.now) for number in rest) and zone.fair(rest)
     zone.cut = lambda sender, receiver: (sender < 200) != (receiver < 200)
     zone.run(30)
     before = {number: dict(zone.nodes[number].held) for number in rest[:10]}
@@ -179,12 +179,12 @@
 
 def test_where_no_message_goes_nothing_is_known_and_one_that_is_cut_off_knows_it():
     zone = Zone(members=20)
-    assert not any(node.hears(zone.now) for node in zone.nodes.values())
+    assert not any(node.has_broadcasts(zone.now) for node in zone.nodes.values())
     zone.run(60)
-    assert zone.nodes[0].hears(zone.now)
+    assert zone.nodes[0].has_broadcasts(zone.now)
     zone.cut = lambda sender, receiver: 0 in (sender, receiver)
     zone.run(gossip.HEARS_FOR + 1)
-    assert not zone.nodes[0].hears(zone.now) and zone.nodes[10].hears(zone.now)
+    assert not zone.nodes[0].has_broadcasts(zone.now) and zone.nodes[10].has_broadcasts(zone.now)
 
 
 def test_zones_find_themselves_and_other_zones_servers_are_not_polled():
@@ -234,7 +234,7 @@
     node, listed, _ = pair()
     for peer in range(1, 7):
         node.on_datagram(10.0, peer, poll([150] + [0] * 9), listed)
-    assert not node.votes and node.hears(10.0)
+    assert not node.votes and node.has_broadcasts(10.0)
     for mark in listed:
         node.holds(mark, 0, 0, 0)
     node.holds(1, 9, 0, 0)
@@ -315,7 +315,7 @@
     zone.run(60)
     zone.cut = lambda sender, receiver: bool(sender % zone.zones)  # nothing comes from outside any more
     zone.run(gossip.VOTE_STANDS + 20)
-    assert all(node.hears(zone.now) for node in zone.nodes.values()) and zone.fair(zone.numbers)
+    assert all(node.has_broadcasts(zone.now) for node in zone.nodes.values()) and zone.fair(zone.numbers)
 
 
 def test_lateness_is_believed_of_two_and_never_of_one():
@@ -424,7 +424,7 @@
     (alone, _), (mixed, nodes) = played(6), played(20)
     assert mixed[:6] == alone and all(5.5 * 21 < row[0] < 6.5 * 21 for row in alone)
     assert {node.aggregator for node in nodes[:6]} == {0}
-    assert all(node.hears(160.0) and not set(node.mates) & set(range(6)) for node in nodes[6:])
+    assert all(node.has_broadcasts(160.0) and not set(node.mates) & set(range(6)) for node in nodes[6:])
 
 
 @pytest.mark.parametrize(
--- a/tests/test_gossip_live.py
+++ b/tests/test_gossip_live.py
@@ -31,7 +31,7 @@
         self.holds(mark, count, 0, 0)
 def told(self, now, usual):
     turn(self, now, usual)
-    print(json.dumps({"now": now, "hears": self.hears(now), "heard": {
+    print(json.dumps({"now": now, "hears": self.has_broadcasts(now), "heard": {
         peer: when for peer, (when, _) in self.mates.items()},
         "totals": [self.total(mark, now) for mark in sorted(self.near)]}), flush=True)
 gossip.Gossip.listed, gossip.Gossip.on_period = filled, told
