--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -432,7 +432,8 @@
             # As if warm: guards against a ceiling found while cold that would outlast the warm-up.
             held = stand.open_legs / balancer.slow_start.warm_share(server)
             self.lower_limit(
-                server, (SHED if balancer.overload.unsaid(now) else CEILING) * min(stand.limit, held)
+                server,
+                (SHED if balancer.overload.nobody_reports_load(now) else CEILING) * min(stand.limit, held),
             )
             if now - stand.limit_cut_at > CALM:
                 self.host.log(f"server swamped: held {stand.open_legs}, ceiling {stand.limit:.1f}")
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -73,15 +73,19 @@
 
     def has_broadcasts(self, now: float) -> bool:
         """Somebody publishes what all balancers know, and servers do not say themselves how they fare."""
-        return self.settings.may_publish and self.exchange.has_broadcasts(now) and not self.better(now)
+        return (
+            self.settings.may_publish
+            and self.exchange.has_broadcasts(now)
+            and not self.servers_report_load(now)
+        )
 
-    def better(self, now: float) -> bool:
+    def servers_report_load(self, now: float) -> bool:
         """Servers send notices of late messages, or report their load: evidence that goes before this."""
         return bool(self.settings.report) or now - self.noticed <= NOTICED_FOR
 
-    def unsaid(self, now: float) -> bool:
+    def nobody_reports_load(self, now: float) -> bool:
         """Neither servers nor other balancers say that messages are late: a reset tells first."""
-        return self.settings.peers_unseen and not self.better(now)
+        return self.settings.peers_unseen and not self.servers_report_load(now)
 
     def holder(self, server: Server, group: int, now: float) -> bool:
         """Is this group known to stand there?"""
@@ -111,7 +115,7 @@
         if self.has_broadcasts(now):
             self.exchange.report(aggregation.LATE, server.id_hash, DROPPED)
             self.on_sign(server, DROPPED, now)
-        elif self.unsaid(now):
+        elif self.nobody_reports_load(now):
             self.judged += 1
             self.on_overload(server, DROPPED)
 
@@ -147,7 +151,7 @@
 
     def on_period(self, now: float) -> None:
         """A few times a second: say what is due; nothing where servers say more themselves."""
-        if self.better(now):
+        if self.servers_report_load(now):
             return
         self.exchange.on_period(now, self.usual(now))
 
