--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -480,7 +480,7 @@
         """Of the request's group, while only such servers are asked for it."""
         if not call.group or self.may_leave_group(call):
             return []
-        group, now, holder = call.group, self.host.now, self.balancer.overload.holder
+        group, now, holder = call.group, self.host.now, self.balancer.overload.holds_group
         return [
             s for s in places if s.local_state.legs_by_group.get(group, 0) >= HOLDS or holder(s, group, now)
         ]
@@ -549,7 +549,9 @@
         )
         if not left:
             del server.local_state.legs_by_group[call.group]
-        self.balancer.overload.exchange.holds(server.id_hash, server.local_state.open_legs, call.group, left)
+        self.balancer.overload.exchange.set_held(
+            server.id_hash, server.local_state.open_legs, call.group, left
+        )
 
     def on_established(self, leg: Leg) -> None:
         self.balancer.overload.on_established(leg.server, self.host.now - leg.sent, self.host.now)
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -452,7 +452,7 @@
     def told(host: Host) -> Callable[[], None]:
         def turn() -> None:
             for server in host.balancer.fleet[: int(SET_UPS)]:  # whose counts change in half a second
-                host.balancer.overload.exchange.holds(server.id_hash, 1, 0, 0)
+                host.balancer.overload.exchange.set_held(server.id_hash, 1, 0, 0)
             host.now += overload.AGAIN
             host.hears()
             host.balancer.on_timer("publish")
@@ -560,7 +560,9 @@
 
     def counted(self, own: int, server: int, group: int) -> None:
         held = self.standing[own]
-        self.all[own].holds(server, sum(one == server for one, _ in held), group, held.count((server, group)))
+        self.all[own].set_held(
+            server, sum(one == server for one, _ in held), group, held.count((server, group))
+        )
 
     def turn(self) -> None:
         """Half a second: what changes, what is said, what the aggregator and one other make of it."""
--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -111,7 +111,7 @@
         """Is this a server that sums are about?"""
         return True
 
-    def holds(self, mark: int, count: int, group: int, of_group: int) -> None:
+    def set_held(self, mark: int, count: int, group: int, of_group: int) -> None:
         """Own connections at a server are so many now, and so many of this group."""
         self.held[mark & MARK], self.changed = count, True
         if group and of_group:
@@ -119,7 +119,7 @@
         elif group:
             self.pairs.pop((mark & MARK, group & 0xFFFF), None)
 
-    def holder(self, mark: int, group: int, now: float) -> bool:
+    def holds_group(self, mark: int, group: int, now: float) -> bool:
         """Is the group known to stand there, by several balancers?"""
         return now - self.placements.get((mark & MARK, group & 0xFFFF), -math.inf) < PLACEMENT_STANDS
 
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -126,7 +126,7 @@
         self.near, self.order = near, sorted(near)
         self.held_near = sum(count for one, count in self.held.items() if one in near)
 
-    def holds(self, mark: int, count: int, group: int, of_group: int) -> None:
+    def set_held(self, mark: int, count: int, group: int, of_group: int) -> None:
         """Own connections at a server are so many now."""
         one = mark & ID
         self.held_near += (count - self.held.get(one, 0)) * (one in self.near)
@@ -134,7 +134,7 @@
         if not count:
             del self.held[one]
 
-    def holder(self, mark: int, group: int, now: float) -> bool:
+    def holds_group(self, mark: int, group: int, now: float) -> bool:
         """Not told in a large tier."""
         return False
 
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -87,9 +87,9 @@
         """Neither servers nor other balancers say that messages are late: a reset tells first."""
         return self.settings.peers_unseen and not self.servers_report_load(now)
 
-    def holder(self, server: Server, group: int, now: float) -> bool:
+    def holds_group(self, server: Server, group: int, now: float) -> bool:
         """Is this group known to stand there?"""
-        return self.has_broadcasts(now) and self.exchange.holder(server.id_hash, group, now)
+        return self.has_broadcasts(now) and self.exchange.holds_group(server.id_hash, group, now)
 
     def usual(self, now: float) -> float:
         """What a set-up takes just now at a server that is not late, in seconds."""
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -61,7 +61,7 @@
         )
         node.listed(self.listed, 0)
         for server, share in self.share.items():
-            node.holds(server.id_hash, self.about(share * held), 0, 0)
+            node.set_held(server.id_hash, self.about(share * held), 0, 0)
         return node
 
     def about(self, mean):
@@ -159,7 +159,7 @@
     before = {number: dict(zone.nodes[number].held) for number in rest[:10]}
     for server in zone.near[:5]:  # one side's connections there go, and that side knows
         for number in before:
-            zone.nodes[number].holds(server.id_hash, 0, 0, 0)
+            zone.nodes[number].set_held(server.id_hash, 0, 0, 0)
     zone.run(gossip.VOTE_STANDS + 5)
     told = [
         [zone.nodes[number].total(server.id_hash, zone.now) for number in side]
@@ -171,7 +171,7 @@
         zone.start(number, 4000)
     for number, held in before.items():
         for mark, count in held.items():
-            zone.nodes[number].holds(mark, count, 0, 0)
+            zone.nodes[number].set_held(mark, count, 0, 0)
     zone.cut = lambda sender, receiver: False
     zone.run(gossip.VOTE_STANDS + 30)
     assert zone.fair(zone.numbers)
@@ -208,7 +208,7 @@
     listed = {mark: model.Server(mark) for mark in range(1, 11)}
     node.listed(listed, 0)
     for mark in listed:
-        node.holds(mark, 30, 0, 0)
+        node.set_held(mark, 30, 0, 0)
     return node, listed, changes.setdefault("out", [])
 
 
@@ -236,8 +236,8 @@
         node.on_datagram(10.0, peer, poll([150] + [0] * 9), listed)
     assert not node.votes and node.has_broadcasts(10.0)
     for mark in listed:
-        node.holds(mark, 0, 0, 0)
-    node.holds(1, 9, 0, 0)
+        node.set_held(mark, 0, 0, 0)
+    node.set_held(1, 9, 0, 0)
     assert node.total(1, 10.0) is None
 
 
@@ -254,7 +254,7 @@
         node.on_datagram(10.0, peer, poll([90] + [30] * 9), listed)
     assert node.total(1, 10.0) > 2 * node.total(2, 10.0)
     listed[1].started_at = 11.0
-    node.holds(1, 0, 0, 0)
+    node.set_held(1, 0, 0, 0)
     node.listed(listed, 0)
     assert node.total(1, 11.0) == 0 < node.total(2, 11.0)
 
@@ -413,7 +413,7 @@
             )
             node.listed(listed, 0)
             for mark in listed:
-                node.holds(mark, 20 + mark, 0, 0)
+                node.set_held(mark, 20 + mark, 0, 0)
             nodes.append(node)
         for _ in range(120):
             now[0] += 0.5
@@ -522,7 +522,7 @@
         )
         one.listed(fleet)
         for server in fleet:
-            one.exchange.holds(server.id_hash, 20, 0, 0)
+            one.exchange.set_held(server.id_hash, 20, 0, 0)
         detectors.append(one)
     for turn in range(120):
         now[0] += 0.5
@@ -555,7 +555,7 @@
         )
         node.listed(self.listed, 0)
         for mark, count in zip(self.listed, held):
-            node.holds(mark, count, 0, 0)
+            node.set_held(mark, count, 0, 0)
 
     def post(self, sender, receiver, data):
         for _ in range(self.random.choice((0, 1, 1, 2))):
@@ -564,7 +564,7 @@
 
     @rule(own=some.integers(0, 5), mark=some.integers(1, 8), count=some.integers(20, 60))
     def holds(self, own, mark, count):
-        self.nodes[own].holds(mark, count, 0, 0)
+        self.nodes[own].set_held(mark, count, 0, 0)
 
     @rule(who=some.sets(some.integers(0, 5), max_size=3))
     def part(self, who):
--- a/tests/test_gossip_live.py
+++ b/tests/test_gossip_live.py
@@ -28,7 +28,7 @@
 def filled(self, servers, zone):
     listed(self, servers, zone)
     for mark, count in zip(sorted(self.near), held):
-        self.holds(mark, count, 0, 0)
+        self.set_held(mark, count, 0, 0)
 def told(self, now, usual):
     turn(self, now, usual)
     print(json.dumps({"now": now, "hears": self.has_broadcasts(now), "heard": {
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -77,7 +77,7 @@
 def test_all_learn_what_all_hold_also_when_datagrams_get_lost():
     tier = Tier(count=12, loss=0.1)
     for number, detector in enumerate(tier.detectors):
-        detector.exchange.holds(tier.fleet[number % 2].id_hash, 2, 9, 2)
+        detector.exchange.set_held(tier.fleet[number % 2].id_hash, 2, 9, 2)
     right = {detector: [0, 0] for detector in tier.detectors}
     for look in range(30):  # broadcasts may be lost in a row, and parts run out; none may stay without them
         tier.run(2)
@@ -87,8 +87,8 @@
             right[detector][look // 15] += bool(
                 sums_right
                 and not fill[tier.fleet[2]]
-                and detector.holder(tier.fleet[0], 9, tier.now)
-                and not detector.holder(tier.fleet[3], 9, tier.now)
+                and detector.holds_group(tier.fleet[0], 9, tier.now)
+                and not detector.holds_group(tier.fleet[3], 9, tier.now)
             )
     assert all(min(halves) for halves in right.values())
 
@@ -96,7 +96,7 @@
 def test_another_adds_up_when_the_aggregator_is_gone_and_what_that_one_held_is_forgotten():
     tier = Tier()
     for detector in tier.detectors:
-        detector.exchange.holds(tier.fleet[0].id_hash, 2, 0, 0)
+        detector.exchange.set_held(tier.fleet[0].id_hash, 2, 0, 0)
     tier.run(6)
     first = tier.detectors[5].exchange.aggregator
     tier.cut.add(first)
@@ -119,8 +119,8 @@
     twin = model.Server(tier.fleet[0].id_hash + aggregation.MARK + 1)
     for detector in tier.detectors:
         detector.listed([*tier.fleet, twin])
-        detector.exchange.holds(tier.fleet[0].id_hash, 9, 0, 0)
-        detector.exchange.holds(tier.fleet[1].id_hash, 1, 0, 0)
+        detector.exchange.set_held(tier.fleet[0].id_hash, 9, 0, 0)
+        detector.exchange.set_held(tier.fleet[1].id_hash, 1, 0, 0)
     tier.run(10)
     told = tier.detectors[4].exchange.sums
     assert (
