--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -723,7 +723,7 @@
                 if first:
                     self.slow_start.use_up_tokens(server)
         self.refresh_usable()
-        self.overload.listed(self.fleet)
+        self.overload.on_servers_listed(self.fleet)
 
     def refresh_usable(self) -> None:
         """Other servers may be used, or some no longer."""
--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -104,7 +104,7 @@
         self.round: list[tuple[int, int]] = []  # as the aggregator: pairs still to be said again
         self.paired: dict[int, tuple[float, set[tuple[int, int]]]] = {}  # as the aggregator: by balancer
 
-    def listed(self, servers: dict[int, object], zone: int) -> None:
+    def on_servers_listed(self, servers: dict[int, object], zone: int) -> None:
         """All are summed, wherever they are."""
 
     def covers(self, mark: int) -> bool:
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -117,7 +117,7 @@
         self.taken = 0
         self.middle: tuple[float, float] = -math.inf, 0.0
 
-    def listed(self, servers: dict[int, Any], zone: int) -> None:
+    def on_servers_listed(self, servers: dict[int, Any], zone: int) -> None:
         """By hashed identifier; None where two share one. Guards against votes from before a restart."""
         near = {one: server.started_at for one, server in servers.items() if server and server.zone == zone}
         near = near or {one: server.started_at for one, server in servers.items() if server}
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -59,13 +59,13 @@
         self.noticed = -math.inf  # when a server last said itself how late its messages are
         self.judged = 0  # times that a server was found late by other signs than its own word
 
-    def listed(self, fleet: Iterable[Server]) -> None:
+    def on_servers_listed(self, fleet: Iterable[Server]) -> None:
         """The servers that may be spoken of. Guards against evidence taken for another server's."""
         self.servers = {}
         for server in fleet:
             short = server.id_hash & self.exchange.id_bits
             self.servers[short] = None if short in self.servers else server
-        self.exchange.listed(self.servers, self.settings.zone)
+        self.exchange.on_servers_listed(self.servers, self.settings.zone)
         self.filled = -math.inf, {}
         known = {server.id_hash for server in self.servers.values() if server}
         self.slow = {mark: seen for mark, seen in self.slow.items() if mark in known}
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -59,7 +59,7 @@
             Rng(number).uniform,
             0.065,
         )
-        node.listed(self.listed, 0)
+        node.on_servers_listed(self.listed, 0)
         for server, share in self.share.items():
             node.set_held(server.id_hash, self.about(share * held), 0, 0)
         return node
@@ -206,7 +206,7 @@
         0.065,
     )
     listed = {mark: model.Server(mark) for mark in range(1, 11)}
-    node.listed(listed, 0)
+    node.on_servers_listed(listed, 0)
     for mark in listed:
         node.set_held(mark, 30, 0, 0)
     return node, listed, changes.setdefault("out", [])
@@ -255,7 +255,7 @@
     assert node.total(1, 10.0) > 2 * node.total(2, 10.0)
     listed[1].started_at = 11.0
     node.set_held(1, 0, 0, 0)
-    node.listed(listed, 0)
+    node.on_servers_listed(listed, 0)
     assert node.total(1, 11.0) == 0 < node.total(2, 11.0)
 
 
@@ -290,7 +290,7 @@
 
 def test_each_server_of_the_zone_is_polled_in_its_turn():
     node, _, out = pair()
-    node.listed({mark: model.Server(mark) for mark in range(1, 4 * gossip.MOST + 1)}, 0)
+    node.on_servers_listed({mark: model.Server(mark) for mark in range(1, 4 * gossip.MOST + 1)}, 0)
     for turn in range(4):
         node.on_period(10.0 + turn, 0.02)
     assert sorted(one for _, data in out for one, _ in gossip.unpack(data)[2]) == list(node.near)
@@ -411,7 +411,7 @@
                 if own < 6
                 else Gossip(own, 20, told(own), Rng(own).uniform, 0.065)
             )
-            node.listed(listed, 0)
+            node.on_servers_listed(listed, 0)
             for mark in listed:
                 node.set_held(mark, 20 + mark, 0, 0)
             nodes.append(node)
@@ -438,7 +438,7 @@
         lambda peer, data: out.append(data),
         lambda server, late: None,
     )
-    one.listed([model.Server(5)])
+    one.on_servers_listed([model.Server(5)])
     for turn in range(20):
         one.on_period(100.0 + turn)
     assert type(one.exchange) is kind
@@ -520,7 +520,7 @@
             lambda server, late, own=own: found.append((own, server)),
             large=0,
         )
-        one.listed(fleet)
+        one.on_servers_listed(fleet)
         for server in fleet:
             one.exchange.set_held(server.id_hash, 20, 0, 0)
         detectors.append(one)
@@ -553,7 +553,7 @@
         node = self.nodes[own] = Gossip(
             own, 7, lambda peer, data: self.post(own, peer, data), self.random.random, 0.065
         )
-        node.listed(self.listed, 0)
+        node.on_servers_listed(self.listed, 0)
         for mark, count in zip(self.listed, held):
             node.set_held(mark, count, 0, 0)
 
--- a/tests/test_gossip_live.py
+++ b/tests/test_gossip_live.py
@@ -24,7 +24,7 @@
 from bellrack.net.config import read_config
 from bellrack.peers import gossip
 gossip.LARGE, gossip.EACH, gossip.HEARS_FOR, choice.TELL_EVERY = 2, 0.09, 2.0, 0.1
-held, listed, turn = json.loads(sys.argv[2]), gossip.Gossip.listed, gossip.Gossip.on_period
+held, listed, turn = json.loads(sys.argv[2]), gossip.Gossip.on_servers_listed, gossip.Gossip.on_period
 def filled(self, servers, zone):
     listed(self, servers, zone)
     for mark, count in zip(sorted(self.near), held):
@@ -34,7 +34,7 @@
     print(json.dumps({"now": now, "hears": self.has_broadcasts(now), "heard": {
         peer: when for peer, (when, _) in self.mates.items()},
         "totals": [self.total(mark, now) for mark in sorted(self.near)]}), flush=True)
-gossip.Gossip.listed, gossip.Gossip.on_period = filled, told
+gossip.Gossip.on_servers_listed, gossip.Gossip.on_period = filled, told
 node.run(read_config(sys.argv[1]))
 """
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -28,7 +28,7 @@
                 self.tell(number),
                 lambda server, delay, by=number: self.late.append((by, server, delay)),
             )
-            detector.listed(self.fleet)
+            detector.on_servers_listed(self.fleet)
             self.detectors.append(detector)
 
     def tell(self, own):
@@ -118,7 +118,7 @@
     tier = Tier()
     twin = model.Server(tier.fleet[0].id_hash + aggregation.MARK + 1)
     for detector in tier.detectors:
-        detector.listed([*tier.fleet, twin])
+        detector.on_servers_listed([*tier.fleet, twin])
         detector.exchange.set_held(tier.fleet[0].id_hash, 9, 0, 0)
         detector.exchange.set_held(tier.fleet[1].id_hash, 1, 0, 0)
     tier.run(10)
