--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -128,7 +128,7 @@
         if len(self.news) < MOST and self.aggregator != self.own:
             self.news.append((kind, mark & MARK, value))
 
-    def passes_on(self, mark: int, late: float) -> None:
+    def relay_overload(self, mark: int, late: float) -> None:
         """As the aggregator: that a server is late goes out with the next broadcast."""
         self.gathered[mark & MARK] = late
 
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -129,7 +129,7 @@
         before, when = self.said.get(server.id_hash, (0.0, -math.inf))
         if aggregator and (now - when > AGAIN or late > 2 * before):
             self.said[server.id_hash] = late, now
-            self.exchange.passes_on(server.id_hash, late)
+            self.exchange.relay_overload(server.id_hash, late)
         self.report_overload(server, late, now)
 
     def report_overload(self, server: Server, late: float, now: float) -> None:
