--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -94,7 +94,7 @@
         self.changed, self.told = False, -math.inf
         self.aggregator: int | None = None  # who published last,
         self.broadcast_at = -math.inf  # when,
-        self.usual: float | None = None  # what it said that a set-up takes,
+        self.published_baseline: float | None = None  # what it said that a set-up takes,
         self.sums: dict[int, tuple[float, float]] = {}  # and the sums it said, by short mark, with when
         self.parts: dict[int, dict[int, tuple[float, float]]] = {}  # as the aggregator: by mark and balancer
         self.gathered: dict[int, float] = {}  # as the aggregator: lateness to pass on, by mark
@@ -143,8 +143,8 @@
         total, when = self.sums.get(mark & MARK, (0.0, now))
         return total if now - when <= SUM_STANDS else 0.0
 
-    def on_period(self, now: float, usual: float) -> None:
-        """Say what is due; a few times a second. `usual` is what a set-up takes as far as we know."""
+    def on_period(self, now: float, baseline: float) -> None:
+        """Say what is due; a few times a second. `baseline` is what a set-up takes as far as we know."""
         if self.broadcast_at == -math.inf:
             self.broadcast_at = now  # nobody has published yet; as if one had just now
         if (
@@ -155,7 +155,7 @@
             self.aggregator, self.published_at = self.own, -math.inf
             self.parts, self.gathered, self.sums, self.paired, self.placements = {}, {}, {}, {}, {}
         if self.aggregator == self.own:
-            self.publish(now, usual)
+            self.publish(now, baseline)
         elif self.aggregator is not None and (self.changed or self.news or now - self.told > AGAIN):
             records = self.news + [(HELD, mark, count) for mark, count in self.held.items()]
             self.news, self.changed, self.told = [], False, now
@@ -166,11 +166,11 @@
             for data in pack_pairs(GROUPS, pairs, [1] * len(pairs)):
                 self.tell(self.aggregator, data)
 
-    def publish(self, now: float, usual: float) -> None:
+    def publish(self, now: float, baseline: float) -> None:
         """The first broadcast only asks for reports."""
         if now - self.published_at < BROADCAST_EACH:
             return
-        first, self.usual = self.published_at == -math.inf, usual
+        first, self.published_baseline = self.published_at == -math.inf, baseline
         self.published_at = self.broadcast_at = now
         records: list[Record] = []
         for mark, count in self.held.items():
@@ -201,7 +201,7 @@
             changed.append(self.round.pop())
         for data in pack_pairs(PLACEMENTS, changed, [pair in stand for pair in changed]):
             self.tell(None, data)
-        for data in pack(BROADCAST, [(TOOK, 0, usual * 1000), *late, *records]):
+        for data in pack(BROADCAST, [(TOOK, 0, baseline * 1000), *late, *records]):
             self.tell(None, data)
 
     def on_datagram(self, now: float, peer: int, data: bytes, listed: dict[int, object]) -> list[Record]:
@@ -222,7 +222,7 @@
         news = []
         for kind, mark, told in records:
             if kind == TOOK and form == BROADCAST:
-                self.usual = told / 1000
+                self.published_baseline = told / 1000
             elif not listed.get(mark):
                 continue
             elif kind == TOOK:
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -91,7 +91,7 @@
     [0, 1); `wait` is by how many seconds a set-up exceeds the usual at a server that is late by one aim."""
 
     id_bits, refresh = ID, 1.0
-    aggregator = usual = None
+    aggregator = published_baseline = None
 
     def __init__(
         self,
@@ -112,7 +112,7 @@
         self.votes: dict[int, dict[int, tuple[float, float]]] = {}  # by server and peer: share, when
         self.news: dict[int, tuple[float, int]] = {}  # lateness that we saw, and how often it is still told
         self.signs: dict[int, tuple[float, float, int]] = {}  # lateness told by others: mean, when, by whom
-        self.baseline = math.inf
+        self.own_baseline = math.inf
         self.said = self.heard_at = -math.inf
         self.taken = 0
         self.middle: tuple[float, float] = -math.inf, 0.0
@@ -140,7 +140,7 @@
 
     def report(self, kind: int, mark: int, value: float) -> None:
         """What we saw ourselves, for others: a set-up (its milliseconds), or how late a server is."""
-        late = value if kind == aggregation.LATE else (value / 1000 - self.baseline) / self.wait
+        late = value if kind == aggregation.LATE else (value / 1000 - self.own_baseline) / self.wait
         if late >= LATE and (mark & ID in self.news or len(self.news) < MOST_LATE):
             self.news[mark & ID] = late, REPEATS
 
@@ -175,9 +175,9 @@
             )
         return self.middle[1]
 
-    def on_period(self, now: float, usual: float) -> None:
-        """Say what is due; a few times a second. `usual` is what a set-up takes as far as we know."""
-        self.baseline, self.taken = usual, 0
+    def on_period(self, now: float, baseline: float) -> None:
+        """Say what is due; a few times a second. `baseline` is what a set-up takes as far as we know."""
+        self.own_baseline, self.taken = baseline, 0
         if now - self.said < EACH or not self.order:
             return
         self.said = now
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -91,11 +91,11 @@
         """Is this group known to stand there?"""
         return self.has_broadcasts(now) and self.exchange.holds_group(server.id_hash, group, now)
 
-    def usual(self, now: float) -> float:
+    def baseline(self, now: float) -> float:
         """What a set-up takes just now at a server that is not late, in seconds."""
         told = self.exchange
-        if told.usual is not None and told.aggregator != told.own and told.has_broadcasts(now):
-            return told.usual
+        if told.published_baseline is not None and told.aggregator != told.own and told.has_broadcasts(now):
+            return told.published_baseline
         took = sorted(took for when, took in self.took if now - when < RECENT_FOR)
         return took[int(USUAL * len(took))] if len(took) >= FEWEST else self.settings.shortest_message_aim / 2
 
@@ -106,7 +106,7 @@
         self.set_up(server, took, now)
 
     def set_up(self, server: Server, took: float, now: float) -> None:
-        late = (took - self.usual(now)) / (WAITS * self.settings.shortest_message_aim)
+        late = (took - self.baseline(now)) / (WAITS * self.settings.shortest_message_aim)
         self.took.append((now, took))
         self.on_sign(server, max(0.0, late), now)
 
@@ -153,7 +153,7 @@
         """A few times a second: say what is due; nothing where servers say more themselves."""
         if self.servers_report_load(now):
             return
-        self.exchange.on_period(now, self.usual(now))
+        self.exchange.on_period(now, self.baseline(now))
 
     def fill(self, servers: list[Server], now: float) -> dict[Server, float]:
         """What all balancers hold of each; nothing if that is not known of most. Where it is not known of one
