--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -639,7 +639,7 @@
     def fleet_load(self) -> dict[Server, float]:
         """What all balancers hold of each ready server; empty where nobody tells."""
         if self.host.now >= self.filled[0] + LOOK:
-            self.filled = self.host.now, self.overload.fill(self.listing.ready, self.host.now)
+            self.filled = self.host.now, self.overload.fleet_load(self.listing.ready, self.host.now)
         return self.filled[1]
 
     def on_datagram(self, peer: int, data: bytes) -> None:
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -155,7 +155,7 @@
             return
         self.exchange.on_period(now, self.baseline(now))
 
-    def fill(self, servers: list[Server], now: float) -> dict[Server, float]:
+    def fleet_load(self, servers: list[Server], now: float) -> dict[Server, float]:
         """What all balancers hold of each; nothing if that is not known of most. Where it is not known of one
         it is taken to be as full as the others."""
         if not self.has_broadcasts(now):
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -484,11 +484,11 @@
     bench, fleet = balancer()
     told(bench, fleet, [90] + [30] * 9)
     detector = bench.balancer.overload
-    first = detector.fill(fleet, bench.now)
+    first = detector.fleet_load(fleet, bench.now)
     assert first[fleet[0]] > 2 * first[fleet[1]] and first[fleet[10]] == first[fleet[29]] > first[fleet[1]]
     told(bench, fleet, [30] * 10)
-    assert detector.fill(fleet, bench.now + 0.5) is first
-    assert detector.fill(fleet, bench.now + 1)[fleet[0]] < 1.1 * first[fleet[1]] * 4 / 3
+    assert detector.fleet_load(fleet, bench.now + 0.5) is first
+    assert detector.fleet_load(fleet, bench.now + 1)[fleet[0]] < 1.1 * first[fleet[1]] * 4 / 3
 
 
 def test_a_lateness_told_by_mates_shuts_the_server_for_one_that_saw_nothing_of_it():
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -82,7 +82,7 @@
     for look in range(30):  # broadcasts may be lost in a row, and parts run out; none may stay without them
         tier.run(2)
         for detector in tier.detectors:
-            fill = detector.fill(tier.fleet, tier.now)
+            fill = detector.fleet_load(tier.fleet, tier.now)
             sums_right = fill and all(9 <= fill[server] <= 12.5 for server in tier.fleet[:2])
             right[detector][look // 15] += bool(
                 sums_right
@@ -102,8 +102,8 @@
     tier.cut.add(first)
     tier.run(25)
     assert tier.detectors[5].exchange.aggregator not in (None, first)
-    assert round(tier.detectors[5].fill(tier.fleet, tier.now)[tier.fleet[0]]) == 10
-    assert not tier.detectors[first].fill(tier.fleet, tier.now + 60)  # it hears nobody
+    assert round(tier.detectors[5].fleet_load(tier.fleet, tier.now)[tier.fleet[0]]) == 10
+    assert not tier.detectors[first].fleet_load(tier.fleet, tier.now + 60)  # it hears nobody
 
 
 def test_of_two_aggregators_one_falls_silent():
