--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -22,7 +22,7 @@
     def look(self) -> None:
         node = self.node
         node.after(LOOK, self.look)
-        if judged := node.balancer.overload.judged:
+        if judged := node.balancer.overload.verdicts:
             if not node.counters["late_seen"]:
                 log.tell(
                     "late-seen", notices=node.counters["late_notices"], promised=node.names.reports_delay
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -54,10 +54,10 @@
         self.filled: tuple[float, dict[Server, float]] = -math.inf, {}
         self.servers: dict[int, Server | None] = {}  # by short mark; None where two share it
         self.took: deque[tuple[float, float]] = deque(maxlen=RECENT)  # set-ups: when, how long
-        self.slow: dict[int, tuple[float, float]] = {}  # by mark: how late lately, and when last seen
-        self.said: dict[int, tuple[float, float]] = {}  # the same as last told
+        self.lateness: dict[int, tuple[float, float]] = {}  # by mark: how late lately, and when last seen
+        self.published: dict[int, tuple[float, float]] = {}  # the same as last told
         self.noticed = -math.inf  # when a server last said itself how late its messages are
-        self.judged = 0  # times that a server was found late by other signs than its own word
+        self.verdicts = 0  # times that a server was found late by other signs than its own word
 
     def on_servers_listed(self, fleet: Iterable[Server]) -> None:
         """The servers that may be spoken of. Guards against evidence taken for another server's."""
@@ -68,8 +68,8 @@
         self.exchange.on_servers_listed(self.servers, self.settings.zone)
         self.filled = -math.inf, {}
         known = {server.id_hash for server in self.servers.values() if server}
-        self.slow = {mark: seen for mark, seen in self.slow.items() if mark in known}
-        self.said = {mark: seen for mark, seen in self.said.items() if mark in known}
+        self.lateness = {mark: seen for mark, seen in self.lateness.items() if mark in known}
+        self.published = {mark: seen for mark, seen in self.published.items() if mark in known}
 
     def has_broadcasts(self, now: float) -> bool:
         """Somebody publishes what all balancers know, and servers do not say themselves how they fare."""
@@ -116,26 +116,26 @@
             self.exchange.report(aggregation.LATE, server.id_hash, DROPPED)
             self.on_sign(server, DROPPED, now)
         elif self.nobody_reports_load(now):
-            self.judged += 1
+            self.verdicts += 1
             self.on_overload(server, DROPPED)
 
     def on_sign(self, server: Server, late: float, now: float) -> None:
-        before, when = self.slow.get(server.id_hash, (0.0, -math.inf))
+        before, when = self.lateness.get(server.id_hash, (0.0, -math.inf))
         late = (late + (before if now - when < SEEN_FOR else 0.0)) / 2
-        self.slow[server.id_hash] = late, now
+        self.lateness[server.id_hash] = late, now
         aggregator = self.exchange.aggregator == self.exchange.own
         if late < (LATE if aggregator else ALONE):
             return
-        before, when = self.said.get(server.id_hash, (0.0, -math.inf))
+        before, when = self.published.get(server.id_hash, (0.0, -math.inf))
         if aggregator and (now - when > AGAIN or late > 2 * before):
-            self.said[server.id_hash] = late, now
+            self.published[server.id_hash] = late, now
             self.exchange.relay_overload(server.id_hash, late)
         self.report_overload(server, late, now)
 
     def report_overload(self, server: Server, late: float, now: float) -> None:
         # Guards against few balancers that take the chance of a set-up or two for a server's state.
         if self.has_broadcasts(now):
-            self.judged += 1
+            self.verdicts += 1
             self.on_overload(server, late)
 
     def on_datagram(self, peer: int, data: bytes, now: float) -> None:
