--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -36,11 +36,11 @@
 MOST_LATE = 8  # of them
 ID = (1 << 24) - 1  # of a hashed identifier: of 6,000 servers some two share one and are not known by it
 EACH = 0.45  # seconds between datagrams of ours, at least; the turn that calls for them comes each 0.5 s
-MATES, FEW_MATES = 32, 8  # peers of our zone that we know; with few we look for more
-FORGET = 120.0  # seconds after which one unheard is no mate
+SAMPLED_PEERS, FEW_SAMPLED_PEERS = 32, 8  # peers of our zone that we know; with few we look for more
+FORGET = 120.0  # seconds after which one unheard is no sampled peer
 EXPLORE = 0.25  # share of the datagrams that go to any peer of the tier, so that zones find themselves
 HEARD = 16  # datagrams taken between two turns: what a flood can make us do
-HEARS_FOR = 10.0  # seconds without a mate after which nothing is known
+HEARS_FOR = 10.0  # seconds without a sampled peer after which nothing is known
 VOTES, LEAST_VOTES = 6, 3  # peers polled of a server; with fewer, our own among them, our own alone counts
 VOTE_STANDS = 60.0  # seconds
 LEAST_HELD = 16  # connections a server that a voter holds, lest shares be mere chance (12% of seven votes)
@@ -107,8 +107,10 @@
         self.next = int(draw() * ID)  # the poll goes on behind this one
         self.held: dict[int, int] = {}  # own connections
         self.held_near = 0  # and those of our zone
-        self.met: int | None = None  # a mate that is new, to be answered: so both know of each other
-        self.mates: dict[int, tuple[float, int]] = {}  # when last heard, and what it holds; the latest last
+        self.met: int | None = None  # a sampled peer that is new, to be answered: so both know of each other
+        self.sampled_peers: dict[
+            int, tuple[float, int]
+        ] = {}  # when last heard, and what it holds; the latest last
         self.votes: dict[int, dict[int, tuple[float, float]]] = {}  # by server and peer: share, when
         self.news: dict[int, tuple[float, int]] = {}  # lateness that we saw, and how often it is still told
         self.signs: dict[int, tuple[float, float, int]] = {}  # lateness told by others: mean, when, by whom
@@ -168,7 +170,7 @@
     def typical(self, now: float) -> float:
         """What the middle one of the balancers known to us holds in our zone."""
         if now != self.middle[0]:
-            held = [held for when, held in self.mates.values() if now - when <= VOTE_STANDS]
+            held = [held for when, held in self.sampled_peers.values() if now - when <= VOTE_STANDS]
             self.middle = (
                 now,
                 median([*held, self.held_near]) if len(held) + 1 >= LEAST_VOTES else max(1.0, self.held_near),
@@ -193,15 +195,17 @@
             )
 
     def chosen(self, now: float) -> int | None:
-        """A mate, or now and then anybody."""
+        """A sampled peer, or now and then anybody."""
         met, self.met = self.met, None
         if met is not None:
             return met
-        self.mates = {peer: seen for peer, seen in self.mates.items() if now - seen[0] <= FORGET}
-        if self.draw() < max(EXPLORE, 1 - len(self.mates) / FEW_MATES):
+        self.sampled_peers = {
+            peer: seen for peer, seen in self.sampled_peers.items() if now - seen[0] <= FORGET
+        }
+        if self.draw() < max(EXPLORE, 1 - len(self.sampled_peers) / FEW_SAMPLED_PEERS):
             peer = int(self.draw() * (self.peers - 1))
             return peer + (peer >= self.own) if self.peers > 1 else None
-        return list(self.mates)[int(self.draw() * len(self.mates))]
+        return list(self.sampled_peers)[int(self.draw() * len(self.sampled_peers))]
 
     def on_datagram(
         self, now: float, peer: int, data: bytes, listed: dict[int, object]
@@ -215,11 +219,11 @@
         known = [(one, count) for one, count in polled if one in self.near]
         if polled and 2 * len(known) >= len(polled):
             self.heard_at = now
-            if self.mates.pop(peer, None) is None:
+            if self.sampled_peers.pop(peer, None) is None:
                 self.met = peer
-            self.mates[peer] = now, held
-            if len(self.mates) > MATES:
-                del self.mates[next(iter(self.mates))]
+            self.sampled_peers[peer] = now, held
+            if len(self.sampled_peers) > SAMPLED_PEERS:
+                del self.sampled_peers[next(iter(self.sampled_peers))]
             for one, count in known if held >= LEAST_HELD * len(self.near) else ():
                 self.vote(one, peer, min(1.0, count / held), now)
         return [
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -105,8 +105,10 @@
     """480 of 4,800 balancers before 600 of 6,000 servers, 30% of the datagrams lost; 16 count votes."""
     zone = Zone(members=480, near=600, each=83, loss=0.3, votes=set(range(0, 160, 10)))
     for number, node in zone.nodes.items():
-        for peer in zone.random.sample([one for one in zone.numbers if one != number], gossip.FEW_MATES):
-            node.mates[peer] = zone.now, zone.nodes[peer].held_near
+        for peer in zone.random.sample(
+            [one for one in zone.numbers if one != number], gossip.FEW_SAMPLED_PEERS
+        ):
+            node.sampled_peers[peer] = zone.now, zone.nodes[peer].held_near
     zone.run(LARGE_FOR)
     return zone
 
@@ -130,7 +132,7 @@
 def test_what_one_keeps_at_that_size_is_bounded(large):
     for number in large.numbers:
         node = large.nodes[number]
-        assert len(node.mates) <= gossip.MATES and len(node.held) <= 600
+        assert len(node.sampled_peers) <= gossip.SAMPLED_PEERS and len(node.held) <= 600
         assert not node.news and not node.signs
         assert all(len(votes) <= gossip.VOTES for votes in node.votes.values()) and len(node.votes) <= 600
 
@@ -191,7 +193,9 @@
     zone = Zone(members=60, near=60)
     zone.run(60)
     for node in zone.nodes.values():
-        assert len(node.mates) > gossip.FEW_MATES / 2 and not any(peer % 10 for peer in node.mates)
+        assert len(node.sampled_peers) > gossip.FEW_SAMPLED_PEERS / 2 and not any(
+            peer % 10 for peer in node.sampled_peers
+        )
         assert set(node.votes) <= {server.id_hash for server in zone.near}
     assert zone.nodes[0].total(next(s.id_hash for s in zone.listed.values() if s.zone), zone.now) is None
 
@@ -263,7 +267,7 @@
     node, listed, _ = pair()
     for peer in range(1, 100):
         node.on_datagram(10.0, peer, poll([30] * 10), listed)
-    assert len(node.mates) == gossip.HEARD
+    assert len(node.sampled_peers) == gossip.HEARD
 
 
 def test_mates_are_few_the_longest_unheard_goes_and_the_dead_are_forgotten():
@@ -271,14 +275,14 @@
     for peer in range(1, 100):
         node.on_datagram(10.0 + peer, peer, poll([30] * 10), listed)
         node.on_period(10.0 + peer, 0.02)
-    assert sorted(node.mates) == list(range(100 - gossip.MATES, 100))
+    assert sorted(node.sampled_peers) == list(range(100 - gossip.SAMPLED_PEERS, 100))
     assert {len(votes) for votes in node.votes.values()} == {gossip.VOTES}
     assert [peer for peer, _ in out] == list(range(1, 100))  # who is new is answered at once
     for second in range(200):
         node.on_period(111.0 + second, 0.02)
-    assert {peer for peer, _ in out[99:160]} & set(node.mates) or not node.mates
+    assert {peer for peer, _ in out[99:160]} & set(node.sampled_peers) or not node.sampled_peers
     late = [peer for peer, _ in out[240:]]  # after FORGET there are none: anybody is asked
-    assert not node.mates and len(set(late)) > 30 and min(late) > 0
+    assert not node.sampled_peers and len(set(late)) > 30 and min(late) > 0
 
 
 def test_a_turn_that_comes_often_makes_nobody_speak_more_often():
@@ -424,7 +428,9 @@
     (alone, _), (mixed, nodes) = played(6), played(20)
     assert mixed[:6] == alone and all(5.5 * 21 < row[0] < 6.5 * 21 for row in alone)
     assert {node.aggregator for node in nodes[:6]} == {0}
-    assert all(node.has_broadcasts(160.0) and not set(node.mates) & set(range(6)) for node in nodes[6:])
+    assert all(
+        node.has_broadcasts(160.0) and not set(node.sampled_peers) & set(range(6)) for node in nodes[6:]
+    )
 
 
 @pytest.mark.parametrize(
@@ -599,7 +605,7 @@
     @invariant()
     def among_the_honest(self):
         for node in getattr(self, "nodes", {}).values():
-            assert len(node.mates) <= 7 and len(node.signs) <= 8 and not node.news
+            assert len(node.sampled_peers) <= 7 and len(node.signs) <= 8 and not node.news
             for mark in self.listed:
                 shares = [share for _, share in self.shares[mark]] + [node.held.get(mark, 0) / node.held_near]
                 share = node.total(mark, self.now) / node.typical(self.now) / node.peers
--- a/tests/test_gossip_live.py
+++ b/tests/test_gossip_live.py
@@ -32,7 +32,7 @@
 def told(self, now, usual):
     turn(self, now, usual)
     print(json.dumps({"now": now, "hears": self.has_broadcasts(now), "heard": {
-        peer: when for peer, (when, _) in self.mates.items()},
+        peer: when for peer, (when, _) in self.sampled_peers.items()},
         "totals": [self.total(mark, now) for mark in sorted(self.near)]}), flush=True)
 gossip.Gossip.on_servers_listed, gossip.Gossip.on_period = filled, told
 node.run(read_config(sys.argv[1]))
