--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -225,7 +225,7 @@
 
     def hears(self) -> None:
         """An aggregator speaks: what is done once balancers tell one another is done."""
-        for data in aggregation.pack(aggregation.BROADCAST, [(aggregation.TOOK, 0, 20.0)]):
+        for data in aggregation.pack(aggregation.BROADCAST, [(aggregation.SETUP_TIME, 0, 20.0)]):
             self.balancer.on_datagram(0, data)
 
     def holds(self, servers: list[Server], count: int) -> None:
@@ -535,7 +535,7 @@
     def __init__(self, balancers: int, seed: int = 3):
         self.chance, self.now = random.Random(seed), BEGUN
         self.servers = [lines.mark(f"server-{n:06d}") for n in range(round(PER_BALANCER * balancers))]
-        self.listed = dict.fromkeys((mark & aggregation.MARK for mark in self.servers), True)
+        self.listed = dict.fromkeys((mark & aggregation.SHORT_ID_MASK for mark in self.servers), True)
         self.out: deque[tuple[int, int | None, bytes]] = deque()
         self.all = [
             aggregation.Aggregation(n, balancers, lambda peer, data, n=n: self.out.append((n, peer, data)))
@@ -566,13 +566,13 @@
 
     def turn(self) -> None:
         """Half a second: what changes, what is said, what the aggregator and one other make of it."""
-        self.now += aggregation.BROADCAST_EACH
+        self.now += aggregation.BROADCAST_INTERVAL_SECONDS
         quiet = next(aggregation.pack(aggregation.BROADCAST, []))
         for own, one in enumerate(self.all[1:], 1):
-            for _ in range(int(CHURN * aggregation.BROADCAST_EACH)):
+            for _ in range(int(CHURN * aggregation.BROADCAST_INTERVAL_SECONDS)):
                 self.end(own)
                 self.set_up(own)
-                one.report(aggregation.TOOK, self.standing[own][-1][0], 20.0)
+                one.report(aggregation.SETUP_TIME, self.standing[own][-1][0], 20.0)
             if own > 1:
                 one.on_datagram(
                     self.now, 0, quiet, {}
@@ -603,7 +603,7 @@
             self.turn()
         self.reports = self.report_bytes = self.broadcast_bytes = self.replies = 0
         self.spent = self.heard = 0  # nanoseconds of the aggregator, and of who hears it
-        for _ in range(int(seconds / aggregation.BROADCAST_EACH)):
+        for _ in range(int(seconds / aggregation.BROADCAST_INTERVAL_SECONDS)):
             self.turn()
         return {
             "datagrams": self.reports / seconds,
@@ -660,7 +660,7 @@
 
 
 def unspoken_by_formula(count: int) -> float:
-    return count * (1 - (1 - 1 / (aggregation.MARK + 1)) ** (count - 1))
+    return count * (1 - (1 - 1 / (aggregation.SHORT_ID_MASK + 1)) ** (count - 1))
 
 
 def placed(count: int, own: int) -> aggregation.Aggregation:
@@ -672,13 +672,13 @@
     else:
         one.aggregator = 0
     pairs = [(n % 6000, n // 6000 * 6007 + n % 6000 + 1) for n in range(count)]
-    for first in range(0, count, aggregation.MOST_PAIRS):
-        some = pairs[first : first + aggregation.MOST_PAIRS]
-        for copy in range(aggregation.HOLDERS if not own else 1):
+    for first in range(0, count, aggregation.MAX_PAIRS):
+        some = pairs[first : first + aggregation.MAX_PAIRS]
+        for copy in range(aggregation.MIN_HOLDERS if not own else 1):
             for data in aggregation.pack_pairs(
                 aggregation.PLACEMENTS if own else aggregation.GROUPS, some, [1] * len(some)
             ):
-                peer = first // aggregation.MOST_PAIRS * aggregation.HOLDERS + copy + 1
+                peer = first // aggregation.MAX_PAIRS * aggregation.MIN_HOLDERS + copy + 1
                 one.on_datagram(BEGUN, 0 if own else peer, data, {})
     if not own:
         one.on_period(BEGUN, 0.02)
@@ -711,8 +711,8 @@
     news = next(
         aggregation.pack_pairs(
             aggregation.PLACEMENTS,
-            [(n, 65000) for n in range(aggregation.MOST_PAIRS)],
-            [1] * aggregation.MOST_PAIRS,
+            [(n, 65000) for n in range(aggregation.MAX_PAIRS)],
+            [1] * aggregation.MAX_PAIRS,
         )
     )
     yield Figure(
--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -21,18 +21,20 @@
 
 REPORT, BROADCAST = 2, 3  # first bytes: to the aggregator; from it to all
 GROUPS, PLACEMENTS = 4, 5  # the same for where groups are
-MOST_PAIRS = 63  # of a group and a server, in a datagram
-MOST_PLACEMENTS = 20000  # pairs known
+MAX_PAIRS = 63  # of a group and a server, in a datagram
+MAX_PLACEMENTS = 20000  # pairs known
 PLACEMENT_STANDS = 60.0  # seconds for which a pair stands without being said again
 ROUND = 50  # broadcasts in which all pairs that stand are said once more
-HOLDERS = 2  # balancers with a connection of a group at a server that make it the group's
-TOOK, HELD, SUM, LATE = range(4)  # what a set-up took; what the sender holds; what all hold; how late one is
-MARK = (1 << 14) - 1
+MIN_HOLDERS = 2  # balancers with a connection of a group at a server that make it the group's
+SETUP_TIME, HELD, TOTAL, LATENESS = range(
+    4
+)  # what a set-up took; what the sender holds; what all hold; how late one is
+SHORT_ID_MASK = (1 << 14) - 1
 MOST = 85  # records of a datagram: 256 bytes
 STEPS = 16  # of a value, a doubling
 AGAIN = 4.0  # seconds until a balancer says again what it holds, changed or not
 STANDS = 9.0  # seconds for which that stands
-BROADCAST_EACH = 0.5  # seconds between the aggregator's broadcasts
+BROADCAST_INTERVAL_SECONDS = 0.5  # seconds between the aggregator's broadcasts
 BROADCAST_STANDS = 5.0  # seconds without a broadcast after which no sum counts
 SUM_AGAIN = 8.0  # seconds until an unchanged sum is said again
 SUM_STANDS = 20.0  # seconds for which a sum stands
@@ -50,7 +52,10 @@
 
 def pack(form: int, records: Iterable[Record]) -> Iterator[bytes]:
     """One datagram, or as many as it takes."""
-    packed = [(kind << 22 | (mark & MARK) << 8 | rounded(v)).to_bytes(3, "big") for kind, mark, v in records]
+    packed = [
+        (kind << 22 | (mark & SHORT_ID_MASK) << 8 | rounded(v)).to_bytes(3, "big")
+        for kind, mark, v in records
+    ]
     for start in range(0, max(1, len(packed)), MOST):
         yield bytes([form]) + b"".join(packed[start : start + MOST])
 
@@ -61,31 +66,31 @@
     if not known or len(data) % 3 != 1 or len(data) > 1 + 3 * MOST:
         return 0, []
     packed = [int.from_bytes(data[at : at + 3], "big") for at in range(1, len(data), 3)]
-    return data[0], [(one >> 22, one >> 8 & MARK, 2 ** ((one & 255) / STEPS) - 1) for one in packed]
+    return data[0], [(one >> 22, one >> 8 & SHORT_ID_MASK, 2 ** ((one & 255) / STEPS) - 1) for one in packed]
 
 
 def pack_pairs(form: int, pairs: Iterable[tuple[int, int]], flags: Iterable[int]) -> Iterator[bytes]:
     """Datagrams of (mark, group), each with a flag: 1 if it is so, 0 if no longer."""
     packed = [
-        (flag << 30 | (mark & MARK) << 16 | group & 0xFFFF).to_bytes(4, "big")
+        (flag << 30 | (mark & SHORT_ID_MASK) << 16 | group & 0xFFFF).to_bytes(4, "big")
         for (mark, group), flag in zip(pairs, flags)
     ]
-    for start in range(0, len(packed), MOST_PAIRS):
-        yield bytes([form]) + b"".join(packed[start : start + MOST_PAIRS])
+    for start in range(0, len(packed), MAX_PAIRS):
+        yield bytes([form]) + b"".join(packed[start : start + MAX_PAIRS])
 
 
 def unpack_pairs(data: bytes) -> list[tuple[int, tuple[int, int]]]:
     """Flags and pairs."""
-    if len(data) % 4 != 1 or len(data) > 1 + 4 * MOST_PAIRS:
+    if len(data) % 4 != 1 or len(data) > 1 + 4 * MAX_PAIRS:
         return []
     packed = [int.from_bytes(data[at : at + 4], "big") for at in range(1, len(data), 4)]
-    return [(one >> 30, (one >> 16 & MARK, one & 0xFFFF)) for one in packed]
+    return [(one >> 30, (one >> 16 & SHORT_ID_MASK, one & 0xFFFF)) for one in packed]
 
 
 class Aggregation:
     """One balancer's part. `tell(peer, data)` sends; None is everybody."""
 
-    id_bits, refresh = MARK, 0.0  # of a hashed identifier; seconds for which sums may be used again
+    id_bits, refresh = SHORT_ID_MASK, 0.0  # of a hashed identifier; seconds for which sums may be used again
 
     def __init__(self, own: int, peers: int, tell: Callable[[int | None, bytes], None]):
         self.own, self.peers, self.tell = own, peers, tell
@@ -113,24 +118,24 @@
 
     def set_held(self, mark: int, count: int, group: int, of_group: int) -> None:
         """Own connections at a server are so many now, and so many of this group."""
-        self.held[mark & MARK], self.changed = count, True
+        self.held[mark & SHORT_ID_MASK], self.changed = count, True
         if group and of_group:
-            self.pairs[mark & MARK, group & 0xFFFF] = of_group
+            self.pairs[mark & SHORT_ID_MASK, group & 0xFFFF] = of_group
         elif group:
-            self.pairs.pop((mark & MARK, group & 0xFFFF), None)
+            self.pairs.pop((mark & SHORT_ID_MASK, group & 0xFFFF), None)
 
     def holds_group(self, mark: int, group: int, now: float) -> bool:
         """Is the group known to stand there, by several balancers?"""
-        return now - self.placements.get((mark & MARK, group & 0xFFFF), -math.inf) < PLACEMENT_STANDS
+        return now - self.placements.get((mark & SHORT_ID_MASK, group & 0xFFFF), -math.inf) < PLACEMENT_STANDS
 
     def report(self, kind: int, mark: int, value: float) -> None:
         """News, for all."""
         if len(self.news) < MOST and self.aggregator != self.own:
-            self.news.append((kind, mark & MARK, value))
+            self.news.append((kind, mark & SHORT_ID_MASK, value))
 
     def relay_overload(self, mark: int, late: float) -> None:
         """As the aggregator: that a server is late goes out with the next broadcast."""
-        self.gathered[mark & MARK] = late
+        self.gathered[mark & SHORT_ID_MASK] = late
 
     def has_broadcasts(self, now: float) -> bool:
         """Somebody tells, and has lately; it may be ourselves."""
@@ -140,7 +145,7 @@
         """What all hold there; None if nobody tells."""
         if not self.has_broadcasts(now) or not self.sums:
             return None
-        total, when = self.sums.get(mark & MARK, (0.0, now))
+        total, when = self.sums.get(mark & SHORT_ID_MASK, (0.0, now))
         return total if now - when <= SUM_STANDS else 0.0
 
     def on_period(self, now: float, baseline: float) -> None:
@@ -162,13 +167,13 @@
             self.held = {mark: count for mark, count in self.held.items() if count}
             for data in pack(REPORT, records):
                 self.tell(self.aggregator, data)
-            pairs = sorted(self.pairs, key=lambda pair: -self.pairs[pair])[:MOST_PAIRS]
+            pairs = sorted(self.pairs, key=lambda pair: -self.pairs[pair])[:MAX_PAIRS]
             for data in pack_pairs(GROUPS, pairs, [1] * len(pairs)):
                 self.tell(self.aggregator, data)
 
     def publish(self, now: float, baseline: float) -> None:
         """The first broadcast only asks for reports."""
-        if now - self.published_at < BROADCAST_EACH:
+        if now - self.published_at < BROADCAST_INTERVAL_SECONDS:
             return
         first, self.published_baseline = self.published_at == -math.inf, baseline
         self.published_at = self.broadcast_at = now
@@ -184,15 +189,15 @@
             changed = abs(total - last) > max(SUM_LEAST, SUM_STEP * last)
             if not first and (changed or now - when > SUM_AGAIN):
                 self.sums[mark] = total, now
-                records.append((SUM, mark, total))
+                records.append((TOTAL, mark, total))
             if not fresh:
                 del self.parts[mark]
-        late = [(LATE, mark, told) for mark, told in self.gathered.items()]
+        late = [(LATENESS, mark, told) for mark, told in self.gathered.items()]
         self.news, self.gathered = [], {}
         self.paired[self.own] = now, set(self.pairs)
         fresh = [pairs for when, pairs in self.paired.values() if now - when < STANDS]
         counts = Counter(pair for pairs in fresh for pair in pairs)
-        stand = {pair for pair, count in counts.items() if count >= HOLDERS}
+        stand = {pair for pair, count in counts.items() if count >= MIN_HOLDERS}
         changed = list(stand ^ self.placements.keys())
         self.placements = dict.fromkeys(stand, now)
         # Guards against broadcasts that get lost: who missed one would never hear of that placement again.
@@ -201,7 +206,7 @@
             changed.append(self.round.pop())
         for data in pack_pairs(PLACEMENTS, changed, [pair in stand for pair in changed]):
             self.tell(None, data)
-        for data in pack(BROADCAST, [(TOOK, 0, baseline * 1000), *late, *records]):
+        for data in pack(BROADCAST, [(SETUP_TIME, 0, baseline * 1000), *late, *records]):
             self.tell(None, data)
 
     def on_datagram(self, now: float, peer: int, data: bytes, listed: dict[int, object]) -> list[Record]:
@@ -221,17 +226,17 @@
             self.aggregator, self.broadcast_at = peer, now
         news = []
         for kind, mark, told in records:
-            if kind == TOOK and form == BROADCAST:
+            if kind == SETUP_TIME and form == BROADCAST:
                 self.published_baseline = told / 1000
             elif not listed.get(mark):
                 continue
-            elif kind == TOOK:
+            elif kind == SETUP_TIME:
                 news.append((kind, mark, told))
             elif kind == HELD and form == REPORT:
                 self.parts.setdefault(mark, {})[peer] = told, now
-            elif kind == SUM and form == BROADCAST:
+            elif kind == TOTAL and form == BROADCAST:
                 self.sums[mark] = told, now
-            elif kind == LATE:
+            elif kind == LATENESS:
                 news.append((kind, mark, told))
         return news
 
@@ -244,10 +249,10 @@
             self.paired[peer] = now, {pair for _, pair in pairs}
         elif data[0] == PLACEMENTS and peer == self.aggregator != self.own:
             for flag, pair in pairs:
-                if len(self.placements) >= MOST_PLACEMENTS:
+                if len(self.placements) >= MAX_PLACEMENTS:
                     fresh = {p: at for p, at in self.placements.items() if now - at < PLACEMENT_STANDS}
                     self.placements = fresh
-                if flag and len(self.placements) < MOST_PLACEMENTS:
+                if flag and len(self.placements) < MAX_PLACEMENTS:
                     self.placements[pair] = now
                 elif not flag:
                     self.placements.pop(pair, None)
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -142,7 +142,7 @@
 
     def report(self, kind: int, mark: int, value: float) -> None:
         """What we saw ourselves, for others: a set-up (its milliseconds), or how late a server is."""
-        late = value if kind == aggregation.LATE else (value / 1000 - self.own_baseline) / self.wait
+        late = value if kind == aggregation.LATENESS else (value / 1000 - self.own_baseline) / self.wait
         if late >= LATE and (mark & ID in self.news or len(self.news) < MOST_LATE):
             self.news[mark & ID] = late, REPEATS
 
@@ -227,7 +227,7 @@
             for one, count in known if held >= LEAST_HELD * len(self.near) else ():
                 self.vote(one, peer, min(1.0, count / held), now)
         return [
-            (aggregation.LATE, one, mean)
+            (aggregation.LATENESS, one, mean)
             for one, value in late
             if listed.get(one) and (mean := self.sign(one, peer, min(WORST, value), now)) >= LATE
         ]
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -102,7 +102,7 @@
     def on_established(self, server: Server, took: float, now: float) -> None:
         """A set-up of ours took so long."""
         if self.settings.may_publish:
-            self.exchange.report(aggregation.TOOK, server.id_hash, took * 1000)
+            self.exchange.report(aggregation.SETUP_TIME, server.id_hash, took * 1000)
         self.set_up(server, took, now)
 
     def set_up(self, server: Server, took: float, now: float) -> None:
@@ -113,7 +113,7 @@
     def on_reset(self, server: Server, now: float) -> None:
         """It reset what stood. What one balancer meets is the decisions' own; here, that several do."""
         if self.has_broadcasts(now):
-            self.exchange.report(aggregation.LATE, server.id_hash, DROPPED)
+            self.exchange.report(aggregation.LATENESS, server.id_hash, DROPPED)
             self.on_sign(server, DROPPED, now)
         elif self.nobody_reports_load(now):
             self.verdicts += 1
@@ -142,7 +142,7 @@
         """A datagram; what is none of ours says nothing."""
         for kind, mark, value in self.exchange.on_datagram(now, peer, data, self.servers):
             server = self.servers[mark]
-            if kind == aggregation.TOOK:
+            if kind == aggregation.SETUP_TIME:
                 self.set_up(server, value / 1000, now)
             elif self.exchange.aggregator == self.exchange.own:
                 self.on_sign(server, value, now)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -134,14 +134,14 @@
     for count in (600, 3000):
         expected = roles.unspoken_by_formula(count)
         assert abs(roles.unspoken(count) - expected) < 5 * math.sqrt(expected)
-    names = [lines.mark(f"server-{n:06d}") & aggregation.MARK for n in range(3000)]
+    names = [lines.mark(f"server-{n:06d}") & aggregation.SHORT_ID_MASK for n in range(3000)]
     assert roles.unspoken(3000) == sum(names.count(name) > 1 for name in names)
 
 
 def test_placements_end_at_their_bound():
     for own in (0, 5):
         assert len(roles.placed(1000, own).placements) == 1000
-    assert len(roles.placed(aggregation.MOST_PLACEMENTS + 5, 5).placements) == aggregation.MOST_PLACEMENTS
+    assert len(roles.placed(aggregation.MAX_PLACEMENTS + 5, 5).placements) == aggregation.MAX_PLACEMENTS
 
 
 def test_what_a_process_tells_the_next_grows_with_servers_and_with_ids():
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -327,7 +327,7 @@
     late = poll([30] * 10, [(4, 9.0)])
     assert not [news for _ in range(9) for news in node.on_datagram(10.0, 1, late, listed)]
     ((kind, mark, value),) = node.on_datagram(11.0, 2, late, listed)
-    assert (kind, mark) == (aggregation.LATE, 4) and value <= gossip.WORST
+    assert (kind, mark) == (aggregation.LATENESS, 4) and value <= gossip.WORST
     assert not node.on_datagram(20.0, 1, late, listed)  # the other is long ago
     for peer in (2, 3):
         assert not node.on_datagram(
@@ -341,11 +341,11 @@
 def test_what_we_saw_ourselves_is_told_a_few_times_and_never_more_than_fits():
     node, _, out = pair()
     node.on_period(10.0, 0.02)
-    node.report(aggregation.TOOK, 3, 30)  # milliseconds; late by 0.15 of the aim
+    node.report(aggregation.SETUP_TIME, 3, 30)  # milliseconds; late by 0.15 of the aim
     node.on_period(11.0, 0.02)
-    node.report(aggregation.TOOK, 3, 85)  # by a whole aim
+    node.report(aggregation.SETUP_TIME, 3, 85)  # by a whole aim
     for mark in range(1, 11):
-        node.report(aggregation.LATE, mark, 0.9)
+        node.report(aggregation.LATENESS, mark, 0.9)
     assert len(node.news) == gossip.MOST_LATE
     for turn in range(2, 8):
         node.on_period(10.0 + turn, 0.02)
@@ -382,8 +382,8 @@
             wire.unpack(data)
     state = repr(vars(new))
     theirs = [
-        *aggregation.pack(aggregation.REPORT, [(aggregation.HELD, 4, 9), (aggregation.LATE, 4, 3)]),
-        *aggregation.pack(aggregation.BROADCAST, [(aggregation.SUM, 4, 9), (aggregation.LATE, 4, 3)]),
+        *aggregation.pack(aggregation.REPORT, [(aggregation.HELD, 4, 9), (aggregation.LATENESS, 4, 3)]),
+        *aggregation.pack(aggregation.BROADCAST, [(aggregation.TOTAL, 4, 9), (aggregation.LATENESS, 4, 3)]),
         *aggregation.pack_pairs(aggregation.GROUPS, [(4, 1)], [1]),
         *aggregation.pack_pairs(aggregation.PLACEMENTS, [(4, 1)], [1]),
         wire.pack(wire.Datagram(wire.PING, 1, 1, 1)),
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -58,7 +58,10 @@
 
 
 @given(
-    st.lists(st.tuples(st.integers(0, 3), st.integers(0, aggregation.MARK), st.floats(0, 1e4)), max_size=200)
+    st.lists(
+        st.tuples(st.integers(0, 3), st.integers(0, aggregation.SHORT_ID_MASK), st.floats(0, 1e4)),
+        max_size=200,
+    )
 )
 def test_records_come_back_within_a_step_and_in_datagrams_of_the_platforms_size(records):
     told = list(aggregation.pack(aggregation.BROADCAST, records))
@@ -116,7 +119,7 @@
 
 def test_two_servers_of_one_short_mark_are_known_by_nothing():
     tier = Tier()
-    twin = model.Server(tier.fleet[0].id_hash + aggregation.MARK + 1)
+    twin = model.Server(tier.fleet[0].id_hash + aggregation.SHORT_ID_MASK + 1)
     for detector in tier.detectors:
         detector.on_servers_listed([*tier.fleet, twin])
         detector.exchange.set_held(tier.fleet[0].id_hash, 9, 0, 0)
@@ -124,8 +127,8 @@
     tier.run(10)
     told = tier.detectors[4].exchange.sums
     assert (
-        tier.fleet[1].id_hash & aggregation.MARK in told
-        and tier.fleet[0].id_hash & aggregation.MARK not in told
+        tier.fleet[1].id_hash & aggregation.SHORT_ID_MASK in told
+        and tier.fleet[0].id_hash & aggregation.SHORT_ID_MASK not in told
     )
 
 
@@ -192,7 +195,8 @@
 def held(fleet, counts):
     return next(
         aggregation.pack(
-            aggregation.BROADCAST, [(aggregation.SUM, server.id_hash, n) for server, n in zip(fleet, counts)]
+            aggregation.BROADCAST,
+            [(aggregation.TOTAL, server.id_hash, n) for server, n in zip(fleet, counts)],
         )
     )
 
@@ -212,7 +216,12 @@
     bench.balancer.on_datagram(0, held(fleet, [10] * 10))
     home = fleet[7]
     bench.balancer.on_datagram(
-        0, next(aggregation.pack_pairs(aggregation.PLACEMENTS, [(home.id_hash & aggregation.MARK, 41)], [1]))
+        0,
+        next(
+            aggregation.pack_pairs(
+                aggregation.PLACEMENTS, [(home.id_hash & aggregation.SHORT_ID_MASK, 41)], [1]
+            )
+        ),
     )
     for _ in range(20):
         bench.call(group=41)
@@ -223,7 +232,7 @@
 
 def test_a_broadcast_of_lateness_shuts_the_server_for_one_that_sees_it_once_in_ten_seconds():
     bench, fleet = balancer()
-    late = next(aggregation.pack(aggregation.BROADCAST, [(aggregation.LATE, fleet[4].id_hash, 0.8)]))
+    late = next(aggregation.pack(aggregation.BROADCAST, [(aggregation.LATENESS, fleet[4].id_hash, 0.8)]))
     for _ in range(20):
         bench.balancer.on_datagram(0, late)
         bench.call()
@@ -252,7 +261,7 @@
         0,
         next(
             aggregation.pack(
-                aggregation.BROADCAST, [(aggregation.SUM, 12345, 9), (aggregation.LATE, 12345, 3)]
+                aggregation.BROADCAST, [(aggregation.TOTAL, 12345, 9), (aggregation.LATENESS, 12345, 3)]
             )
         ),
     )
