--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -453,7 +453,7 @@
         def turn() -> None:
             for server in host.balancer.fleet[: int(SET_UPS)]:  # whose counts change in half a second
                 host.balancer.overload.exchange.set_held(server.id_hash, 1, 0, 0)
-            host.now += overload.AGAIN
+            host.now += overload.REPUBLISH_SECONDS
             host.hears()
             host.balancer.on_timer("publish")
 
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -29,7 +29,7 @@
 DROPPED = 0.9  # what a reset counts as
 WAITS = 0.65  # of what messages are late by, what a set-up waits over the usual; with 1 zone days fell
 ALONE = 1.5  # the same for who is not the aggregator and has seen only own set-ups
-AGAIN = 2.0  # seconds until it is told again, unless it has doubled
+REPUBLISH_SECONDS = 2.0  # seconds until it is told again, unless it has doubled
 NOTICED_FOR = 30.0  # seconds since a server's own notice for which such are waited for
 LEAST_KNOWN = 0.5  # share of the servers asked about of which sums have to be known
 
@@ -127,7 +127,7 @@
         if late < (LATE if aggregator else ALONE):
             return
         before, when = self.published.get(server.id_hash, (0.0, -math.inf))
-        if aggregator and (now - when > AGAIN or late > 2 * before):
+        if aggregator and (now - when > REPUBLISH_SECONDS or late > 2 * before):
             self.published[server.id_hash] = late, now
             self.exchange.relay_overload(server.id_hash, late)
         self.report_overload(server, late, now)
