--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -633,7 +633,7 @@
         self.selection.on_leg_ended(leg, result)
 
     def on_delay_reported(self, leg: Leg, delay: float) -> None:
-        self.overload.noticed = self.host.now
+        self.overload.last_server_notice = self.host.now
         self.selection.record_delay(leg.server, delay / self.settings.shortest_message_aim, SWAMPED_FOR)
 
     def fleet_load(self) -> dict[Server, float]:
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -56,7 +56,7 @@
         self.took: deque[tuple[float, float]] = deque(maxlen=RECENT)  # set-ups: when, how long
         self.lateness: dict[int, tuple[float, float]] = {}  # by mark: how late lately, and when last seen
         self.published: dict[int, tuple[float, float]] = {}  # the same as last told
-        self.noticed = -math.inf  # when a server last said itself how late its messages are
+        self.last_server_notice = -math.inf  # when a server last said itself how late its messages are
         self.verdicts = 0  # times that a server was found late by other signs than its own word
 
     def on_servers_listed(self, fleet: Iterable[Server]) -> None:
@@ -81,7 +81,7 @@
 
     def servers_report_load(self, now: float) -> bool:
         """Servers send notices of late messages, or report their load: evidence that goes before this."""
-        return bool(self.settings.report) or now - self.noticed <= NOTICED_FOR
+        return bool(self.settings.report) or now - self.last_server_notice <= NOTICED_FOR
 
     def nobody_reports_load(self, now: float) -> bool:
         """Neither servers nor other balancers say that messages are late: a reset tells first."""
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -175,7 +175,7 @@
     tier = Tier(count=4)
     tier.run(3)
     for detector in tier.detectors[:2]:  # they come to half of the balancers
-        detector.noticed = tier.now
+        detector.last_server_notice = tier.now
     took = lambda server: 0.02 + 0.2 * (server is tier.fleet[0])  # noqa: E731
     tier.set_ups(took)
     assert {by for by, _, _ in tier.late} == {2, 3}
