--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -633,7 +633,7 @@
         for _ in range(12):
             tier.turn()
         one = tier.all[0]
-        return deep(one.parts) + deep(one.sums) + deep(one.paired) + deep(one.placements)
+        return deep(one.reports) + deep(one.totals) + deep(one.reported_pairs) + deep(one.placements)
 
     yield figure("aggregator", "memory of its records", "B", "balancers", sizes, [kept(n) for n in sizes])
 
--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -100,14 +100,18 @@
         self.aggregator: int | None = None  # who published last,
         self.broadcast_at = -math.inf  # when,
         self.published_baseline: float | None = None  # what it said that a set-up takes,
-        self.sums: dict[int, tuple[float, float]] = {}  # and the sums it said, by short mark, with when
-        self.parts: dict[int, dict[int, tuple[float, float]]] = {}  # as the aggregator: by mark and balancer
+        self.totals: dict[int, tuple[float, float]] = {}  # and the sums it said, by short mark, with when
+        self.reports: dict[
+            int, dict[int, tuple[float, float]]
+        ] = {}  # as the aggregator: by mark and balancer
         self.gathered: dict[int, float] = {}  # as the aggregator: lateness to pass on, by mark
         self.published_at = -math.inf
         self.pairs: dict[tuple[int, int], int] = {}  # own connections by short mark and group
         self.placements: dict[tuple[int, int], float] = {}  # where groups stand, and when that was said
         self.round: list[tuple[int, int]] = []  # as the aggregator: pairs still to be said again
-        self.paired: dict[int, tuple[float, set[tuple[int, int]]]] = {}  # as the aggregator: by balancer
+        self.reported_pairs: dict[
+            int, tuple[float, set[tuple[int, int]]]
+        ] = {}  # as the aggregator: by balancer
 
     def on_servers_listed(self, servers: dict[int, object], zone: int) -> None:
         """All are summed, wherever they are."""
@@ -143,9 +147,9 @@
 
     def total(self, mark: int, now: float) -> float | None:
         """What all hold there; None if nobody tells."""
-        if not self.has_broadcasts(now) or not self.sums:
+        if not self.has_broadcasts(now) or not self.totals:
             return None
-        total, when = self.sums.get(mark & SHORT_ID_MASK, (0.0, now))
+        total, when = self.totals.get(mark & SHORT_ID_MASK, (0.0, now))
         return total if now - when <= SUM_STANDS else 0.0
 
     def on_period(self, now: float, baseline: float) -> None:
@@ -158,7 +162,13 @@
             and (now - self.broadcast_at > SILENT + SILENT_MORE * self.own)
         ):
             self.aggregator, self.published_at = self.own, -math.inf
-            self.parts, self.gathered, self.sums, self.paired, self.placements = {}, {}, {}, {}, {}
+            self.reports, self.gathered, self.totals, self.reported_pairs, self.placements = (
+                {},
+                {},
+                {},
+                {},
+                {},
+            )
         if self.aggregator == self.own:
             self.publish(now, baseline)
         elif self.aggregator is not None and (self.changed or self.news or now - self.told > AGAIN):
@@ -179,23 +189,23 @@
         self.published_at = self.broadcast_at = now
         records: list[Record] = []
         for mark, count in self.held.items():
-            self.parts.setdefault(mark, {})[self.own] = count, now
+            self.reports.setdefault(mark, {})[self.own] = count, now
         self.held = {mark: count for mark, count in self.held.items() if count}
-        for mark, parts in list(self.parts.items()):
+        for mark, parts in list(self.reports.items()):
             fresh = {peer: part for peer, part in parts.items() if now - part[1] < STANDS}
-            self.parts[mark] = fresh
+            self.reports[mark] = fresh
             total = sum(count for count, _ in fresh.values())
-            last, when = self.sums.get(mark, (0.0, -math.inf))
+            last, when = self.totals.get(mark, (0.0, -math.inf))
             changed = abs(total - last) > max(SUM_LEAST, SUM_STEP * last)
             if not first and (changed or now - when > SUM_AGAIN):
-                self.sums[mark] = total, now
+                self.totals[mark] = total, now
                 records.append((TOTAL, mark, total))
             if not fresh:
-                del self.parts[mark]
+                del self.reports[mark]
         late = [(LATENESS, mark, told) for mark, told in self.gathered.items()]
         self.news, self.gathered = [], {}
-        self.paired[self.own] = now, set(self.pairs)
-        fresh = [pairs for when, pairs in self.paired.values() if now - when < STANDS]
+        self.reported_pairs[self.own] = now, set(self.pairs)
+        fresh = [pairs for when, pairs in self.reported_pairs.values() if now - when < STANDS]
         counts = Counter(pair for pairs in fresh for pair in pairs)
         stand = {pair for pair, count in counts.items() if count >= MIN_HOLDERS}
         changed = list(stand ^ self.placements.keys())
@@ -233,9 +243,9 @@
             elif kind == SETUP_TIME:
                 news.append((kind, mark, told))
             elif kind == HELD and form == REPORT:
-                self.parts.setdefault(mark, {})[peer] = told, now
+                self.reports.setdefault(mark, {})[peer] = told, now
             elif kind == TOTAL and form == BROADCAST:
-                self.sums[mark] = told, now
+                self.totals[mark] = told, now
             elif kind == LATENESS:
                 news.append((kind, mark, told))
         return news
@@ -243,10 +253,10 @@
     def heard_pairs(self, now: float, peer: int, data: bytes) -> None:
         pairs = unpack_pairs(data)
         if data[0] == GROUPS and self.aggregator == self.own:
-            if peer not in self.paired and self.placements:  # it has just started, or come back
+            if peer not in self.reported_pairs and self.placements:  # it has just started, or come back
                 for again in pack_pairs(PLACEMENTS, self.placements, [1] * len(self.placements)):
                     self.tell(peer, again)
-            self.paired[peer] = now, {pair for _, pair in pairs}
+            self.reported_pairs[peer] = now, {pair for _, pair in pairs}
         elif data[0] == PLACEMENTS and peer == self.aggregator != self.own:
             for flag, pair in pairs:
                 if len(self.placements) >= MAX_PLACEMENTS:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -96,9 +96,9 @@
     assert played["in"] < 2 * 2 * 11 * 256
     assert played["out"] == pytest.approx(11 * played["plain"] + tier.replies / 3.0)
     heard = tier.all[1]
-    assert heard.aggregator == 0 and len(heard.sums) == len(tier.servers)
+    assert heard.aggregator == 0 and len(heard.totals) == len(tier.servers)
     held = sum(len(held) for held in tier.standing[1:])
-    told = sum(total for total, _ in tier.all[0].sums.values())
+    told = sum(total for total, _ in tier.all[0].totals.values())
     assert told == pytest.approx(held, rel=0.2)  # a record's value is rounded; small changes wait for 8 s
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -125,7 +125,7 @@
         detector.exchange.set_held(tier.fleet[0].id_hash, 9, 0, 0)
         detector.exchange.set_held(tier.fleet[1].id_hash, 1, 0, 0)
     tier.run(10)
-    told = tier.detectors[4].exchange.sums
+    told = tier.detectors[4].exchange.totals
     assert (
         tier.fleet[1].id_hash & aggregation.SHORT_ID_MASK in told
         and tier.fleet[0].id_hash & aggregation.SHORT_ID_MASK not in told
@@ -265,7 +265,7 @@
             )
         ),
     )
-    assert not bench.balancer.overload.exchange.sums and len(bench.balancer.fleet) == 10
+    assert not bench.balancer.overload.exchange.totals and len(bench.balancer.fleet) == 10
 
 
 def test_a_server_told_late_stays_shut_for_the_process_that_takes_over():
