--- a/bellrack/net/handover.py
+++ b/bellrack/net/handover.py
@@ -200,7 +200,7 @@
             text = json.dumps(self.node.hot_restart.snapshot()).encode() + b"\n"
             ours, theirs = passing.pair()
             with theirs:
-                fds = [self.node.doors.socket.fileno(), theirs.fileno()]
+                fds = [self.node.listeners.socket.fileno(), theirs.fileno()]
                 sent = socket.send_fds(sock, [text], fds)  # what it does not take at once follows
         except OSError as error:
             log.tell("handover", given="nothing", error=error)
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -34,7 +34,7 @@
 
     async def find_predecessor(self) -> handover.Predecessor | None:
         """Where a process of this balancer serves, its listening socket and what it has learned are ours."""
-        path = self.node.doors.path
+        path = self.node.listeners.path
         predecessor = await self.meet(path) if path else None
         if predecessor:
             await self.take_over(predecessor)
@@ -115,7 +115,7 @@
             node.server_list.on_order(order)
         if "took" in said and self.sibling and self.sibling.giver:
             self.giver = self.sibling.giver
-            node.doors.shut()
+            node.listeners.shut()
             node.balancer.slow_start.suspend(True)  # two processes are one balancer: it has the budget now
             log.tell("followed")
 
@@ -131,10 +131,10 @@
         if followed:
             # Also while we end ourselves: who waits in the listener has nobody else.
             node.balancer.slow_start.suspend(False)
-            self.reopening = node.loop.create_task(node.doors.reopen())
+            self.reopening = node.loop.create_task(node.listeners.reopen())
             if node.shutdown:
                 node.shutdown.on_successor_lost()
-        elif node.doors.listener is None:
+        elif node.listeners.listener is None:
             # Who came in after it ended waits in the listener for us: as haste as at a start without it.
             node.readiness.at_once = node.settings.asks
             node.changed.set()
--- a/bellrack/net/doors.py
+++ b/bellrack/net/listeners.py
@@ -84,7 +84,7 @@
         self.sockets = []
 
 
-class Doors:
+class Listeners:
     def __init__(self, node: Any):
         self.node = node
         self.socket: socket.socket | None = None  # the clients' door; held also while the other accepts
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -20,9 +20,9 @@
 from bellrack.net.config import Config
 from bellrack.net.control import Caller
 from bellrack.net.discovery import Discovery
-from bellrack.net.doors import Doors
 from bellrack.net.hot_restart import HotRestart
 from bellrack.net.invariants import Invariant, Invariants
+from bellrack.net.listeners import Listeners
 from bellrack.net.peer_socket import LONGEST_DATAGRAM, PeerSocket
 from bellrack.net.readiness import Readiness
 from bellrack.net.resumed import ResumedConnections
@@ -53,7 +53,7 @@
         self.discovery = Discovery(self, config.discovery)
         self.server_list = server_list.ServerList(self)
         self.server_watch = ServerWatch(self)
-        self.doors = Doors(self)
+        self.listeners = Listeners(self)
         self.hot_restart = HotRestart(self)
         Accounting.__init__(self, config.settings, config.seed, self.clock())
         self.invariants = Invariants(self.counters, config.settings)
@@ -236,14 +236,14 @@
         if self.config.peer_listen:
             self.peers = await transient.retried(lambda: PeerSocket.open(self))
         self.handle_signals()
-        await transient.retried(self.doors.open_desk)
+        await transient.retried(self.listeners.open_desk)
         predecessor = await self.hot_restart.find_predecessor()
         await startup.wait_until_ready(self, alone=predecessor is None)
         if not self.shutdown:  # guards against a door that is opened only to be closed on who comes
             await self.take_requests(predecessor.door if predecessor else None)
         await self.over.wait()
         self.invariants.check_exit(self.clients)
-        self.doors.close()
+        self.listeners.close()
         self.hot_restart.close()
         self.show()
         self.stop()
@@ -260,13 +260,13 @@
 
     async def take_requests(self, listening: socket.socket | None) -> None:
         """Be ready; `listening`: the socket of the process that served before."""
-        if not self.doors.listener:
-            await transient.retried(lambda: self.doors.open(listening))
+        if not self.listeners.listener:
+            await transient.retried(lambda: self.listeners.open(listening))
         self.takes_requests = True
         if listening:
             self.balancer.slow_start.suspend(False)  # what was issued until now is the predecessor's
         self.hot_restart.publish(took=True)
-        self.address = self.doors.socket.getsockname()
+        self.address = self.listeners.socket.getsockname()
         log.tell(
             "serving",
             name=self.config.name,
@@ -279,7 +279,7 @@
 
     def can_serve(self) -> bool:
         """It takes calls and has a list, by discovery or, if that is late, from before."""
-        listening = self.takes_requests and self.doors.listener is not None
+        listening = self.takes_requests and self.listeners.listener is not None
         return listening and self.readiness.listed(self.clock()) and not self.shutdown
 
     def show(self) -> None:
--- a/bellrack/net/peer_socket.py
+++ b/bellrack/net/peer_socket.py
@@ -21,7 +21,9 @@
     async def open(node: Any) -> PeerSocket:
         """Listen at the configuration's `peer_listen`. Raises OSError."""
         _, protocol = await node.loop.create_datagram_endpoint(
-            lambda: PeerSocket(node), local_addr=node.config.peer_listen, reuse_port=node.doors.shared or None
+            lambda: PeerSocket(node),
+            local_addr=node.config.peer_listen,
+            reuse_port=node.listeners.shared or None,
         )
         node.limits.counted(1)
         return protocol
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -14,7 +14,7 @@
 from helpers import Peer, World, played, raw_settings
 from processes import bound_socket, written
 
-from bellrack.net import doors, limits
+from bellrack.net import limits, listeners
 
 ROOT = Path(__file__).parent.parent
 CHILD = 400  # of a crowd in one process, which may have but 1,024 descriptors itself
@@ -256,7 +256,7 @@
         room, before = world.node.limits, world.node.limits.descriptors
         room.descriptors = room.limit - room.reserve // 2  # held by others
         client = await world.call()
-        await world.until(lambda: not world.node.doors.listener.reading)
+        await world.until(lambda: not world.node.listeners.listener.reading)
         assert not world.node.clients and not world.node.counters["crowded"]
         room.descriptors = before
         _, server, _ = await world.leg()
@@ -267,7 +267,7 @@
 @played
 async def test_a_kernel_without_descriptors_closes_the_door_for_an_instant_alone(monkeypatch):
     async with World() as world:
-        failed, take = [], doors.Listener.take
+        failed, take = [], listeners.Listener.take
 
         def fails(self):
             if len(failed) < 3:
@@ -275,6 +275,6 @@
                 raise failed[-1]
             take(self)
 
-        monkeypatch.setattr(doors.Listener, "take", fails)
+        monkeypatch.setattr(listeners.Listener, "take", fails)
         await world.standing()
         assert len(failed) == 3
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -226,9 +226,9 @@
 async def test_asked_to_end_it_ends_also_if_its_door_fails(monkeypatch, error):
     monkeypatch.setattr(shutdown, "STAY", 0.0)
     async with World() as world:
-        door = mock.Mock(wraps=world.node.doors.socket)
+        door = mock.Mock(wraps=world.node.listeners.socket)
         door.accept.side_effect = OSError(error, "no")
-        monkeypatch.setattr(world.node.doors.listener, "sockets", [door])
+        monkeypatch.setattr(world.node.listeners.listener, "sockets", [door])
         world.node.queue(world.node.leave)
         await asyncio.wait_for(world.serving, 2)
         assert door.accept.called and not world.node.counters["faults"]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -52,7 +52,7 @@
         old, (client, _) = world.node, await world.standing()
         world.node, serving = await world.start()
         waiting = await world.call()
-        await world.until(lambda: old.hot_restart.followed and old.doors.listener is None)
+        await world.until(lambda: old.hot_restart.followed and old.listeners.listener is None)
         old.hot_restart.giver.close()
         old.hot_restart.giver = None  # as with a second process that takes no connections over
         assert old.can_serve() is False and world.node.can_serve()
@@ -61,7 +61,7 @@
         assert [await client.line(), await client.line()] == ["MOVE", "fin"]
         again, _ = await world.standing()
         await world.first_ends(serving)
-        assert not old.clients and not old.doors.listener
+        assert not old.clients and not old.listeners.listener
         assert len(world.node.clients) == 2 and again
         await world.until(lambda: world.node.hot_restart.sibling is None and world.node.limits.beside == 0)
 
@@ -161,7 +161,7 @@
     async with World(control=True, listen=free()) as world:
         async with world.beside():
             await world.until(lambda: world.node.hot_restart.followed)
-        await world.until(lambda: world.node.doors.listener)
+        await world.until(lambda: world.node.listeners.listener)
         await world.standing()
         async with world.beside():  # and can hand it over once more
             await world.until(lambda: world.node.hot_restart.followed)
@@ -319,7 +319,7 @@
         await world.standing()
         told = [record.figures["offered"] for record in caplog.records if record.msg == "handover"]
         assert told == ["nothing"]
-        assert not world.node.doors.meeting
+        assert not world.node.listeners.meeting
 
 
 @played
@@ -381,7 +381,7 @@
 async def test_another_users_process_is_given_no_door(folder, monkeypatch):
     async with World(control=True, listen=free()) as world:
         monkeypatch.setattr(handover, "same_user", lambda sock: False)
-        peer = Peer(*await asyncio.open_unix_connection(world.node.doors.path))
+        peer = Peer(*await asyncio.open_unix_connection(world.node.listeners.path))
         assert await peer.line() == "fin" and world.node.hot_restart.sibling is None
 
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -149,7 +149,7 @@
         world.node = Node(parse_config(raw), asyncio.get_running_loop())
         world.questions = asked
         world.serving = asyncio.create_task(world.node.serve())
-        await world.until(lambda: world.node.doors.desk)
+        await world.until(lambda: world.node.listeners.desk)
         try:
             yield world
         finally:
@@ -162,10 +162,10 @@
 async def may_be_ready(world):
     """What it says of itself: at the clients' door, and to operators."""
     status, _ = await world.ask("/_ready")
-    if world.node.doors.listener is None:
+    if world.node.listeners.listener is None:
         assert status == 503
         return False
-    front = Peer(*await asyncio.open_connection(*world.node.doors.socket.getsockname()))
+    front = Peer(*await asyncio.open_connection(*world.node.listeners.socket.getsockname()))
     front.say("PING")
     assert await front.line() == "PONG"
     front.end("fin")
@@ -200,7 +200,7 @@
         elif how == "nothing new":
             await world.until(lambda: world.node.discovery.standing.begun)
         if how == "nothing new" and known is DRAINING:
-            await world.until(lambda: world.node.doors.listener)
+            await world.until(lambda: world.node.listeners.listener)
             assert await may_be_ready(world)  # it is the list: discovery has said so
             return
         begun = world.node.clock()
@@ -212,7 +212,7 @@
             watch.writer.write(chunk(GIVEN)[-30:])
         else:
             watch.writer.write(HEAD * (how == "silent") + chunk(GIVEN | {"generation": 50}))
-        await world.until(lambda: world.node.doors.listener)
+        await world.until(lambda: world.node.listeners.listener)
         assert await may_be_ready(world)
 
 
@@ -233,7 +233,7 @@
         watch = await answered(world, "half")
         assert not await may_be_ready(world)
         watch.writer.write(chunk(GIVEN)[-30:])
-        await world.until(lambda: world.node.doors.listener)
+        await world.until(lambda: world.node.listeners.listener)
         assert await may_be_ready(world)
 
 
@@ -250,7 +250,7 @@
     async with starting(0.02, known=EMPTY) as world:
         world.node.queue(world.node.leave)
         await asyncio.wait_for(world.serving, 10)
-        assert world.node.doors.socket is None and not world.node.counters["list_failures"]
+        assert world.node.listeners.socket is None and not world.node.counters["list_failures"]
 
 
 def test_a_spoilt_list_is_none_at_a_start_and_no_configuration_later(tmp_path, capsys, monkeypatch):
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -13,7 +13,7 @@
 from test_handover import folder, free  # noqa: F401 (a fixture)
 
 from bellrack.net import config as configuration
-from bellrack.net import doors, handover, lines, node, servers, shutdown
+from bellrack.net import handover, lines, listeners, node, servers, shutdown
 from bellrack.net.config import parse_config
 
 LOCAL = [errno.ENFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH]
@@ -39,7 +39,7 @@
     monkeypatch.setattr(shutdown, "STAY", 0.0)
     async with World() as world:
         waiting = []
-        honest = world.node.doors.socket
+        honest = world.node.listeners.socket
         door = mock.Mock(wraps=honest)
         door.accept.side_effect = failing(honest.accept, error)
 
@@ -47,7 +47,7 @@
             for number in range(5):
                 waiting.append(socket.create_connection(world.node.address))
                 waiting[-1].sendall(b"OPEN %016x 7f3a9c21e0b4d655 c=chat,t=acme,d=2000\r\n" % (number + 1))
-            monkeypatch.setattr(world.node.doors.listener, "sockets", [door])
+            monkeypatch.setattr(world.node.listeners.listener, "sockets", [door])
             world.node.leave()
 
         world.node.queue(come_and_leave)
@@ -89,7 +89,7 @@
         extra = {"control": "127.0.0.1:0"}
         if what == "create_server":
             made = failing(socket.create_server, error, times=2)
-            monkeypatch.setattr(doors.socket, "create_server", made)
+            monkeypatch.setattr(listeners.socket, "create_server", made)
         else:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 sock.bind(("127.0.0.1", 0))
@@ -108,7 +108,7 @@
 async def test_an_address_that_cannot_be_had_is_no_moment(monkeypatch, error):
     made = failing(socket.create_server, error, times=1000)
     async with World() as world:
-        monkeypatch.setattr(doors.socket, "create_server", made)
+        monkeypatch.setattr(listeners.socket, "create_server", made)
         second = node.Node(parse_config(world.raw), world.node.loop)
         with pytest.raises(OSError):
             await asyncio.wait_for(second.serve(), 3)
@@ -136,8 +136,8 @@
     made = failing(getattr(os, call), error, times=2)
     monkeypatch.setattr(handover.os, call, made)
     async with World(control=True, listen=free()) as world:
-        await world.until(lambda: world.node.doors.meeting)
-        assert [path.name for path in folder.iterdir()] == [os.path.basename(world.node.doors.path)]
+        await world.until(lambda: world.node.listeners.meeting)
+        assert [path.name for path in folder.iterdir()] == [os.path.basename(world.node.listeners.path)]
         async with world.beside() as new:
             await world.until(lambda: world.node.hot_restart.followed)
             assert new.can_serve()
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -81,7 +81,7 @@
         await world.until(lambda: first.hot_restart.sibling and first.hot_restart.sibling.transport)
         await world.until(lambda: second.hot_restart.sibling and second.hot_restart.sibling.transport)
         address = first.address
-        first.doors.listener.close()
+        first.listeners.listener.close()
         first.hot_restart.sibling.transport.abort()  # as the kernel does for a process that is killed
         sock = socket.create_connection(address)
         sock.sendall(LINE % 77)
@@ -129,7 +129,7 @@
         monkeypatch.setattr(hot_restart.HotRestart, "meet", meets)
         second = node.Node(parse_config(world.raw), first.loop)
         serving = asyncio.create_task(second.serve())
-        await world.until(lambda: second.doors.desk and second.servers)
+        await world.until(lambda: second.listeners.desk and second.servers)
         assert second.server_list.cordon("s-1", True)
         turn.set()
         await world.until(lambda: first.hot_restart.followed)
@@ -303,7 +303,7 @@
             (server,) = first.servers.values()
             first.now = first.clock() + 20
             assert first.balancer.slow_start.available_tokens(server) == 0
-        await world.until(lambda: not first.hot_restart.followed and first.doors.listener)
+        await world.until(lambda: not first.hot_restart.followed and first.listeners.listener)
         first.now = first.clock() + 40  # its successor is gone: the budget is its own again, from now on
         assert first.balancer.slow_start.available_tokens(server) > 0
         assert handover.VERSION == 1
