--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -1,7 +1,7 @@
 """A hot restart as one process sees it: its sibling, before or after it, and what passes between them.
 
 Owns which of the two listens, and the state that goes over beside the connections. The Unix socket is
-`handover.py`, the hand-off of connections `passing.py`. Without a sibling nothing here does anything.
+`sibling.py`, the hand-off of connections `passing.py`. Without a sibling nothing here does anything.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import socket
 from typing import Any
 
-from bellrack.net import handover, lines, log, passing, shared_state
+from bellrack.net import lines, log, passing, shared_state, sibling
 from bellrack.net.fact_versions import CordonOrder
 
 WAIT_FOR_TURN = 8.0  # seconds that a third process waits for the first of two to end: 3.7 s, and its start
@@ -20,7 +20,7 @@
 class HotRestart:
     def __init__(self, node: Any):
         self.node = node
-        self.sibling: handover.Sibling | None = None  # our other process, before or after us
+        self.sibling: sibling.Sibling | None = None  # our other process, before or after us
         self.giver: passing.Giver | None = None  # hands connections to it, once it listens in our place
         self.taker: passing.Taker | None = None  # takes them from it
         self.connecting: asyncio.Task | None = None
@@ -32,7 +32,7 @@
         """A process came after us and listens in our place."""
         return self.giver is not None
 
-    async def find_predecessor(self) -> handover.Predecessor | None:
+    async def find_predecessor(self) -> sibling.Predecessor | None:
         """Where a process of this balancer serves, its listening socket and what it has learned are ours."""
         path = self.node.listeners.path
         predecessor = await self.meet(path) if path else None
@@ -40,21 +40,21 @@
             await self.take_over(predecessor)
         return predecessor
 
-    async def meet(self, path: str) -> handover.Predecessor | None:
+    async def meet(self, path: str) -> sibling.Predecessor | None:
         """Wait while the process that serves has a sibling already: guards against a third process that would
         start with nothing handed over, not even which servers are detached."""
         end = self.node.clock() + WAIT_FOR_TURN
         while not self.node.shutdown:
             try:
-                return await asyncio.to_thread(handover.meet, path)
-            except (handover.BusyError, OSError) as error:
+                return await asyncio.to_thread(sibling.meet, path)
+            except (sibling.BusyError, OSError) as error:
                 if self.node.clock() >= end:
                     log.tell("handover", taken="nothing", error=repr(error))
                     break
             await asyncio.sleep(TURN_LOOK)
         return None
 
-    async def take_over(self, predecessor: handover.Predecessor) -> None:
+    async def take_over(self, predecessor: sibling.Predecessor) -> None:
         """Start beside the process that serves; we listen in its place once we know the servers."""
         node, told = self.node, predecessor.told
         shared_state.adopt(node, told)
@@ -74,7 +74,7 @@
     ) -> None:
         """The Unix socket to the sibling is up; `early`: bytes of it that are already read; `unsent`: bytes
         that are to go out first."""
-        self.sibling = handover.Sibling(self.node, giver, early, unsent)
+        self.sibling = sibling.Sibling(self.node, giver, early, unsent)
         self.connecting = self.node.loop.create_task(
             self.node.loop.create_unix_connection(lambda: self.sibling, sock=sock)
         )
@@ -119,11 +119,11 @@
             node.balancer.slow_start.suspend(True)  # two processes are one balancer: it has the budget now
             log.tell("followed")
 
-    def on_sibling_lost(self, sibling: handover.Sibling) -> None:
+    def on_sibling_lost(self, lost: sibling.Sibling) -> None:
         """The other process is gone."""
-        if sibling is not self.sibling:
+        if lost is not self.sibling:
             return
-        sibling.close()
+        lost.close()
         node, followed, self.sibling, self.giver = self.node, self.followed, None, None
         node.limits.beside = 0
         if node.over.is_set():
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bellrack.net import handover, limits, log, transient
+from bellrack.net import limits, log, sibling, transient
 from bellrack.net.clients import Client
 from bellrack.net.control import Caller
 
@@ -90,13 +90,13 @@
         self.socket: socket.socket | None = None  # the clients' door; held also while the other accepts
         self.listener: Listener | None = None
         self.desk: Listener | None = None
-        self.meeting: handover.Meeting | None = None
+        self.meeting: sibling.Meeting | None = None
         self.meeting_failed = False
         self.failed_looks = 0  # at who still waits in the clients' door when it closes for good
         self.last_in: set[asyncio.Task] = set()  # who waited in the clients' door when it closed for good
         # Only where operators call may another process of ours be started beside us.
         self.shared = node.config.control is not None
-        self.path = handover.place(node.config.name, node.config.listen) if self.shared else None
+        self.path = sibling.place(node.config.name, node.config.listen) if self.shared else None
 
     async def open_desk(self) -> None:
         if place := self.node.config.control:
@@ -119,7 +119,7 @@
         if not self.path or self.meeting or not self.listener:
             return
         try:
-            self.meeting = handover.Meeting(self.node, self.path)
+            self.meeting = sibling.Meeting(self.node, self.path)
         except OSError as error:
             if not self.meeting_failed:
                 log.tell("handover", offered="nothing", error=error)
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bellrack.net import handover, lines, log
+from bellrack.net import lines, log, sibling
 from bellrack.net.fact_versions import CordonOrder, ListVersions
 
 SAME_CLOCK = 1e-3  # seconds by which two anchors may differ that were read with the clock untouched
@@ -30,7 +30,7 @@
     """What the process that comes after us is given with the listening socket."""
     versions, orders = node.server_list.versions, node.server_list.orders.values()
     return {
-        "version": handover.VERSION,
+        "version": sibling.VERSION,
         "list": node.server_list.written(),
         "list_versions": {
             "discovery": lines.written(node.discovery.address),
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 import pytest
 from helpers import Peer, World, played
 
-from bellrack.net import handover, hot_restart, lines, node, passing, ring
+from bellrack.net import hot_restart, lines, node, passing, ring, sibling
 from bellrack.net.config import parse_config
 from bellrack.net.limits import Limits
 
@@ -285,18 +285,18 @@
 
 @played
 async def test_nobody_at_the_meeting_place_is_as_if_there_were_none(folder):
-    path = handover.place("n0", ("127.0.0.1", 1))
-    assert handover.place("n0", ("127.0.0.1", 2)) != path and path.startswith(str(folder))
-    assert handover.meet(path) is None
+    path = sibling.place("n0", ("127.0.0.1", 1))
+    assert sibling.place("n0", ("127.0.0.1", 2)) != path and path.startswith(str(folder))
+    assert sibling.meet(path) is None
     with socket.socket(socket.AF_UNIX) as dead:
         dead.bind(path)
-    assert handover.meet(path) is None
+    assert sibling.meet(path) is None
     for said in (b"", b"no json\n", b"[]\n", b"{}\n"):
         os.unlink(path)
         with socket.socket(socket.AF_UNIX) as sock:
             sock.bind(path)
             sock.listen()
-            meeting = asyncio.to_thread(handover.meet, path)
+            meeting = asyncio.to_thread(sibling.meet, path)
             task = asyncio.create_task(meeting)
             other, _ = await asyncio.to_thread(sock.accept)
             other.sendall(said)
@@ -306,9 +306,9 @@
 
 def test_a_folder_too_long_for_a_socket_is_no_place_to_meet(monkeypatch):
     monkeypatch.setenv("TMPDIR", "/tmp/" + "x" * 120)
-    assert handover.place("n0", ("127.0.0.1", 1)) is None
+    assert sibling.place("n0", ("127.0.0.1", 1)) is None
     monkeypatch.delenv("TMPDIR")
-    assert handover.place("n0", ("127.0.0.1", 1)) is None
+    assert sibling.place("n0", ("127.0.0.1", 1)) is None
 
 
 @played
@@ -380,7 +380,7 @@
 @played
 async def test_another_users_process_is_given_no_door(folder, monkeypatch):
     async with World(control=True, listen=free()) as world:
-        monkeypatch.setattr(handover, "same_user", lambda sock: False)
+        monkeypatch.setattr(sibling, "same_user", lambda sock: False)
         peer = Peer(*await asyncio.open_unix_connection(world.node.listeners.path))
         assert await peer.line() == "fin" and world.node.hot_restart.sibling is None
 
@@ -417,13 +417,13 @@
 
         with ThreadPoolExecutor(1) as pool:
             giving = pool.submit(gives)
-            predecessor = handover.meet(path)
+            predecessor = sibling.meet(path)
             giving.result().close()
     assert predecessor and predecessor.told == {"version": 1}
     host = mock.Mock(**{"limits.descriptors": 0})
-    sibling = handover.Sibling(host, early=predecessor.rest)
-    sibling.connection_made(mock.Mock(is_closing=lambda: False))
-    sibling.data_received(b'sed": 3}\n')
+    connection = sibling.Sibling(host, early=predecessor.rest)
+    connection.connection_made(mock.Mock(is_closing=lambda: False))
+    connection.data_received(b'sed": 3}\n')
     assert [call.args[1] for call in host.queue.call_args_list] == [{"held": 7}, {"passed": 3}]
     for sock in (predecessor.sock, predecessor.door, predecessor.way):
         sock.close()
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -13,7 +13,7 @@
 from test_handover import folder, free  # noqa: F401 (a fixture)
 
 from bellrack.net import config as configuration
-from bellrack.net import handover, lines, listeners, node, servers, shutdown
+from bellrack.net import lines, listeners, node, servers, shutdown, sibling
 from bellrack.net.config import parse_config
 
 LOCAL = [errno.ENFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH]
@@ -134,7 +134,7 @@
 @played
 async def test_the_meeting_place_is_made_when_the_folder_takes_files_again(folder, monkeypatch, call, error):  # noqa: F811
     made = failing(getattr(os, call), error, times=2)
-    monkeypatch.setattr(handover.os, call, made)
+    monkeypatch.setattr(sibling.os, call, made)
     async with World(control=True, listen=free()) as world:
         await world.until(lambda: world.node.listeners.meeting)
         assert [path.name for path in folder.iterdir()] == [os.path.basename(world.node.listeners.path)]
@@ -153,7 +153,7 @@
             return honest(sock, [whole[:100]], fds, *rest)
         return honest(sock, buffers, fds, *rest)
 
-    monkeypatch.setattr(handover.socket, "send_fds", short)
+    monkeypatch.setattr(sibling.socket, "send_fds", short)
     async with World(servers=2, control=True, listen=free()) as world:
         assert (await world.ask("/_servers/detach", "s-1"))[0] == 200
         async with world.beside() as new:
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -10,7 +10,7 @@
 
 from bellrack import choice, model
 from bellrack.lab.scenario import most_requests
-from bellrack.net import handover, hot_restart, limits, lines, node, shutdown
+from bellrack.net import hot_restart, limits, lines, node, shutdown, sibling
 from bellrack.net.config import parse_config
 
 LINE = b"OPEN %016x 7f3a9c21e0b4d655 c=chat,t=acme,d=2000\r\n"
@@ -177,15 +177,15 @@
 @played
 async def test_a_process_that_is_cut_off_in_the_middle_asks_again(folder, said):  # noqa: F811
     """What a process that serves says may come in part, and then its end: it is asked again."""
-    path = handover.place("n0", ("127.0.0.1", 1))
+    path = sibling.place("n0", ("127.0.0.1", 1))
     with socket.socket(socket.AF_UNIX) as sock:
         sock.bind(path)
         sock.listen()
-        meeting = asyncio.create_task(asyncio.to_thread(handover.meet, path))
+        meeting = asyncio.create_task(asyncio.to_thread(sibling.meet, path))
         other, _ = await asyncio.to_thread(sock.accept)
         other.sendall(said)
         other.close()
-        with pytest.raises(handover.BusyError):
+        with pytest.raises(sibling.BusyError):
             await meeting
 
 
@@ -306,4 +306,4 @@
         await world.until(lambda: not first.hot_restart.followed and first.listeners.listener)
         first.now = first.clock() + 40  # its successor is gone: the budget is its own again, from now on
         assert first.balancer.slow_start.available_tokens(server) > 0
-        assert handover.VERSION == 1
+        assert sibling.VERSION == 1
