--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -8,7 +8,7 @@
 
 from typing import Any
 
-from bellrack.net import figures, limits, lines, log
+from bellrack.net import limits, lines, log, metrics
 from bellrack.net.http import CONTINUE, HttpError, Request, answer
 from bellrack.net.ring import Link
 
@@ -68,7 +68,7 @@
 
 
 def shown(node: Any, request: Request) -> tuple[int, str]:
-    return 200, figures.text(figures.told(node))
+    return 200, metrics.text(metrics.collect(node))
 
 
 def detach(node: Any, request: Request) -> tuple[int, str]:
--- a/bellrack/net/figures.py
+++ b/bellrack/net/metrics.py
@@ -14,7 +14,7 @@
 PLAIN = ("upstream_requests", "config_reloads", "config_reload_errors")
 
 
-def told(node: Any) -> dict[str, int]:
+def collect(node: Any) -> dict[str, int]:
     """All figures by name, our other counters after them. A type that has vanished keeps its counts."""
     counted = node.counters
     parts = [name.partition(".") for name in counted]
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -15,7 +15,7 @@
 from bellrack import model, start_signals
 from bellrack.accounting import Accounting
 from bellrack.model import Call, Leg, Result, Server
-from bellrack.net import figures, limits, lines, log, reload, server_list, startup, transient
+from bellrack.net import limits, lines, log, metrics, reload, server_list, startup, transient
 from bellrack.net.clients import Client
 from bellrack.net.config import Config
 from bellrack.net.control import Caller
@@ -284,7 +284,7 @@
 
     def show(self) -> None:
         """What operators are told at their door, as one line."""
-        log.tell("counters", **figures.told(self), longest_turn_us=int(1e6 * self.longest_turn))
+        log.tell("counters", **metrics.collect(self), longest_turn_us=int(1e6 * self.longest_turn))
 
     def leave(self) -> None:
         """Asked to end: move what stands, spread over the time there is, and go once empty."""
