--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -20,8 +20,14 @@
 class Listener:
     """Accepts at a socket while it may. asyncio's own accepts until the kernel fails, and counts too late."""
 
-    def __init__(self, node: Any, sock: socket.socket, may: Callable[[], bool], made: Callable[[], Any]):
-        self.node, self.may, self.made = node, may, made
+    def __init__(
+        self,
+        node: Any,
+        sock: socket.socket,
+        may_accept: Callable[[], bool],
+        new_connection: Callable[[], Any],
+    ):
+        self.node, self.may_accept, self.new_connection = node, may_accept, new_connection
         self.sockets = [sock]
         self.tasks: set[asyncio.Task] = set()  # the last that came, until they are connections
         self.reading = False
@@ -36,7 +42,7 @@
     def accept(self) -> None:
         """Those that wait, as many as may come in at one go."""
         for _ in range(limits.ACCEPTS):
-            if not self.may():
+            if not self.may_accept():
                 self.pause()
                 return
             try:
@@ -58,7 +64,7 @@
 
     async def connect(self, sock: socket.socket) -> None:
         try:
-            await self.node.loop.connect_accepted_socket(self.made, sock)
+            await self.node.loop.connect_accepted_socket(self.new_connection, sock)
         except OSError:
             sock.close()  # it has gone again
         finally:
@@ -89,7 +95,7 @@
         self.node = node
         self.socket: socket.socket | None = None  # the clients' door; held also while the other accepts
         self.listener: Listener | None = None
-        self.desk: Listener | None = None
+        self.admin: Listener | None = None
         self.meeting: sibling.Meeting | None = None
         self.meeting_failed = False
         self.failed_looks = 0  # at who still waits in the clients' door when it closes for good
@@ -98,11 +104,11 @@
         self.shared = node.config.control is not None
         self.path = sibling.place(node.config.name, node.config.listen) if self.shared else None
 
-    async def open_desk(self) -> None:
+    async def open_admin(self) -> None:
         if place := self.node.config.control:
             self.node.limits.counted(1)
             sock = socket.create_server(place, backlog=limits.CALLERS)
-            self.desk = Listener(
+            self.admin = Listener(
                 self.node, sock, lambda: not self.node.limits.spent(), lambda: Caller(self.node)
             )
 
@@ -177,9 +183,9 @@
 
     def close(self) -> None:
         self.shut(for_good=True)
-        if self.desk:
-            (sock,) = self.desk.sockets
-            self.desk.close()
+        if self.admin:
+            (sock,) = self.admin.sockets
+            self.admin.close()
             sock.close()
         if self.socket:
             self.socket.close()
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -236,7 +236,7 @@
         if self.config.peer_listen:
             self.peers = await transient.retried(lambda: PeerSocket.open(self))
         self.handle_signals()
-        await transient.retried(self.listeners.open_desk)
+        await transient.retried(self.listeners.open_admin)
         predecessor = await self.hot_restart.find_predecessor()
         await startup.wait_until_ready(self, alone=predecessor is None)
         if not self.shutdown:  # guards against a door that is opened only to be closed on who comes
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -328,7 +328,7 @@
         return peer, target
 
     def desk(self):
-        return self.node.listeners.desk.sockets[0].getsockname()
+        return self.node.listeners.admin.sockets[0].getsockname()
 
     async def ask(self, path, body="", method=None):
         """What an operator is answered: status and text, or 0 for none."""
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -149,7 +149,7 @@
         world.node = Node(parse_config(raw), asyncio.get_running_loop())
         world.questions = asked
         world.serving = asyncio.create_task(world.node.serve())
-        await world.until(lambda: world.node.listeners.desk)
+        await world.until(lambda: world.node.listeners.admin)
         try:
             yield world
         finally:
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -36,7 +36,7 @@
     monkeypatch.setattr(hot_restart.HotRestart, "meet", meets)
     second = Node(parse_config(world.raw), world.node.loop)
     serving = asyncio.create_task(second.serve())
-    await world.until(lambda: second.listeners.desk and second.servers)
+    await world.until(lambda: second.listeners.admin and second.servers)
     try:
         yield second, take_over
     finally:
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -129,7 +129,7 @@
         monkeypatch.setattr(hot_restart.HotRestart, "meet", meets)
         second = node.Node(parse_config(world.raw), first.loop)
         serving = asyncio.create_task(second.serve())
-        await world.until(lambda: second.listeners.desk and second.servers)
+        await world.until(lambda: second.listeners.admin and second.servers)
         assert second.server_list.cordon("s-1", True)
         turn.set()
         await world.until(lambda: first.hot_restart.followed)
