--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -96,13 +96,13 @@
         self.socket: socket.socket | None = None  # the clients' door; held also while the other accepts
         self.listener: Listener | None = None
         self.admin: Listener | None = None
-        self.meeting: sibling.Meeting | None = None
-        self.meeting_failed = False
+        self.successor_socket: sibling.SuccessorSocket | None = None
+        self.successor_socket_failed = False
         self.failed_looks = 0  # at who still waits in the clients' door when it closes for good
         self.last_in: set[asyncio.Task] = set()  # who waited in the clients' door when it closed for good
         # Only where operators call may another process of ours be started beside us.
         self.shared = node.config.control is not None
-        self.path = sibling.place(node.config.name, node.config.listen) if self.shared else None
+        self.path = sibling.socket_path(node.config.name, node.config.listen) if self.shared else None
 
     async def open_admin(self) -> None:
         if place := self.node.config.control:
@@ -122,14 +122,14 @@
     def meet(self) -> None:
         """Be found by the process that comes after us. A folder where that fails costs a log line, and is
         tried again where it may take files later."""
-        if not self.path or self.meeting or not self.listener:
+        if not self.path or self.successor_socket or not self.listener:
             return
         try:
-            self.meeting = sibling.Meeting(self.node, self.path)
+            self.successor_socket = sibling.SuccessorSocket(self.node, self.path)
         except OSError as error:
-            if not self.meeting_failed:
+            if not self.successor_socket_failed:
                 log.tell("handover", offered="nothing", error=error)
-            self.meeting_failed = True
+            self.successor_socket_failed = True
             if transient.passes(error):
                 self.node.after(transient.FOLDER_AGAIN, self.meet)
 
@@ -145,11 +145,11 @@
         if self.listener:
             self.listener.close()
             self.listener = None
-        if self.meeting:
+        if self.successor_socket:
             if for_good:
-                self.meeting.leave()
-            self.meeting.close()
-            self.meeting = None
+                self.successor_socket.leave()
+            self.successor_socket.close()
+            self.successor_socket = None
 
     def last(self) -> int:
         """Close the clients' door for good, and take in whoever the machine has accepted there: how many are
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -240,7 +240,7 @@
         predecessor = await self.hot_restart.find_predecessor()
         await startup.wait_until_ready(self, alone=predecessor is None)
         if not self.shutdown:  # guards against a door that is opened only to be closed on who comes
-            await self.take_requests(predecessor.door if predecessor else None)
+            await self.take_requests(predecessor.listening_socket if predecessor else None)
         await self.over.wait()
         self.invariants.check_exit(self.clients)
         self.listeners.close()
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -27,7 +27,7 @@
 PART = 65536  # bytes read at one go
 
 
-def place(name: str, listen: tuple[str, int]) -> str | None:
+def socket_path(name: str, listen: tuple[str, int]) -> str | None:
     """Where the two meet: common to both processes, and short enough for the kernel; None for nowhere."""
     folder = os.environ.get("TMPDIR")
     if not folder:
@@ -54,12 +54,13 @@
     def __init__(
         self,
         sock: socket.socket,
-        door: socket.socket,
-        way: socket.socket | None,
+        listening_socket: socket.socket,
+        handoff_socket: socket.socket | None,
         told: dict,
         rest: bytes = b"",
     ):
-        self.sock, self.door, self.way, self.told, self.rest = sock, door, way, told, rest
+        self.sock, self.listening_socket, self.handoff_socket = sock, listening_socket, handoff_socket
+        self.told, self.rest = told, rest
 
 
 def meet(path: str) -> Predecessor | None:
@@ -159,7 +160,7 @@
             self.node.loop.call_later(TELL_EVERY, self.held)
 
 
-class Meeting:
+class SuccessorSocket:
     """The place where the process that comes after us finds us."""
 
     def __init__(self, node: Any, path: str):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -285,8 +285,8 @@
 
 @played
 async def test_nobody_at_the_meeting_place_is_as_if_there_were_none(folder):
-    path = sibling.place("n0", ("127.0.0.1", 1))
-    assert sibling.place("n0", ("127.0.0.1", 2)) != path and path.startswith(str(folder))
+    path = sibling.socket_path("n0", ("127.0.0.1", 1))
+    assert sibling.socket_path("n0", ("127.0.0.1", 2)) != path and path.startswith(str(folder))
     assert sibling.meet(path) is None
     with socket.socket(socket.AF_UNIX) as dead:
         dead.bind(path)
@@ -306,9 +306,9 @@
 
 def test_a_folder_too_long_for_a_socket_is_no_place_to_meet(monkeypatch):
     monkeypatch.setenv("TMPDIR", "/tmp/" + "x" * 120)
-    assert sibling.place("n0", ("127.0.0.1", 1)) is None
+    assert sibling.socket_path("n0", ("127.0.0.1", 1)) is None
     monkeypatch.delenv("TMPDIR")
-    assert sibling.place("n0", ("127.0.0.1", 1)) is None
+    assert sibling.socket_path("n0", ("127.0.0.1", 1)) is None
 
 
 @played
@@ -319,7 +319,7 @@
         await world.standing()
         told = [record.figures["offered"] for record in caplog.records if record.msg == "handover"]
         assert told == ["nothing"]
-        assert not world.node.listeners.meeting
+        assert not world.node.listeners.successor_socket
 
 
 @played
@@ -425,5 +425,5 @@
     connection.connection_made(mock.Mock(is_closing=lambda: False))
     connection.data_received(b'sed": 3}\n')
     assert [call.args[1] for call in host.queue.call_args_list] == [{"held": 7}, {"passed": 3}]
-    for sock in (predecessor.sock, predecessor.door, predecessor.way):
+    for sock in (predecessor.sock, predecessor.listening_socket, predecessor.handoff_socket):
         sock.close()
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -136,7 +136,7 @@
     made = failing(getattr(os, call), error, times=2)
     monkeypatch.setattr(sibling.os, call, made)
     async with World(control=True, listen=free()) as world:
-        await world.until(lambda: world.node.listeners.meeting)
+        await world.until(lambda: world.node.listeners.successor_socket)
         assert [path.name for path in folder.iterdir()] == [os.path.basename(world.node.listeners.path)]
         async with world.beside() as new:
             await world.until(lambda: world.node.hot_restart.followed)
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -177,7 +177,7 @@
 @played
 async def test_a_process_that_is_cut_off_in_the_middle_asks_again(folder, said):  # noqa: F811
     """What a process that serves says may come in part, and then its end: it is asked again."""
-    path = sibling.place("n0", ("127.0.0.1", 1))
+    path = sibling.socket_path("n0", ("127.0.0.1", 1))
     with socket.socket(socket.AF_UNIX) as sock:
         sock.bind(path)
         sock.listen()
