--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -115,7 +115,7 @@
             node.server_list.on_order(order)
         if "took" in said and self.sibling and self.sibling.giver:
             self.giver = self.sibling.giver
-            node.listeners.shut()
+            node.listeners.stop_accepting()
             node.balancer.slow_start.suspend(True)  # two processes are one balancer: it has the budget now
             log.tell("followed")
 
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -117,9 +117,9 @@
         self.socket = taken or socket.create_server(self.node.config.listen, reuse_port=self.shared)
         self.node.limits.counted(1)
         self.accept()
-        self.meet()
+        self.offer_hot_restart()
 
-    def meet(self) -> None:
+    def offer_hot_restart(self) -> None:
         """Be found by the process that comes after us. A folder where that fails costs a log line, and is
         tried again where it may take files later."""
         if not self.path or self.successor_socket or not self.listener:
@@ -131,7 +131,7 @@
                 log.tell("handover", offered="nothing", error=error)
             self.successor_socket_failed = True
             if transient.passes(error):
-                self.node.after(transient.FOLDER_AGAIN, self.meet)
+                self.node.after(transient.FOLDER_AGAIN, self.offer_hot_restart)
 
     def accept(self) -> None:
         self.socket.listen(limits.BACKLOG)
@@ -139,7 +139,7 @@
             self.node, self.socket, lambda: not self.node.limits.crowded(2), lambda: Client(self.node)
         )
 
-    def shut(self, for_good: bool = False) -> None:
+    def stop_accepting(self, for_good: bool = False) -> None:
         """The other process accepts now. Who has come in stays with us; who waits in the door goes to it. Or
         nobody does: then we are not found any more."""
         if self.listener:
@@ -151,14 +151,14 @@
             self.successor_socket.close()
             self.successor_socket = None
 
-    def last(self) -> int:
+    def accept_last(self) -> int:
         """Close the clients' door for good, and take in whoever the machine has accepted there: how many are
         still on their way in. Guards against the instant between our last look at the door and its end."""
         if self.listener:
             if not self.take_waiting():
                 return 1 + len(self.listener.tasks)
             self.last_in = self.listener.tasks
-            self.shut(for_good=True)
+            self.stop_accepting(for_good=True)
             self.socket.close()
         return len(self.last_in)
 
@@ -179,10 +179,10 @@
         """The other process is gone before its time: guards against a door that nobody answers."""
         if self.socket and not self.listener:
             self.accept()
-            self.meet()
+            self.offer_hot_restart()
 
     def close(self) -> None:
-        self.shut(for_good=True)
+        self.stop_accepting(for_good=True)
         if self.admin:
             (sock,) = self.admin.sockets
             self.admin.close()
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -68,7 +68,7 @@
     def answer_silent(self) -> None:
         """Take in who still waits in the listener and answer all that have said nothing, or half a line:
         guards against a request that crosses the end of the process. Nobody comes in any more."""
-        self.node.listeners.last()
+        self.node.listeners.accept_last()
         for client in list(self.node.clients):
             if client.call is None and not client.over:
                 client.turned_away("leaving")
@@ -84,7 +84,7 @@
             self.answer_silent()
         # Whoever has come in is owed an answer once its line is whole: also who has said nothing yet, or half
         # a line, who is not told by our answer yet, and who waits in the door.
-        alone = gone >= STAY and not self.node.clients and not self.node.listeners.last()
+        alone = gone >= STAY and not self.node.clients and not self.node.listeners.accept_last()
         if alone or gone >= self.allowed - MARGIN:
             self.node.over.set()
         else:
