--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -62,7 +62,7 @@
         self.connect(predecessor.sock, early=predecessor.rest)
         for message in shared_state.replies(node, told):
             self.publish(**message)
-        self.taker = predecessor.handoff_socket and passing.Taker(node, predecessor.way)
+        self.taker = predecessor.handoff_socket and passing.Taker(node, predecessor.handoff_socket)
         await self.connecting
 
     def connect(
