--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -59,8 +59,13 @@
         told: dict,
         rest: bytes = b"",
     ):
-        self.sock, self.listening_socket, self.handoff_socket = sock, listening_socket, handoff_socket
-        self.told, self.rest = told, rest
+        self.sock, self.listening_socket, self.handoff_socket, self.told, self.rest = (
+            sock,
+            listening_socket,
+            handoff_socket,
+            told,
+            rest,
+        )
 
 
 def meet(path: str) -> Predecessor | None:
