--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -13,24 +13,24 @@
 from bellrack.net.ring import Link
 
 
-class Caller(Link):
+class AdminConnection(Link):
     """One call of an operator."""
 
     side = "control"
     leads = True  # guards against answers that wait behind a rush of clients
 
     def made(self) -> None:
-        self.request, callers = Request(), self.node.callers
-        callers[self] = None
-        if len(callers) > self.node.limits.callers:
+        self.request, admin_connections = Request(), self.node.admin_connections
+        admin_connections[self] = None
+        if len(admin_connections) > self.node.limits.callers:
             # Guards against callers that hold connections with no whole call: the oldest of them goes.
-            next(iter(callers)).reply(503, "too many callers\n", "many-callers")
+            next(iter(admin_connections)).reply(503, "too many callers\n", "many-callers")
         self.lasts(limits.CALL, self.stale)
         self.wake()
 
     def connection_lost(self, error: Exception | None) -> None:
         super().connection_lost(error)
-        self.node.callers.pop(self, None)
+        self.node.admin_connections.pop(self, None)
 
     def stale(self) -> None:
         self.reply(408, "no whole call came\n", "no-whole-call")
@@ -58,7 +58,7 @@
             self.reply(*CALLS[path][1](self.node, self.request), path)
 
     def reply(self, status: int, text: str, reason: str, allow: str = "") -> None:
-        self.node.callers.pop(self, None)
+        self.node.admin_connections.pop(self, None)
         self.write(answer(status, text, allow))
         self.finish(reason, status=status)
 
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -14,7 +14,7 @@
 
 from bellrack.net import limits, log, sibling, transient
 from bellrack.net.clients import Client
-from bellrack.net.control import Caller
+from bellrack.net.control import AdminConnection
 
 
 class Listener:
@@ -109,7 +109,7 @@
             self.node.limits.counted(1)
             sock = socket.create_server(place, backlog=limits.CALLERS)
             self.admin = Listener(
-                self.node, sock, lambda: not self.node.limits.spent(), lambda: Caller(self.node)
+                self.node, sock, lambda: not self.node.limits.spent(), lambda: AdminConnection(self.node)
             )
 
     async def open(self, taken: socket.socket | None) -> None:
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -18,7 +18,7 @@
 from bellrack.net import limits, lines, log, metrics, reload, server_list, startup, transient
 from bellrack.net.clients import Client
 from bellrack.net.config import Config
-from bellrack.net.control import Caller
+from bellrack.net.control import AdminConnection
 from bellrack.net.discovery import Discovery
 from bellrack.net.hot_restart import HotRestart
 from bellrack.net.invariants import Invariant, Invariants
@@ -39,7 +39,9 @@
         TurnLoop.__init__(self, loop, log.Counters())
         self.config, self.names = config, config.names
         self.clients: dict[Client, None] = {}
-        self.callers: dict[Caller, None] = {}  # operators whose call is not whole, oldest first
+        self.admin_connections: dict[
+            AdminConnection, None
+        ] = {}  # operators whose call is not whole, oldest first
         self.peers: PeerSocket | None = None
         self.limits = limits.Limits(config.sockets)
         self.begun = self.clock()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -58,7 +58,7 @@
         assert (await world.ask("/_none"))[0] == 404
         assert (await world.ask("/_vars", "s-0"))[0] == 405
         assert (await world.ask("no path\r\n"))[0] == 400
-        assert not world.node.callers and not world.node.counters["faults"]
+        assert not world.node.admin_connections and not world.node.counters["faults"]
 
 
 @played
@@ -102,7 +102,7 @@
         for peer in held[::2]:
             peer.writer.write(b"GET /_va")
         assert "pending" in await world.figures()
-        assert (await world.said(held[0]))[0] == 503 and len(world.node.callers) <= 4
+        assert (await world.said(held[0]))[0] == 503 and len(world.node.admin_connections) <= 4
         held[-1].writer.write(b"GET /_vars HTTP/1.1\r\n\r\n"[8:])
         assert (await world.said(held[-1]))[0] == 200  # the youngest may still finish its call
 
@@ -114,7 +114,7 @@
         peer = Peer(*await asyncio.open_connection(*world.desk()))
         peer.writer.write(b"GET /_vars HT")
         assert (await world.said(peer))[0] == 408
-        await world.until(lambda: not world.node.callers)
+        await world.until(lambda: not world.node.admin_connections)
 
 
 @played
