--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -28,7 +28,7 @@
         self.clock_ahead = 0.0  # seconds by which our clock is ahead of the predecessor's
 
     @property
-    def followed(self) -> bool:
+    def has_successor(self) -> bool:
         """A process came after us and listens in our place."""
         return self.giver is not None
 
@@ -86,7 +86,7 @@
     def publish(self, **words: Any) -> None:
         """Tell the sibling, if there is one."""
         if self.sibling:
-            self.sibling.say(**words)
+            self.sibling.send(**words)
 
     def publish_order(self, order: CordonOrder) -> None:
         self.publish(**shared_state.order_message(order))
@@ -124,7 +124,7 @@
         if lost is not self.sibling:
             return
         lost.close()
-        node, followed, self.sibling, self.giver = self.node, self.followed, None, None
+        node, followed, self.sibling, self.giver = self.node, self.has_successor, None, None
         node.limits.beside = 0
         if node.over.is_set():
             return
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -27,7 +27,10 @@
         self.allowed = min(LONGEST, max(node.names.default_timeouts)) + GRACE
         standing = [client for client in node.clients if client.other]
         log.tell(
-            "leaving", standing=len(standing), seconds=self.allowed, handed_over=node.hot_restart.followed
+            "leaving",
+            standing=len(standing),
+            seconds=self.allowed,
+            handed_over=node.hot_restart.has_successor,
         )
         if node.hot_restart.giver:
             self.hand_over()
@@ -40,7 +43,7 @@
     @property
     def still_places(self) -> bool:
         """Is a request that comes now still placed? By a process that was followed, while there is time."""
-        return self.node.hot_restart.followed and self.node.now - self.begun < self.allowed - ANSWER
+        return self.node.hot_restart.has_successor and self.node.now - self.begun < self.allowed - ANSWER
 
     def on_successor_lost(self) -> None:
         """Nobody takes what stands any more."""
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -145,7 +145,7 @@
         self.node.limits.counted(-1)
         self.node.queue(self.node.hot_restart.on_sibling_lost, self)
 
-    def say(self, **words: Any) -> None:
+    def send(self, **words: Any) -> None:
         line = json.dumps(words).encode() + b"\n"
         if self.transport is None:
             self.unsaid += line  # guards against what operators say between the door's way over and this
@@ -161,7 +161,7 @@
     def held(self) -> None:
         """Descriptors count together, so each knows what the other holds."""
         if not self.transport.is_closing():
-            self.say(held=self.node.limits.descriptors, passed=self.giver.passed if self.giver else 0)
+            self.send(held=self.node.limits.descriptors, passed=self.giver.passed if self.giver else 0)
             self.node.loop.call_later(TELL_EVERY, self.held)
 
 
@@ -188,9 +188,9 @@
                 os.unlink(aside)
             raise
         node.limits.counted(1)
-        node.loop.add_reader(self.sock.fileno(), self.met)
+        node.loop.add_reader(self.sock.fileno(), self.on_connection)
 
-    def met(self) -> None:
+    def on_connection(self) -> None:
         try:
             sock, _ = self.sock.accept()
         except OSError:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -52,7 +52,7 @@
         old, (client, _) = world.node, await world.standing()
         world.node, serving = await world.start()
         waiting = await world.call()
-        await world.until(lambda: old.hot_restart.followed and old.listeners.listener is None)
+        await world.until(lambda: old.hot_restart.has_successor and old.listeners.listener is None)
         old.hot_restart.giver.close()
         old.hot_restart.giver = None  # as with a second process that takes no connections over
         assert old.can_serve() is False and world.node.can_serve()
@@ -72,7 +72,7 @@
         old, silent = world.node, await world.dial()
         await world.until(lambda: old.clients)
         world.node, serving = await world.start()
-        await world.until(lambda: old.hot_restart.followed)
+        await world.until(lambda: old.hot_restart.has_successor)
         old.leave()
         silent.say("OPEN 0000000000000007 7f3a9c21e0b4d655 c=chat,t=acme,d=2000")
         _, server, line = await world.leg()
@@ -94,7 +94,7 @@
             server.writer.write(b"answer %d " % number)
         await asyncio.sleep(0.02)
         world.node, serving = await world.start()
-        await world.until(lambda: old.hot_restart.followed)
+        await world.until(lambda: old.hot_restart.has_successor)
         old.leave()
         for client, _ in pairs:
             client.say("second half")
@@ -130,7 +130,7 @@
             await asyncio.sleep(0)
         sent = server.writer.transport.get_write_buffer_size()
         world.node, serving = await world.start()
-        await world.until(lambda: old.hot_restart.followed)
+        await world.until(lambda: old.hot_restart.has_successor)
         old.leave()
         await world.until(lambda: old.shutdown)
         assert not old.hot_restart.giver.give(link) and sent
@@ -160,11 +160,11 @@
 async def test_if_the_second_dies_the_first_opens_its_door_again(folder):
     async with World(control=True, listen=free()) as world:
         async with world.beside():
-            await world.until(lambda: world.node.hot_restart.followed)
+            await world.until(lambda: world.node.hot_restart.has_successor)
         await world.until(lambda: world.node.listeners.listener)
         await world.standing()
         async with world.beside():  # and can hand it over once more
-            await world.until(lambda: world.node.hot_restart.followed)
+            await world.until(lambda: world.node.hot_restart.has_successor)
 
 
 @played
@@ -249,7 +249,7 @@
     for told in ({"out": [5]}, {"seen": [[]]}, {"list": 5}, {"learned": []}):
         monkeypatch.setattr(hot_restart.HotRestart, "snapshot", lambda self, told=told: told)
         async with World(control=True, listen=free()) as world, world.beside():
-            await world.until(lambda: world.node.hot_restart.followed)
+            await world.until(lambda: world.node.hot_restart.has_successor)
 
 
 @played
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -508,7 +508,7 @@
                 _, before, _ = await world.leg()
             await world.until(lambda: old.resumed.pending)
             world.node, serving = await world.start()
-            await world.until(lambda: old.hot_restart.followed)
+            await world.until(lambda: old.hot_restart.has_successor)
             assert world.node.resumed.window.started == pytest.approx(old.resumed.window.started, abs=1.0)
             old.leave()
             if sent:
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -31,7 +31,7 @@
 
     async def take_over():
         turn.set()
-        await world.until(lambda: world.node.hot_restart.followed)
+        await world.until(lambda: world.node.hot_restart.has_successor)
 
     monkeypatch.setattr(hot_restart.HotRestart, "meet", meets)
     second = Node(parse_config(world.raw), world.node.loop)
@@ -186,7 +186,7 @@
     def __init__(self):
         self.messages = []
 
-    def say(self, **words):
+    def send(self, **words):
         self.messages.append(json.loads(json.dumps(words)))
 
 
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -139,7 +139,7 @@
         await world.until(lambda: world.node.listeners.successor_socket)
         assert [path.name for path in folder.iterdir()] == [os.path.basename(world.node.listeners.path)]
         async with world.beside() as new:
-            await world.until(lambda: world.node.hot_restart.followed)
+            await world.until(lambda: world.node.hot_restart.has_successor)
             assert new.can_serve()
 
 
@@ -157,7 +157,7 @@
     async with World(servers=2, control=True, listen=free()) as world:
         assert (await world.ask("/_servers/detach", "s-1"))[0] == 200
         async with world.beside() as new:
-            await world.until(lambda: world.node.hot_restart.followed)
+            await world.until(lambda: world.node.hot_restart.has_successor)
             assert new.servers[lines.mark("s-1")].cordoned
 
 
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -22,13 +22,13 @@
         first = world.node
         assert (await world.ask("/_servers/detach", "s-1"))[0] == 200
         second, serving_second = await world.start()
-        await world.until(lambda: first.hot_restart.followed)
+        await world.until(lambda: first.hot_restart.has_successor)
         third = node.Node(parse_config(world.raw), first.loop)
         serving = asyncio.create_task(third.serve())
         await world.until(lambda: second.counters["successors_refused"] or hasattr(third, "address"))
         first.leave()
         await asyncio.wait_for(world.serving, 5)
-        await world.until(lambda: second.hot_restart.followed)
+        await world.until(lambda: second.hot_restart.has_successor)
         assert third.servers[lines.mark("s-1")].cordoned and third.can_serve()
         second.leave()
         await asyncio.wait_for(serving_second, 5)
@@ -42,7 +42,7 @@
         first = world.node
         _, server = await world.standing()
         second, serving = await world.start()
-        await world.until(lambda: first.hot_restart.followed)
+        await world.until(lambda: first.hot_restart.has_successor)
         first.hot_restart.giver.give_some = lambda: False  # its connections end here
         first.leave()
         second.leave()
@@ -62,7 +62,7 @@
     async with World(control=True, listen=free()) as world:
         first, (client, _) = world.node, await world.standing()
         second, serving = await world.start()
-        await world.until(lambda: first.hot_restart.followed)
+        await world.until(lambda: first.hot_restart.has_successor)
         monkeypatch.setattr(shutdown.Shutdown, "move_rest", lambda self: None)  # that look is already over
         second.leave()
         first.leave()
@@ -107,7 +107,7 @@
         begun = first.loop.time()
         await world.until(lambda: first.loop.time() > begun + 0.7)
         second, serving = await world.start()
-        await world.until(lambda: first.hot_restart.followed)
+        await world.until(lambda: first.hot_restart.has_successor)
         first.leave()
         assert (await client.line()).startswith("BUSY") and first.loop.time() < begun + 1.4
         assert second.counters["taken_over"]
@@ -132,7 +132,7 @@
         await world.until(lambda: second.listeners.admin and second.servers)
         assert second.server_list.cordon("s-1", True)
         turn.set()
-        await world.until(lambda: first.hot_restart.followed)
+        await world.until(lambda: first.hot_restart.has_successor)
         try:
             assert second.servers[lines.mark("s-1")].cordoned
             assert second.hot_restart.snapshot()["out"] == ["s-1"]  # for the process after it
@@ -149,7 +149,7 @@
     """Two processes are one balancer: what the watch of the one brings counts as told to both."""
     async with World(servers=3, control=True, listen=free()) as world, world.beside() as second:
         nodes = [world.node, second]
-        await world.until(lambda: world.node.hot_restart.followed)
+        await world.until(lambda: world.node.hot_restart.has_successor)
         told, other = nodes[teller], nodes[1 - teller]
         drained = world.entries[0] | {"lifecycle": "terminating"}
         gone = {"instanceId": "s-1", "hostPort": "", "lifecycle": "terminated"}
@@ -198,7 +198,7 @@
         first.server_list.on_list(lines.listing({"generation": 60, "reset": True, "instances": instances}))
         assert (await world.ask("/_servers/detach", "server-00000007"))[0] == 200
         async with world.beside() as second:
-            await world.until(lambda: first.hot_restart.followed)
+            await world.until(lambda: first.hot_restart.has_successor)
             assert len(second.servers) >= 3200
             assert second.servers[lines.mark("server-00000007")].cordoned
 
@@ -299,11 +299,11 @@
         first = world.node
         start_cold(first)
         async with world.beside():
-            await world.until(lambda: first.hot_restart.followed)
+            await world.until(lambda: first.hot_restart.has_successor)
             (server,) = first.servers.values()
             first.now = first.clock() + 20
             assert first.balancer.slow_start.available_tokens(server) == 0
-        await world.until(lambda: not first.hot_restart.followed and first.listeners.listener)
+        await world.until(lambda: not first.hot_restart.has_successor and first.listeners.listener)
         first.now = first.clock() + 40  # its successor is gone: the budget is its own again, from now on
         assert first.balancer.slow_start.available_tokens(server) > 0
         assert sibling.VERSION == 1
