--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -179,7 +179,7 @@
             self.resumed.admit(client, wait if "d" in values else None)
             return
         self.resumed.window.on_request()
-        if not self.takes_requests or self.shutdown and not self.shutdown.still_places:
+        if not self.takes_requests or self.shutdown and not self.shutdown.admits_requests:
             # Nothing was sent, so trying again is harmless; the front deals it to another balancer.
             call.refusal = "not-ready" if not self.takes_requests else "shutdown"
             self.reject(call)
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -23,31 +23,33 @@
 
 class Shutdown:
     def __init__(self, node: Any):
-        self.node, self.begun = node, node.now
-        self.allowed = min(LONGEST, max(node.names.default_timeouts)) + GRACE
+        self.node, self.started_at = node, node.now
+        self.time_limit = min(LONGEST, max(node.names.default_timeouts)) + GRACE
         standing = [client for client in node.clients if client.other]
         log.tell(
             "leaving",
             standing=len(standing),
-            seconds=self.allowed,
+            seconds=self.time_limit,
             handed_over=node.hot_restart.has_successor,
         )
         if node.hot_restart.giver:
             self.hand_over()
         else:
             self.move_spread(standing)
-        node.after(REST * self.allowed, self.move_rest)
-        node.after(self.allowed - ANSWER, self.answer_rest)
+        node.after(REST * self.time_limit, self.move_rest)
+        node.after(self.time_limit - ANSWER, self.answer_rest)
         self.empty()
 
     @property
-    def still_places(self) -> bool:
+    def admits_requests(self) -> bool:
         """Is a request that comes now still placed? By a process that was followed, while there is time."""
-        return self.node.hot_restart.has_successor and self.node.now - self.begun < self.allowed - ANSWER
+        return (
+            self.node.hot_restart.has_successor and self.node.now - self.started_at < self.time_limit - ANSWER
+        )
 
     def on_successor_lost(self) -> None:
         """Nobody takes what stands any more."""
-        if self.node.now - self.begun >= REST * self.allowed:
+        if self.node.now - self.started_at >= REST * self.time_limit:
             self.move_rest()
 
     def move_spread(self, standing: list[Any]) -> None:
@@ -55,7 +57,7 @@
             # Late, and not at once: guards against clients without a balancer while the one that restarted
             # before us is not yet back, and against a rush on the others.
             share = DEALT + (SPREAD - DEALT) * index / len(standing)
-            self.node.after(share * self.allowed, client.move, "leaving")
+            self.node.after(share * self.time_limit, client.move, "leaving")
 
     def move_rest(self) -> None:
         for client in list(self.node.clients):
@@ -82,13 +84,13 @@
             self.node.after(0 if self.node.hot_restart.giver.give_some() else LOOK, self.hand_over)
 
     def empty(self) -> None:
-        gone = self.node.now - self.begun
-        if gone >= self.allowed - ANSWER:
+        gone = self.node.now - self.started_at
+        if gone >= self.time_limit - ANSWER:
             self.answer_silent()
         # Whoever has come in is owed an answer once its line is whole: also who has said nothing yet, or half
         # a line, who is not told by our answer yet, and who waits in the door.
         alone = gone >= STAY and not self.node.clients and not self.node.listeners.accept_last()
-        if alone or gone >= self.allowed - MARGIN:
+        if alone or gone >= self.time_limit - MARGIN:
             self.node.over.set()
         else:
             self.node.after(LOOK, self.empty)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -187,7 +187,7 @@
         await world.until(lambda: [one.ring.held for one in world.node.clients if one.ring.held] == [43])
         world.node.queue(world.node.leave)
         await world.until(
-            lambda: world.node.shutdown and world.node.clock() - world.node.shutdown.begun > 0.3
+            lambda: world.node.shutdown and world.node.clock() - world.node.shutdown.started_at > 0.3
         )
         assert not world.serving.done()
         slow.say("at,t=acme,d=2000")
