--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -58,7 +58,7 @@
         """Start beside the process that serves; we listen in its place once we know the servers."""
         node, told = self.node, predecessor.told
         shared_state.adopt(node, told)
-        node.readiness.at_once = False  # there is no haste: the other serves
+        node.readiness.serve_known_list = False  # there is no haste: the other serves
         self.connect(predecessor.sock, early=predecessor.rest)
         for message in shared_state.replies(node, told):
             self.publish(**message)
@@ -136,7 +136,7 @@
                 node.shutdown.on_successor_lost()
         elif node.listeners.listener is None:
             # Who came in after it ended waits in the listener for us: as haste as at a start without it.
-            node.readiness.at_once = node.settings.asks
+            node.readiness.serve_known_list = node.settings.asks
             node.changed.set()
 
     def close(self) -> None:
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -282,7 +282,7 @@
     def can_serve(self) -> bool:
         """It takes calls and has a list, by discovery or, if that is late, from before."""
         listening = self.takes_requests and self.listeners.listener is not None
-        return listening and self.readiness.listed(self.clock()) and not self.shutdown
+        return listening and self.readiness.has_usable_list(self.clock()) and not self.shutdown
 
     def show(self) -> None:
         """What operators are told at their door, as one line."""
--- a/bellrack/net/readiness.py
+++ b/bellrack/net/readiness.py
@@ -14,30 +14,36 @@
 
     Times are seconds, all of one clock."""
 
-    def __init__(self, begun: float, patience: float, at_once: bool):
-        self.begun, self.patience = begun, patience  # since the start, for discovery's word
-        self.at_once = at_once  # what is known opens the door unasked: nothing counts as told yet
-        self.known = self.heard = self.failed = False
+    def __init__(self, started_at: float, list_wait: float, serve_known_list: bool):
+        self.started_at, self.list_wait = started_at, list_wait  # since the start, for discovery's word
+        self.serve_known_list = (
+            serve_known_list  # what is known opens the door unasked: nothing counts as told yet
+        )
+        self.has_known_list = self.list_received = self.list_failed = False
 
     def on_known(self, usable: bool) -> None:
         """A list from before; `usable` if it names a server that takes calls."""
-        self.known = usable
+        self.has_known_list = usable
 
     def on_list(self, named: bool = True) -> None:
         """Discovery has spoken. Guards against a word that is no list: nothing new where nothing is known."""
-        self.heard = self.heard or named
+        self.list_received = self.list_received or named
 
     def on_list_failure(self) -> None:
-        self.failed = True
+        self.list_failed = True
 
-    def listed(self, now: float) -> bool:
+    def has_usable_list(self, now: float) -> bool:
         """Is there a list that may be used, as far as waiting for a newer one goes?"""
-        return self.heard or self.known and (self.failed or now >= self.begun + self.patience)
+        return (
+            self.list_received
+            or self.has_known_list
+            and (self.list_failed or now >= self.started_at + self.list_wait)
+        )
 
     def may_open(self, now: float) -> bool:
         """May the clients' door be opened?"""
-        return self.listed(now) or self.at_once and self.known
+        return self.has_usable_list(now) or self.serve_known_list and self.has_known_list
 
-    def look_again(self) -> float | None:
+    def next_check(self) -> float | None:
         """When time alone will have changed the judgement; None if only what happens can."""
-        return self.begun + self.patience if self.known else None
+        return self.started_at + self.list_wait if self.has_known_list else None
--- a/bellrack/net/startup.py
+++ b/bellrack/net/startup.py
@@ -14,7 +14,7 @@
     """Until there is a list that may be used, however late it comes, or the process is asked to end.
 
     `alone`: no other process listens for it, so it does for resumed connections once their clients come."""
-    if not node.readiness.known:
+    if not node.readiness.has_known_list:
         log.tell("no-list", waits=lines.written(node.discovery.address))
     listen_at = node.begun + resumption.LISTEN_AFTER if alone else math.inf
     while not node.shutdown and not node.readiness.may_open(now := node.clock()):
@@ -22,8 +22,8 @@
             await listen_unready(node)
             listen_at = math.inf
         node.changed.clear()
-        look_again = min(node.readiness.look_again() or math.inf, listen_at)
-        wait = max(0.0, look_again - now) if look_again < math.inf else None
+        next_check = min(node.readiness.next_check() or math.inf, listen_at)
+        wait = max(0.0, next_check - now) if next_check < math.inf else None
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(node.changed.wait(), wait)
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -53,7 +53,7 @@
         head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         news = '{"generation":42,"reset":false,"instances":[]}\n'
         question.writer.write(f"{head}{len(news):x}\r\n{news}\r\n".encode())
-        await world.until(lambda: world.node.readiness.heard)
+        await world.until(lambda: world.node.readiness.list_received)
         assert await world.ask("/_ready") == (200, "ready\n")
         assert (await world.ask("/_none"))[0] == 404
         assert (await world.ask("/_vars", "s-0"))[0] == 405
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -504,7 +504,7 @@
     async with World(servers=2) as world:
         old, _ = await world.question()
         old.writer.write(HEAD + chunk("\n"))
-        await world.until(lambda: world.node.readiness.heard)
+        await world.until(lambda: world.node.readiness.list_received)
         door, fillers = full_door()
         world.node.queue(world.node.discovery.move, door.getsockname())
         await world.until(lambda: world.node.counters["list_failures"] >= 3)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -370,7 +370,7 @@
         for _ in range(12):
             watch.writer.write(chunk("\n"))
             await asyncio.sleep(0.05)
-        assert world.questions.empty() and world.node.readiness.heard
+        assert world.questions.empty() and world.node.readiness.list_received
         await world.question()
 
 
@@ -420,7 +420,7 @@
 
     answering = asyncio.create_task(agent())
     async with world:
-        assert world.node.readiness.heard and answering.done()
+        assert world.node.readiness.list_received and answering.done()
         states = {server.host_record.name: server.state for server in world.node.servers.values()}
         assert states == {"s-0": model.DRAINING, "s-1": model.READY}
         clients = []  # kept open: one that is dropped has left, and a client that has left is not sent on
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -50,10 +50,10 @@
         start.on_list_failure()
     start.on_list(named=False)  # nothing new, where nothing is known
     for now in (100.0, 102.0, 110.0, 1e9):
-        assert not start.may_open(now) and not start.listed(now)
-    assert start.look_again() is None
+        assert not start.may_open(now) and not start.has_usable_list(now)
+    assert start.next_check() is None
     start.on_list()
-    assert start.may_open(100.0) and start.listed(100.0)
+    assert start.may_open(100.0) and start.has_usable_list(100.0)
 
 
 @pytest.mark.parametrize("at_once", [True, False])
@@ -61,10 +61,10 @@
     late, failed = (Readiness(100.0, 2.0, at_once) for _ in range(2))
     for start in (late, failed):
         start.on_known(True)
-        assert start.may_open(100.0) is at_once and not start.listed(101.99)
+        assert start.may_open(100.0) is at_once and not start.has_usable_list(101.99)
     failed.on_list_failure()
-    assert failed.may_open(100.0) and failed.listed(100.0)
-    assert late.look_again() == 102.0 and late.may_open(102.0) and late.listed(102.0)
+    assert failed.may_open(100.0) and failed.has_usable_list(100.0)
+    assert late.next_check() == 102.0 and late.may_open(102.0) and late.has_usable_list(102.0)
 
 
 class Slow:
@@ -95,7 +95,7 @@
         if what == "start":
             starts[number] = Readiness(now, 2.0, at_once)
             starts[number].on_known(known)
-            if when := starts[number].look_again():
+            if when := starts[number].next_check():
                 at(when, "look", number)
             if service != "silent":
                 at(slow.answer(now) if service == "slow" else now + 0.01, service, number)
