--- a/bellrack/net/fact_versions.py
+++ b/bellrack/net/fact_versions.py
@@ -22,54 +22,54 @@
     """What operators last ordered of one server by hand."""
 
     name: str
-    out: bool  # taken out, or put back
-    given: float  # seconds of the machine's monotonic clock, which both processes share
+    cordon: bool  # taken out, or put back
+    ordered_at: float  # seconds of the machine's monotonic clock, which both processes share
 
     @property
     def version(self) -> tuple[float, bool]:
         """Of two orders of one moment the one that takes the server out is the later."""
-        return self.given, self.out
+        return self.ordered_at, self.cordon
 
 
 @dataclass
 class ListVersions:
     """How recent what is held of each server is, in the versions of one discovery address."""
 
-    in_hand: int = 0  # up to which our own watch has told everything
-    whole: int = 0  # of the last whole list that the sibling process was told
-    later: dict[int, int] = field(default_factory=dict)  # by server mark, where the sibling was told more
+    watched: int = 0  # up to which our own watch has told everything
+    sibling_complete: int = 0  # of the last whole list that the sibling process was told
+    newer: dict[int, int] = field(default_factory=dict)  # by server mark, where the sibling was told more
 
     @property
     def complete(self) -> int:
         """Up to which every server's facts are held."""
-        return max(self.in_hand, self.whole)
+        return max(self.watched, self.sibling_complete)
 
-    def of(self, mark: int) -> int:
-        return max(self.complete, self.later.get(mark, 0))
+    def version_of(self, mark: int) -> int:
+        return max(self.complete, self.newer.get(mark, 0))
 
-    def takes(self, mark: int, version: int) -> bool:
+    def accepts(self, mark: int, version: int) -> bool:
         """Does news of this version replace what is held of the server?"""
-        return supersedes(version, self.of(mark))
+        return supersedes(version, self.version_of(mark))
 
     def on_watch(self, version: int) -> None:
         """Our own watch has told everything up to this version."""
-        self.in_hand = version
+        self.watched = version
         self._forget_covered()
 
     def on_sibling(self, version: int, whole: bool, marks: Iterable[int]) -> None:
         """The sibling was told a whole list of this version, or the entries of these servers."""
         if whole:
-            self.whole = max(self.whole, version)
+            self.sibling_complete = max(self.sibling_complete, version)
         else:
-            self.later |= {mark: version for mark in marks if self.takes(mark, version)}
+            self.newer |= {mark: version for mark in marks if self.accepts(mark, version)}
         self._forget_covered()
 
     def merge(self, other: ListVersions) -> None:
         """All that either of the two holds is held from now on."""
-        self.whole = max(self.whole, other.complete)
-        for mark, version in other.later.items():
-            self.later[mark] = max(version, self.later.get(mark, 0))
+        self.sibling_complete = max(self.sibling_complete, other.complete)
+        for mark, version in other.newer.items():
+            self.newer[mark] = max(version, self.newer.get(mark, 0))
         self._forget_covered()
 
     def _forget_covered(self) -> None:
-        self.later = {mark: version for mark, version in self.later.items() if version > self.complete}
+        self.newer = {mark: version for mark, version in self.newer.items() if version > self.complete}
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -31,7 +31,7 @@
     @property
     def version(self) -> int:
         """Of the list in hand."""
-        return self.versions.in_hand
+        return self.versions.watched
 
     @version.setter
     def version(self, version: int) -> None:
@@ -41,7 +41,7 @@
     @property
     def cordoned(self) -> dict[int, str]:
         """Names by mark of the servers that operators took out by hand."""
-        return {mark: order.name for mark, order in self.orders.items() if order.out}
+        return {mark: order.name for mark, order in self.orders.items() if order.cordon}
 
     def on_list(self, news: lines.Listing, fetched: bool = False, counts: bool = True) -> None:
         """A list or its changes, as discovery wrote it. `counts`: in the versions of its address now."""
@@ -100,7 +100,7 @@
         theirs = theirs or ListVersions(news.version)
 
         def takes(mark: int) -> bool:
-            return self.versions.takes(mark, theirs.of(mark))
+            return self.versions.accepts(mark, theirs.version_of(mark))
 
         entries = [entry for entry in news.entries if takes(lines.mark(entry.name))]
         kept = {mark for mark in self.node.servers if not takes(mark)} if news.whole else ()
@@ -172,8 +172,10 @@
         ours = self.versions
         if ours.complete > versions.complete:
             yield self.written() | {"generation": ours.complete}
-        for version in sorted(set(ours.later.values())):
-            marks = [mark for mark, later in ours.later.items() if later == version > versions.of(mark)]
+        for version in sorted(set(ours.newer.values())):
+            marks = [
+                mark for mark, later in ours.newer.items() if later == version > versions.version_of(mark)
+            ]
             servers = [s for s in map(self.node.servers.get, marks) if s and s.host_record]
             if servers:
                 yield lines.told(self.written_rows(servers), version, whole=False)
@@ -221,7 +223,7 @@
             return
         self.orders[mark] = order
         if server := self.node.servers.get(mark):
-            self.node.balancer.on_cordoned(server, order.out)
+            self.node.balancer.on_cordoned(server, order.cordon)
 
 
 def load_known(node: Any) -> None:
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -35,11 +35,11 @@
         "list_versions": {
             "discovery": lines.written(node.discovery.address),
             "complete": versions.complete,
-            "later": {str(mark): version for mark, version in versions.later.items()},
+            "later": {str(mark): version for mark, version in versions.newer.items()},
         },
         "learned": node.export_learned(),
         "out": list(node.server_list.cordoned.values()),  # for versions that do not read the orders
-        "orders": [[order.name, order.out, order.given] for order in orders],
+        "orders": [[order.name, order.cordon, order.ordered_at] for order in orders],
         "seen": [*node.limits.seen, *node.limits.ids],
         "started": node.resumed.window.started,
         "anchor": node.anchor,
@@ -65,7 +65,7 @@
         if told is None or told["discovery"] != lines.written(discovery):
             return None
         later = {int(mark): int(version) for mark, version in told["later"].items()}
-        return ListVersions(int(told["complete"]), later=later)
+        return ListVersions(int(told["complete"]), newer=later)
 
 
 def adopt(node: Any, told: dict[str, Any]) -> None:
@@ -150,4 +150,4 @@
 
 def order_message(order: CordonOrder) -> dict[str, Any]:
     """As both processes tell each other what operators ordered."""
-    return {"out" if order.out else "back": order.name, "given": order.given}
+    return {"out" if order.cordon else "back": order.name, "given": order.ordered_at}
