--- a/bellrack/__main__.py
+++ b/bellrack/__main__.py
@@ -49,7 +49,7 @@
             raise SettingsError("no configuration: give --config or set BALANCER_CONFIG")
         config = read_config(path) if args["check"] else read_when_possible(path)
         if args["check"]:
-            spoilt = f"; the list there is left: {config.spoilt}" if config.spoilt else ""
+            spoilt = f"; the list there is left: {config.known_error}" if config.known_error else ""
             print(f"{path}: usable; {len(config.known.entries) if config.known else 0} servers known{spoilt}")
             return 0
         from bellrack.net.node import run
--- a/bellrack/net/config.py
+++ b/bellrack/net/config.py
@@ -33,7 +33,7 @@
     control: tuple[str, int] | None  # where operators call
     raw: dict[str, Any]  # as it stood in the file, but for the list
     path: str = ""  # read again on request
-    spoilt: str = ""  # why `known` could not be read
+    known_error: str = ""  # why `known` could not be read
 
 
 class UnreadableError(SettingsError):
@@ -61,8 +61,8 @@
     """The file of a configuration as it is now. Stricter than the first reading: what a file had, it has, and
     the shape of the deployment stays, as all that is under way rests on it."""
     new = read_config(config.path)
-    if new.spoilt:
-        raise SettingsError(f"{config.path}: known: {new.spoilt}")
+    if new.known_error:
+        raise SettingsError(f"{config.path}: known: {new.known_error}")
     if lacks := missing(new.raw, config.raw):
         raise SettingsError(f"{config.path}: no value at '{lacks}', which it had")
     for name in ("zone", "asks", "live", "report"):
@@ -77,12 +77,12 @@
     """A configuration from its JSON object."""
     if not isinstance(raw, dict):
         raise SettingsError("not an object")
-    known, spoilt = None, ""
+    known, known_error = None, ""
     try:
         known = listing(raw["known"]) if raw.get("known") else None
     except LineError as error:
         # Guards against a start that fails for a list that discovery tells anew: as if none were known.
-        spoilt = str(error)
+        known_error = str(error)
     try:
         return Config(
             name=str(raw.get("name", "")),
@@ -93,7 +93,7 @@
             settings=parse_settings(check_shape(raw["settings"])),
             names=parse_names(raw["settings"]),
             known=known,
-            spoilt=spoilt,
+            known_error=known_error,
             peer_listen=address(raw["peer_listen"]) if raw.get("peer_listen") else None,
             peers=[address(peer) for peer in raw.get("peers", [])],
             peers_all=address(raw["peers_all"]) if raw.get("peers_all") else None,
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -46,7 +46,7 @@
                 self.pause()
                 return
             try:
-                self.take()
+                self.accept_one()
             except (BlockingIOError, ConnectionAbortedError, InterruptedError):
                 return
             except OSError as error:
@@ -54,7 +54,7 @@
                 self.pause()
                 return
 
-    def take(self) -> None:
+    def accept_one(self) -> None:
         sock, _ = self.sockets[0].accept()
         sock.setblocking(False)
         self.node.limits.counted(1)
@@ -155,18 +155,18 @@
         """Close the clients' door for good, and take in whoever the machine has accepted there: how many are
         still on their way in. Guards against the instant between our last look at the door and its end."""
         if self.listener:
-            if not self.take_waiting():
+            if not self.accept_waiting():
                 return 1 + len(self.listener.tasks)
             self.last_in = self.listener.tasks
             self.stop_accepting(for_good=True)
             self.socket.close()
         return len(self.last_in)
 
-    def take_waiting(self) -> bool:
+    def accept_waiting(self) -> bool:
         """Accept whoever waits. Is nobody left, as far as can be known?"""
         try:
             while not self.node.limits.crowded(2):
-                self.listener.take()
+                self.listener.accept_one()
             return False  # more wait than there are descriptors for
         except (BlockingIOError, InterruptedError):
             return True
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -228,8 +228,8 @@
 
 def load_known(node: Any) -> None:
     """The list that the configuration brings."""
-    if node.config.spoilt:
-        log.tell("known", taken="nothing", error=node.config.spoilt)
+    if node.config.known_error:
+        log.tell("known", taken="nothing", error=node.config.known_error)
     if node.config.known:
         node.server_list.load(node.config.known)
         if node.servers:  # guards against a list that was lost and, by its version, is never told again
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -187,7 +187,7 @@
     ),
     Mutant(
         "who waits in the listener at the end is not looked for",
-        (("net/listeners.py", "            if not self.take_waiting():\n", "            if False:\n"),),
+        (("net/listeners.py", "            if not self.accept_waiting():\n", "            if False:\n"),),
         "restart",
         ("lost",),
     ),
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -267,7 +267,7 @@
 @played
 async def test_a_kernel_without_descriptors_closes_the_door_for_an_instant_alone(monkeypatch):
     async with World() as world:
-        failed, take = [], listeners.Listener.take
+        failed, take = [], listeners.Listener.accept_one
 
         def fails(self):
             if len(failed) < 3:
@@ -275,6 +275,6 @@
                 raise failed[-1]
             take(self)
 
-        monkeypatch.setattr(listeners.Listener, "take", fails)
+        monkeypatch.setattr(listeners.Listener, "accept_one", fails)
         await world.standing()
         assert len(failed) == 3
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -257,11 +257,11 @@
     raw = json.loads(configured())
     good = parse_config(raw | {"known": GIVEN})
     good.path = str(tmp_path / "config.json")
-    assert not good.spoilt and len(good.known.entries) == 1
+    assert not good.known_error and len(good.known.entries) == 1
     for spoilt in (SPOILT, {"generation": 4}, "x", [1], {"generation": 4, "reset": True, "instances": [5]}):
         (tmp_path / "config.json").write_text(json.dumps(raw | {"known": spoilt}))
         config = read_config(good.path)
-        assert config.known is None and "bad-list" in config.spoilt
+        assert config.known is None and "bad-list" in config.known_error
         with pytest.raises(SettingsError, match="bad-list"):
             reread(good)
         monkeypatch.setattr("sys.argv", ["bellrack", "check", good.path])
