--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -35,18 +35,18 @@
     async def find_predecessor(self) -> sibling.Predecessor | None:
         """Where a process of this balancer serves, its listening socket and what it has learned are ours."""
         path = self.node.listeners.path
-        predecessor = await self.meet(path) if path else None
+        predecessor = await self.await_predecessor(path) if path else None
         if predecessor:
             await self.take_over(predecessor)
         return predecessor
 
-    async def meet(self, path: str) -> sibling.Predecessor | None:
+    async def await_predecessor(self, path: str) -> sibling.Predecessor | None:
         """Wait while the process that serves has a sibling already: guards against a third process that would
         start with nothing handed over, not even which servers are detached."""
         end = self.node.clock() + WAIT_FOR_TURN
         while not self.node.shutdown:
             try:
-                return await asyncio.to_thread(sibling.meet, path)
+                return await asyncio.to_thread(sibling.connect_to_predecessor, path)
             except (sibling.BusyError, OSError) as error:
                 if self.node.clock() >= end:
                     log.tell("handover", taken="nothing", error=repr(error))
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -255,9 +255,9 @@
             self.loop.add_signal_handler(number, self.queue, self.leave)
         self.loop.add_signal_handler(signal.SIGHUP, self.queue, reload.reload, self)
         self.loop.add_signal_handler(signal.SIGUSR1, self.queue, self.show)
-        if start_signals.take(signal.SIGHUP):
+        if start_signals.claim(signal.SIGHUP):
             self.queue(reload.reload, self)
-        if start_signals.take(signal.SIGUSR1):
+        if start_signals.claim(signal.SIGUSR1):
             self.queue(self.show)
 
     async def take_requests(self, listening: socket.socket | None) -> None:
@@ -306,6 +306,6 @@
             )
         )
         await Node(config, loop).serve()
-        start_signals.hold_back()
+        start_signals.block()
 
     asyncio.run(main())
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -68,7 +68,7 @@
         )
 
 
-def meet(path: str) -> Predecessor | None:
+def connect_to_predecessor(path: str) -> Predecessor | None:
     """Ask the process that serves for its door; None if there is none, or it does not answer in time. Raises
     BusyError if it says so, or has closed its meeting place just now: another process may be found there.
     Raises OSError for what passes on our own machine."""
--- a/bellrack/start_signals.py
+++ b/bellrack/start_signals.py
@@ -31,14 +31,14 @@
     os._exit(0)
 
 
-def take(number: int) -> bool:
+def claim(number: int) -> bool:
     """Has this one come? It is carried out now."""
     came = number in noted
     noted.discard(number)
     return came
 
 
-def hold_back() -> None:
+def block() -> None:
     """The process ends: a further signal is not delivered any more. Closing the loop puts the default actions
     back, and those would end the process as if it had crashed."""
     signal.pthread_sigmask(signal.SIG_BLOCK, HEEDED)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -287,16 +287,16 @@
 async def test_nobody_at_the_meeting_place_is_as_if_there_were_none(folder):
     path = sibling.socket_path("n0", ("127.0.0.1", 1))
     assert sibling.socket_path("n0", ("127.0.0.1", 2)) != path and path.startswith(str(folder))
-    assert sibling.meet(path) is None
+    assert sibling.connect_to_predecessor(path) is None
     with socket.socket(socket.AF_UNIX) as dead:
         dead.bind(path)
-    assert sibling.meet(path) is None
+    assert sibling.connect_to_predecessor(path) is None
     for said in (b"", b"no json\n", b"[]\n", b"{}\n"):
         os.unlink(path)
         with socket.socket(socket.AF_UNIX) as sock:
             sock.bind(path)
             sock.listen()
-            meeting = asyncio.to_thread(sibling.meet, path)
+            meeting = asyncio.to_thread(sibling.connect_to_predecessor, path)
             task = asyncio.create_task(meeting)
             other, _ = await asyncio.to_thread(sock.accept)
             other.sendall(said)
@@ -417,7 +417,7 @@
 
         with ThreadPoolExecutor(1) as pool:
             giving = pool.submit(gives)
-            predecessor = sibling.meet(path)
+            predecessor = sibling.connect_to_predecessor(path)
             giving.result().close()
     assert predecessor and predecessor.told == {"version": 1}
     host = mock.Mock(**{"limits.descriptors": 0})
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -23,7 +23,7 @@
 @contextlib.asynccontextmanager
 async def waiting_process(world, monkeypatch):
     """A process that knows its list and waits for its turn, and what lets it take over."""
-    turn, honest = asyncio.Event(), hot_restart.HotRestart.meet
+    turn, honest = asyncio.Event(), hot_restart.HotRestart.await_predecessor
 
     async def meets(restart, path):
         await turn.wait()
@@ -33,7 +33,7 @@
         turn.set()
         await world.until(lambda: world.node.hot_restart.has_successor)
 
-    monkeypatch.setattr(hot_restart.HotRestart, "meet", meets)
+    monkeypatch.setattr(hot_restart.HotRestart, "await_predecessor", meets)
     second = Node(parse_config(world.raw), world.node.loop)
     serving = asyncio.create_task(second.serve())
     await world.until(lambda: second.listeners.admin and second.servers)
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -118,7 +118,7 @@
 @played
 async def test_what_is_detached_at_a_process_that_waits_for_its_turn_stays_so(folder, monkeypatch):  # noqa: F811
     """Operators are answered by a process that starts, too: what it says is out stays out, at both."""
-    turn, honest = asyncio.Event(), hot_restart.HotRestart.meet
+    turn, honest = asyncio.Event(), hot_restart.HotRestart.await_predecessor
 
     async def meets(restart, path):
         await turn.wait()
@@ -126,7 +126,7 @@
 
     async with World(servers=2, control=True, listen=free()) as world:
         first = world.node
-        monkeypatch.setattr(hot_restart.HotRestart, "meet", meets)
+        monkeypatch.setattr(hot_restart.HotRestart, "await_predecessor", meets)
         second = node.Node(parse_config(world.raw), first.loop)
         serving = asyncio.create_task(second.serve())
         await world.until(lambda: second.listeners.admin and second.servers)
@@ -181,7 +181,7 @@
     with socket.socket(socket.AF_UNIX) as sock:
         sock.bind(path)
         sock.listen()
-        meeting = asyncio.create_task(asyncio.to_thread(sibling.meet, path))
+        meeting = asyncio.create_task(asyncio.to_thread(sibling.connect_to_predecessor, path))
         other, _ = await asyncio.to_thread(sock.accept)
         other.sendall(said)
         other.close()
