--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -182,7 +182,7 @@
 
     def forget(self, mark: int) -> None:
         """Of a server that is forgotten: guards against a record for each one that was ever put back."""
-        if mark in self.orders and not self.orders[mark].out:
+        if mark in self.orders and not self.orders[mark].cordon:
             del self.orders[mark]
 
     def mark_doubtful(self, window: float) -> None:
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -313,9 +313,9 @@
     ours.on_sibling(60, False, [1])
     theirs.on_sibling(50, False, [1, 2])
     ours.merge(theirs)
-    assert [ours.of(mark) for mark in (1, 2, 3)] == [60, 50, 43] and ours.in_hand == 41
+    assert [ours.version_of(mark) for mark in (1, 2, 3)] == [60, 50, 43] and ours.watched == 41
     ours.on_watch(55)
-    assert [ours.of(mark) for mark in (1, 2, 3)] == [60, 55, 55]
+    assert [ours.version_of(mark) for mark in (1, 2, 3)] == [60, 55, 55]
 
 
 def test_of_two_orders_of_one_moment_the_one_that_takes_out_holds():
