--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -321,9 +321,11 @@
         self.shutting_down = True
         standing = [attempt for attempt in self.attempts if attempt.out and attempt.out.leg.established]
         for index, attempt in enumerate(standing):
-            share = shutdown.DEALT + (shutdown.SPREAD - shutdown.DEALT) * index / len(standing)
+            share = shutdown.FIRST_MOVE_SHARE + (
+                shutdown.LAST_MOVE_SHARE - shutdown.FIRST_MOVE_SHARE
+            ) * index / len(standing)
             self.world.agenda.after(share * grace, TIMER, self.turn, self.moved, attempt, model.CANCELLED)
-        self.world.agenda.after(shutdown.REST * grace, TIMER, self.turn, self.move_rest)
+        self.world.agenda.after(shutdown.MOVE_REST_SHARE * grace, TIMER, self.turn, self.move_rest)
 
     def move_rest(self) -> None:
         for attempt in list(self.attempts):
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -11,12 +11,16 @@
 
 from bellrack.net import log
 
-DEALT = 1 / 3  # of the time there is, until the first is moved: the front may still deal it to us again
-SPREAD = 0.8  # of that time, until the last is
-REST = 0.85  # of that time, when all go that have come up meanwhile
+FIRST_MOVE_SHARE = (
+    1 / 3
+)  # of the time there is, until the first is moved: the front may still deal it to us again
+LAST_MOVE_SHARE = 0.8  # of that time, until the last is
+MOVE_REST_SHARE = 0.85  # of that time, when all go that have come up meanwhile
 STAY = 1.0  # seconds that we stay at least
 LONGEST, GRACE = 3.0, 0.7  # what is left after that call: the longest guard time, at most, and some more
-ANSWER = 0.4  # seconds before its end that who still waits is answered: some say that they wait for longer
+ANSWER_BEFORE_END_SECONDS = (
+    0.4  # seconds before its end that who still waits is answered: some say that they wait for longer
+)
 MARGIN = 0.2  # seconds before its end that we go, empty or not
 LOOK = 0.05  # seconds between looks for that
 
@@ -36,27 +40,28 @@
             self.hand_over()
         else:
             self.move_spread(standing)
-        node.after(REST * self.time_limit, self.move_rest)
-        node.after(self.time_limit - ANSWER, self.answer_rest)
+        node.after(MOVE_REST_SHARE * self.time_limit, self.move_rest)
+        node.after(self.time_limit - ANSWER_BEFORE_END_SECONDS, self.answer_rest)
         self.empty()
 
     @property
     def admits_requests(self) -> bool:
         """Is a request that comes now still placed? By a process that was followed, while there is time."""
         return (
-            self.node.hot_restart.has_successor and self.node.now - self.started_at < self.time_limit - ANSWER
+            self.node.hot_restart.has_successor
+            and self.node.now - self.started_at < self.time_limit - ANSWER_BEFORE_END_SECONDS
         )
 
     def on_successor_lost(self) -> None:
         """Nobody takes what stands any more."""
-        if self.node.now - self.started_at >= REST * self.time_limit:
+        if self.node.now - self.started_at >= MOVE_REST_SHARE * self.time_limit:
             self.move_rest()
 
     def move_spread(self, standing: list[Any]) -> None:
         for index, client in enumerate(standing):
             # Late, and not at once: guards against clients without a balancer while the one that restarted
             # before us is not yet back, and against a rush on the others.
-            share = DEALT + (SPREAD - DEALT) * index / len(standing)
+            share = FIRST_MOVE_SHARE + (LAST_MOVE_SHARE - FIRST_MOVE_SHARE) * index / len(standing)
             self.node.after(share * self.time_limit, client.move, "leaving")
 
     def move_rest(self) -> None:
@@ -85,7 +90,7 @@
 
     def empty(self) -> None:
         gone = self.node.now - self.started_at
-        if gone >= self.time_limit - ANSWER:
+        if gone >= self.time_limit - ANSWER_BEFORE_END_SECONDS:
             self.answer_silent()
         # Whoever has come in is owed an answer once its line is whole: also who has said nothing yet, or half
         # a line, who is not told by our answer yet, and who waits in the door.
--- a/tests/test_first_line.py
+++ b/tests/test_first_line.py
@@ -121,5 +121,7 @@
         world.node.leave()
         assert await client.line() == "BUSY 1500"
         leaving = world.node.shutdown
-        assert world.node.clock() < leaving.started_at + leaving.time_limit - shutdown.ANSWER
+        assert (
+            world.node.clock() < leaving.started_at + leaving.time_limit - shutdown.ANSWER_BEFORE_END_SECONDS
+        )
         client.end("fin")
