--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -34,7 +34,7 @@
 
     async def find_predecessor(self) -> sibling.Predecessor | None:
         """Where a process of this balancer serves, its listening socket and what it has learned are ours."""
-        path = self.node.listeners.path
+        path = self.node.listeners.successor_path
         predecessor = await self.await_predecessor(path) if path else None
         if predecessor:
             await self.take_over(predecessor)
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -101,8 +101,10 @@
         self.failed_looks = 0  # at who still waits in the clients' door when it closes for good
         self.last_in: set[asyncio.Task] = set()  # who waited in the clients' door when it closed for good
         # Only where operators call may another process of ours be started beside us.
-        self.shared = node.config.control is not None
-        self.path = sibling.socket_path(node.config.name, node.config.listen) if self.shared else None
+        self.hot_restart_enabled = node.config.control is not None
+        self.successor_path = (
+            sibling.socket_path(node.config.name, node.config.listen) if self.hot_restart_enabled else None
+        )
 
     async def open_admin(self) -> None:
         if place := self.node.config.control:
@@ -114,7 +116,9 @@
 
     async def open(self, taken: socket.socket | None) -> None:
         """Accept from now on, at the door of the process before us if it gave it."""
-        self.socket = taken or socket.create_server(self.node.config.listen, reuse_port=self.shared)
+        self.socket = taken or socket.create_server(
+            self.node.config.listen, reuse_port=self.hot_restart_enabled
+        )
         self.node.limits.counted(1)
         self.accept()
         self.offer_hot_restart()
@@ -122,10 +126,10 @@
     def offer_hot_restart(self) -> None:
         """Be found by the process that comes after us. A folder where that fails costs a log line, and is
         tried again where it may take files later."""
-        if not self.path or self.successor_socket or not self.listener:
+        if not self.successor_path or self.successor_socket or not self.listener:
             return
         try:
-            self.successor_socket = sibling.SuccessorSocket(self.node, self.path)
+            self.successor_socket = sibling.SuccessorSocket(self.node, self.successor_path)
         except OSError as error:
             if not self.successor_socket_failed:
                 log.tell("handover", offered="nothing", error=error)
--- a/bellrack/net/peer_socket.py
+++ b/bellrack/net/peer_socket.py
@@ -23,7 +23,7 @@
         _, protocol = await node.loop.create_datagram_endpoint(
             lambda: PeerSocket(node),
             local_addr=node.config.peer_listen,
-            reuse_port=node.listeners.shared or None,
+            reuse_port=node.listeners.hot_restart_enabled or None,
         )
         node.limits.counted(1)
         return protocol
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -22,7 +22,7 @@
 PATIENCE = 1.0  # seconds that the one that starts waits for the one that serves
 TELL_EVERY = 0.25  # seconds between figures told to the other
 BUSY = b'{"busy": true}\n'  # to a process that comes while there is a sibling already
-LONGEST = 1 << 24  # bytes of one message: 3,200 servers make 1.5 MB
+MAX_MESSAGE_BYTES = 1 << 24  # bytes of one message: 3,200 servers make 1.5 MB
 VERSION = 1  # of what is told with the door; what is unknown in it is left
 PART = 65536  # bytes read at one go
 
@@ -86,7 +86,7 @@
             text += part
             if not part and text:
                 raise BusyError  # cut off in the middle: it has ended, or says so
-            if not part or len(text) > LONGEST:
+            if not part or len(text) > MAX_MESSAGE_BYTES:
                 raise OSError("cut off")
         text, _, rest = text.partition(b"\n")
         told = json.loads(text)
@@ -131,7 +131,7 @@
 
     def data_received(self, data: bytes) -> None:
         *whole, self.rest = (self.rest + data).split(b"\n")
-        if len(self.rest) > LONGEST:
+        if len(self.rest) > MAX_MESSAGE_BYTES:
             self.transport.abort()
         for line in whole:
             try:
@@ -202,7 +202,7 @@
                 self.node.counters["successors_refused"] += 1  # it asks again
                 raise OSError(errno.EAGAIN, "another is met already")
             sock.setblocking(False)  # guards against one that connects and reads nothing
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * LONGEST)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * MAX_MESSAGE_BYTES)
             text = json.dumps(self.node.hot_restart.snapshot()).encode() + b"\n"
             ours, theirs = passing.pair()
             with theirs:
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -217,7 +217,7 @@
     ),
     Mutant(
         "two messages of 1 MiB",
-        (("net/sibling.py", "LONGEST = 1 << 24 ", "LONGEST = 1 << 20 "),),
+        (("net/sibling.py", "MAX_MESSAGE_BYTES = 1 << 24 ", "MAX_MESSAGE_BYTES = 1 << 20 "),),
         "restart",
         ("detached", "drain"),
     ),
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -381,7 +381,7 @@
 async def test_another_users_process_is_given_no_door(folder, monkeypatch):
     async with World(control=True, listen=free()) as world:
         monkeypatch.setattr(sibling, "same_user", lambda sock: False)
-        peer = Peer(*await asyncio.open_unix_connection(world.node.listeners.path))
+        peer = Peer(*await asyncio.open_unix_connection(world.node.listeners.successor_path))
         assert await peer.line() == "fin" and world.node.hot_restart.sibling is None
 
 
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -137,7 +137,9 @@
     monkeypatch.setattr(sibling.os, call, made)
     async with World(control=True, listen=free()) as world:
         await world.until(lambda: world.node.listeners.successor_socket)
-        assert [path.name for path in folder.iterdir()] == [os.path.basename(world.node.listeners.path)]
+        assert [path.name for path in folder.iterdir()] == [
+            os.path.basename(world.node.listeners.successor_path)
+        ]
         async with world.beside() as new:
             await world.until(lambda: world.node.hot_restart.has_successor)
             assert new.can_serve()
