--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -20,31 +20,87 @@
 from bellrack.rng import Rng, lcg_step
 
 SPILLOVER_RATIO = 0.5  # least healthy share of our zone that keeps new connections in it
-FAILURES, HOLD = 3, 5.0  # in a row mark a server unhealthy; seconds that the mark holds
-FLOOR, REGAIN = 0.05, 0.1  # least weight that failures leave; weight that a connection that stands adds
-SOON = 2.0  # a connection dropped within this many seconds of standing was a failed set-up
-SWAMPED = 0.5  # a message delay of this share of the shortest message aim closes a server to new connections
-SWAMPED_FOR, SEEN_FOR = 1.5, 3.0  # seconds that one notice of delay holds; that other signs of it do
-CEILING, SHED = 0.95, 0.6  # of what a swamped server held then; where none says so before it resets
-CEILING_GROWTH, JAM_CUT = 0.03, 0.9  # regrown a second; of all held, each second that zones are not calm
-FEW = 8  # own connections, of which a share measures nothing where that of all is known
-CUT_EVERY = 0.9  # seconds between cuts of a ceiling
-MOVE_SHARE, MOVE_MOST = 0.15, 4.0  # of own connections moved at a late notice; most times that, by delay
-TIDY_EVERY, TIDY_SHARE = 1.0, 0.05  # seconds between looks at connections that cross zones; share called home
-CALM = 5.0  # seconds since the last late message make a server calm
-LOTS, BLIND_LOTS = 3, 1  # servers, in the order of a call's lots, asked for room; for a group, if blind
-HOLDERS_FOR, HOLDS = 0.5, 2  # of the setup target only holders of its group are asked; connections make one
-ABOVE_MEAN = 1.25  # a server this far over the mean of open load is passed over
-SPARE_SHARE = 0.25  # of a call's wait, at most, is kept for the answer's way
-GROWTH, LEAST_PACE = 0.5, 8.0  # legs a second to a warm server: share of what it holds; never held back
-AHEAD, RUSH = 2.0, 1.5  # a cold server's fill over an even one, at most; a rush's calls, by what is usual
-FIRST_FILL = 12.0  # open connections by listed size, of all balancers, that a server bears for sure
-FRESH, FULL_FRESH, ASKED_FOR = 1.0, 2.0, 0.1  # seconds: a report stands, a full one, a call waits for it
-FULL, STEEP = 0.9, 0.2  # of what a server can do, it takes nothing new; less at each further lot
-TELL_EVERY, LOOK = 0.5, 0.1  # seconds between words to other balancers; for which sums are used again
-OUT_EVERY, OUT_SHARE = 0.1, 0.2  # seconds between moves off a server out by hand; share moved
-KEEP_STEP, KEPT_LOOKS = 0.05, 24  # seconds between looks at kept calls; how many may be tried in vain at one
-BACK, KEEP_SHARE = 1 / 3, 0.8  # of the longest wait that clients honour; of the setup target, kept
+UNHEALTHY_AFTER_FAILURES, UNHEALTHY_SECONDS = (
+    3,
+    5.0,
+)  # in a row mark a server unhealthy; seconds that the mark holds
+MIN_FAILURE_WEIGHT, WEIGHT_REGAIN = (
+    0.05,
+    0.1,
+)  # least weight that failures leave; weight that a connection that stands adds
+SETUP_FAILURE_SECONDS = 2.0  # a connection dropped within this many seconds of standing was a failed set-up
+OVERLOAD_DELAY_RATIO = (
+    0.5  # a message delay of this share of the shortest message aim closes a server to new connections
+)
+NOTICE_VALID_SECONDS, OBSERVATION_VALID_SECONDS = (
+    1.5,
+    3.0,
+)  # seconds that one notice of delay holds; that other signs of it do
+LIMIT_SHARE, RESET_LIMIT_SHARE = (
+    0.95,
+    0.6,
+)  # of what a swamped server held then; where none says so before it resets
+LIMIT_GROWTH_PER_SECOND, FLEET_LIMIT_SHARE = (
+    0.03,
+    0.9,
+)  # regrown a second; of all held, each second that zones are not calm
+MIN_MEASURABLE_LEGS = 8  # own connections, of which a share measures nothing where that of all is known
+LIMIT_CUT_INTERVAL_SECONDS = 0.9  # seconds between cuts of a ceiling
+MOVE_SHARE, MAX_MOVE_FACTOR = (
+    0.15,
+    4.0,
+)  # of own connections moved at a late notice; most times that, by delay
+REBALANCE_INTERVAL_SECONDS, REBALANCE_SHARE = (
+    1.0,
+    0.05,
+)  # seconds between looks at connections that cross zones; share called home
+CALM_AFTER_SECONDS = 5.0  # seconds since the last late message make a server calm
+MAX_CANDIDATES_TRIED, MAX_GROUP_CANDIDATES_UNSEEN = (
+    3,
+    1,
+)  # servers, in the order of a call's lots, asked for room; for a group, if blind
+GROUP_HOLDERS_TIME_SHARE, GROUP_HOLDER_LEGS = (
+    0.5,
+    2,
+)  # of the setup target only holders of its group are asked; connections make one
+MAX_LOAD_OVER_MEAN = 1.25  # a server this far over the mean of open load is passed over
+MAX_ANSWER_MARGIN_SHARE = 0.25  # of a call's wait, at most, is kept for the answer's way
+PACE_SHARE_PER_SECOND, MIN_PACE_PER_SECOND = (
+    0.5,
+    8.0,
+)  # legs a second to a warm server: share of what it holds; never held back
+SLOW_START_FACTOR, RUSH_FACTOR = (
+    2.0,
+    1.5,
+)  # a cold server's fill over an even one, at most; a rush's calls, by what is usual
+ASSUMED_CONNECTIONS_PER_CAPACITY = (
+    12.0  # open connections by listed size, of all balancers, that a server bears for sure
+)
+REPORT_VALID_SECONDS, FULL_REPORT_VALID_SECONDS, PROBE_WAIT_SECONDS = (
+    1.0,
+    2.0,
+    0.1,
+)  # seconds: a report stands, a full one, a call waits for it
+FULL_LOAD, FULL_LOAD_STEP = (
+    0.9,
+    0.2,
+)  # of what a server can do, it takes nothing new; less at each further lot
+PUBLISH_INTERVAL_SECONDS, CACHE_SECONDS = (
+    0.5,
+    0.1,
+)  # seconds between words to other balancers; for which sums are used again
+CORDON_MOVE_INTERVAL_SECONDS, CORDON_MOVE_SHARE = (
+    0.1,
+    0.2,
+)  # seconds between moves off a server out by hand; share moved
+QUEUE_INTERVAL_SECONDS, MAX_QUEUE_TRIES = (
+    0.05,
+    24,
+)  # seconds between looks at kept calls; how many may be tried in vain at one
+RETRY_AFTER_SHARE, QUEUE_TIME_SHARE = (
+    1 / 3,
+    0.8,
+)  # of the longest wait that clients honour; of the setup target, kept
 
 
 class AnswerStage(Stage):
@@ -65,7 +121,9 @@
             self.next.handle(call)
 
     def answer_by(self, call: Call) -> float:
-        return call.deadline - min(self.settings.answer_margin, SPARE_SHARE * (call.deadline - call.arrived))
+        return call.deadline - min(
+            self.settings.answer_margin, MAX_ANSWER_MARGIN_SHARE * (call.deadline - call.arrived)
+        )
 
     def due(self, call: Call) -> None:
         """The guard time is near: answer whatever is still owed."""
@@ -76,7 +134,7 @@
         """Its one answer; `why` goes to the log."""
         call.refusal = why
         if self.balancer.effect.harmless(call):
-            self.host.reject(call, BACK * self.settings.max_open_wait)
+            self.host.reject(call, RETRY_AFTER_SHARE * self.settings.max_open_wait)
         else:
             self.host.release(call)
 
@@ -155,7 +213,7 @@
 
     def baseline_load(self) -> float:
         """Own open connections by size on listed warm servers that are not late: what one surely bears."""
-        if self.host.now >= self.looked + LOOK:
+        if self.host.now >= self.looked + CACHE_SECONDS:
             self.looked, late = self.host.now, self.balancer.selection.reported_overloaded
             warm = [
                 s
@@ -166,7 +224,7 @@
             self.proven_load = max(
                 self.proven_load, sum(s.local_state.open_legs for s in warm) / size if size else 0.0
             )
-        return max(self.proven_load, FIRST_FILL / self.settings.peers)
+        return max(self.proven_load, ASSUMED_CONNECTIONS_PER_CAPACITY / self.settings.peers)
 
     def may_admit(self, server: Server) -> bool:
         under = (
@@ -174,7 +232,7 @@
             < self.baseline_load() * server.capacity
         )
         calm = (
-            self.host.now - server.local_state.delay_reported_at > SWAMPED_FOR
+            self.host.now - server.local_state.delay_reported_at > NOTICE_VALID_SECONDS
             and self.balancer.selection.has_room(server)
         )
         return under and calm and self.available_tokens(server) > 0
@@ -191,8 +249,8 @@
             self.baseline_load() * server.capacity,
         )
         budget, anew = rules.slow_start_budget(self.proven_load, server.capacity * self.warm_share(server))
-        rate = min(AHEAD * bears / rules.ramp_time, anew / rules.fall_time)
-        kept = (budget - rate * rules.fall_time) * max(1.0, 1 / (RUSH * bears))
+        rate = min(SLOW_START_FACTOR * bears / rules.ramp_time, anew / rules.fall_time)
+        kept = (budget - rate * rules.fall_time) * max(1.0, 1 / (RUSH_FACTOR * bears))
         stand.tokens_issued, stand.tokens_issued_at = (
             stand.tokens_issued + rate * max(0.0, now - stand.tokens_issued_at),
             now,
@@ -237,7 +295,12 @@
         """Slower the more servers are late: guards against a fleet that sheds and is filled at once again."""
         sure, calm = self.baseline_load() * server.capacity, self.balancer.selection.calm_share(server.zone)
         gap = (
-            1 / max(GROWTH * max(server.local_state.open_legs, sure), LEAST_PACE / self.settings.peers) / calm
+            1
+            / max(
+                PACE_SHARE_PER_SECOND * max(server.local_state.open_legs, sure),
+                MIN_PACE_PER_SECOND / self.settings.peers,
+            )
+            / calm
         )
         # Guards against a mass reconnect that is kept and rejected while servers stand empty.
         sure = max(sure, 2) if self.balancer.overload.has_broadcasts(self.host.now) else sure
@@ -261,7 +324,7 @@
         home = [s for s in call.candidates if s.zone == self.settings.zone]
         if self.share() >= SPILLOVER_RATIO:
             server = selection.pick(call, [s for s in home if s.local_state.unhealthy_until <= now])
-        most = self.limit * (1 + CEILING_GROWTH * (now - self.cut)) - 0.5
+        most = self.limit * (1 + LIMIT_GROWTH_PER_SECOND * (now - self.cut)) - 0.5
         if (
             not server
             and self.balancer.open_legs < most
@@ -282,9 +345,10 @@
         ]
         if sum(zones) < SPILLOVER_RATIO * len(zones):
             held = max(
-                self.balancer.open_legs, FEW if self.balancer.overload.has_broadcasts(self.host.now) else 1
+                self.balancer.open_legs,
+                MIN_MEASURABLE_LEGS if self.balancer.overload.has_broadcasts(self.host.now) else 1,
             )
-            self.limit, self.cut = JAM_CUT * min(self.limit, held), self.host.now
+            self.limit, self.cut = FLEET_LIMIT_SHARE * min(self.limit, held), self.host.now
 
     def rebalance(self) -> None:
         """Guards against connections that cross zones for life: a few come again while our zone is calm."""
@@ -294,7 +358,7 @@
             for s in home
             if selection.healthy(s)
             and s.local_state.warm_at <= now
-            and now - s.local_state.delay_reported_at > CALM
+            and now - s.local_state.delay_reported_at > CALM_AFTER_SECONDS
         ]
         if home and len(calm) == len(home) and all(map(selection.has_room, home)):
             away = [
@@ -303,14 +367,14 @@
                 if s.zone != self.settings.zone
                 for leg in s.local_state.established_legs
             ]
-            selection.move(away, TIDY_SHARE)
+            selection.move(away, REBALANCE_SHARE)
 
     def matched(self) -> list[Server]:
         return [s for s in self.balancer.listing.ready if s.zone == self.settings.zone]
 
     def share(self) -> float:
         """Healthy matched over all matched; a cold server counts as far as it is warm."""
-        if self.host.now >= self.looked + LOOK:
+        if self.host.now >= self.looked + CACHE_SECONDS:
             self.looked, matched = self.host.now, self.matched()
             fit = [
                 s
@@ -340,7 +404,7 @@
         stand, slow_start = server.local_state, self.balancer.slow_start
         # Grows as what is usual does: guards against a small holder that was cut for what others hold there.
         grown = (
-            CEILING_GROWTH
+            LIMIT_GROWTH_PER_SECOND
             * (self.host.now - stand.limit_cut_at)
             * max(stand.limit, slow_start.baseline_load() * server.capacity)
         )
@@ -364,7 +428,7 @@
 
     def reported_overloaded(self, server: Server) -> bool:
         return (
-            server.local_state.delay_ratio >= SWAMPED
+            server.local_state.delay_ratio >= OVERLOAD_DELAY_RATIO
             and self.host.now - server.local_state.delay_reported_at <= server.local_state.delay_valid_for
         )
 
@@ -377,7 +441,7 @@
             if (
                 server.local_state.established_legs
                 or hears
-                or self.host.now - server.local_state.delay_reported_at <= SWAMPED_FOR
+                or self.host.now - server.local_state.delay_reported_at <= NOTICE_VALID_SECONDS
             ):
                 seen = self.balancer.seen.setdefault(server.zone, [0.0, 0.0])
                 seen[0] += self.reported_overloaded(server)
@@ -388,9 +452,9 @@
         late, heard = self.balancer.seen.get(zone, (0.0, 0.0))
         return (heard - late + 1) / (heard + 1)
 
-    def record_delay(self, server: Server, delay: float, holds: float = SEEN_FOR) -> None:
+    def record_delay(self, server: Server, delay: float, holds: float = OBSERVATION_VALID_SECONDS) -> None:
         """Messages at a server take this share of the shortest message aim, it says or others have seen."""
-        if delay >= SWAMPED:
+        if delay >= OVERLOAD_DELAY_RATIO:
             self.cut_limit(server)
         if delay >= 1:
             # Guards against connections that stay where their messages are late: the paper's rule is for new
@@ -398,11 +462,11 @@
             rest = sorted(
                 server.local_state.established_legs, key=lambda leg: -self.rendezvous_score(leg.call, server)
             )
-            share = MOVE_SHARE * min(delay, MOVE_MOST)
+            share = MOVE_SHARE * min(delay, MAX_MOVE_FACTOR)
             # What is moved lowers the ceiling with it: guards against many balancers with a connection each,
             # which hear no more of the server once theirs is moved, and together fill it up again.
             held = server.local_state.open_legs / self.balancer.slow_start.warm_share(server)
-            self.lower_limit(server, CEILING * (1 - share) * held)
+            self.lower_limit(server, LIMIT_SHARE * (1 - share) * held)
             self.move(rest, share)
         (
             server.local_state.delay_ratio,
@@ -428,14 +492,15 @@
     def cut_limit(self, server: Server) -> None:
         """Lower the server's ceiling, at most once in the time that a notice holds."""
         stand, now, balancer = server.local_state, self.host.now, self.balancer
-        if now - stand.limit_cut_at > CUT_EVERY:
+        if now - stand.limit_cut_at > LIMIT_CUT_INTERVAL_SECONDS:
             # As if warm: guards against a ceiling found while cold that would outlast the warm-up.
             held = stand.open_legs / balancer.slow_start.warm_share(server)
             self.lower_limit(
                 server,
-                (SHED if balancer.overload.nobody_reports_load(now) else CEILING) * min(stand.limit, held),
+                (RESET_LIMIT_SHARE if balancer.overload.nobody_reports_load(now) else LIMIT_SHARE)
+                * min(stand.limit, held),
             )
-            if now - stand.limit_cut_at > CALM:
+            if now - stand.limit_cut_at > CALM_AFTER_SECONDS:
                 self.host.log(f"server swamped: held {stand.open_legs}, ceiling {stand.limit:.1f}")
             stand.limit_cut_at = now
 
@@ -448,7 +513,7 @@
         now, warm = self.host.now, self.balancer.slow_start.warm_share
         sizes = [s.capacity if s.local_state.warm_at <= now else s.capacity * warm(s) for s in places]
         held = self.balancer.fleet_load() or {s: s.local_state.open_legs for s in places}
-        mean = ABOVE_MEAN * sum([held[s] for s in places]) / sum(sizes)
+        mean = MAX_LOAD_OVER_MEAN * sum([held[s] for s in places]) / sum(sizes)
         low = [s for s, size in zip(places, sizes) if held[s] < 1 + mean * size] or places
         # Guards against a server put back that waits long for its lot, by the weight of a cold one.
         missed = [s for s in low if s.local_state.unused_since_uncordon or s.needs_attempt and not call.group]
@@ -457,13 +522,15 @@
             for s in missed
             if now >= s.local_state.next_leg_at
             and self.balancer.slow_start.accepts(s)
-            and self.has_room(s, FULL)
+            and self.has_room(s, FULL_LOAD)
         ]
         held = missed or self.group_holders(call, low)
         for server in held or low:  # kept with the call while it is kept: lots are dear
             if server not in call.scores:
                 call.scores[server] = self.rendezvous_score(call, server)
-        most = BLIND_LOTS if call.group and self.settings.peers_unseen else LOTS
+        most = (
+            MAX_GROUP_CANDIDATES_UNSEEN if call.group and self.settings.peers_unseen else MAX_CANDIDATES_TRIED
+        )
         lots = sorted(held or low, key=call.scores.__getitem__)[:most]
         call.awaited_servers += lots
         for number, server in enumerate(lots):
@@ -472,7 +539,7 @@
             self.request_report(server)
             if self.awaits_report(server):
                 return None
-            if self.has_room(server, FULL - number * STEEP):
+            if self.has_room(server, FULL_LOAD - number * FULL_LOAD_STEP):
                 return server
         return None
 
@@ -482,12 +549,14 @@
             return []
         group, now, holder = call.group, self.host.now, self.balancer.overload.holds_group
         return [
-            s for s in places if s.local_state.legs_by_group.get(group, 0) >= HOLDS or holder(s, group, now)
+            s
+            for s in places
+            if s.local_state.legs_by_group.get(group, 0) >= GROUP_HOLDER_LEGS or holder(s, group, now)
         ]
 
     def may_leave_group(self, call: Call) -> bool:
         """Guards against calls that are rejected for a full holder of their group while others have room."""
-        return self.host.now >= call.arrived + HOLDERS_FOR * call.type.setup_target
+        return self.host.now >= call.arrived + GROUP_HOLDERS_TIME_SHARE * call.type.setup_target
 
     def has_report(self, server: Server) -> bool:
         return self.host.now <= server.local_state.report_valid_until
@@ -495,13 +564,19 @@
     def request_report(self, server: Server) -> None:
         """Guards against placing blindly where we hold nothing, and so are told nothing."""
         stand, now = server.local_state, self.host.now
-        if self.load_field is not None and not self.has_report(server) and now - stand.probed_at > FRESH:
+        if (
+            self.load_field is not None
+            and not self.has_report(server)
+            and now - stand.probed_at > REPORT_VALID_SECONDS
+        ):
             stand.probed_at = now
             self.host.probe(server)
 
     def awaits_report(self, server: Server) -> bool:
         """Was it asked, and may the answer still come in time?"""
-        return not self.has_report(server) and self.host.now - server.local_state.probed_at < ASKED_FOR
+        return (
+            not self.has_report(server) and self.host.now - server.local_state.probed_at < PROBE_WAIT_SECONDS
+        )
 
     def on_probe_result(self, server: Server, result: Result) -> None:
         """What it found. No connection is no failure of the server, but no call is sent there for a while."""
@@ -513,7 +588,9 @@
         else:
             return
         # That it is full stands longer: guards against asking in vain at each try of a client in a jam.
-        stand.report_valid_until = self.host.now + (FULL_FRESH if stand.reported_load >= FULL else FRESH)
+        stand.report_valid_until = self.host.now + (
+            FULL_REPORT_VALID_SECONDS if stand.reported_load >= FULL_LOAD else REPORT_VALID_SECONDS
+        )
 
     def handle(self, call: Call) -> None:
         server = call.candidates[0]
@@ -559,7 +636,7 @@
         stand.consecutive_failures, stand.established_legs[leg], stand.failure_weight = (
             0,
             None,
-            min(1.0, stand.failure_weight + REGAIN),
+            min(1.0, stand.failure_weight + WEIGHT_REGAIN),
         )
         self.previous.on_established(leg)
 
@@ -573,7 +650,7 @@
             self.balancer.overload.on_reset(leg.server, self.host.now)
         self.count_leg(leg.call, leg.server, -1)
         leg.server.local_state.established_legs.pop(leg, None)
-        soon = not leg.established or self.host.now - leg.sent < SOON
+        soon = not leg.established or self.host.now - leg.sent < SETUP_FAILURE_SECONDS
         if result.kind not in (model.COMPLETED, model.CANCELLED, model.MOOT) and soon:
             self.record_failure(leg.server)
         self.previous.on_leg_ended(leg, result)
@@ -581,15 +658,16 @@
     def record_failure(self, server: Server) -> None:
         stand = server.local_state
         stand.failure_weight, stand.consecutive_failures = (
-            max(FLOOR, stand.failure_weight / 2),
+            max(MIN_FAILURE_WEIGHT, stand.failure_weight / 2),
             stand.consecutive_failures + 1,
         )
-        if stand.consecutive_failures >= FAILURES and self.healthy(server):
+        if stand.consecutive_failures >= UNHEALTHY_AFTER_FAILURES and self.healthy(server):
             self.host.log(
-                f"server unhealthy for {HOLD:g} s after {stand.consecutive_failures} failures in a row"
+                f"server unhealthy for {UNHEALTHY_SECONDS:g} s "
+                f"after {stand.consecutive_failures} failures in a row"
             )
-        if stand.consecutive_failures >= FAILURES:
-            stand.unhealthy_until = self.host.now + HOLD
+        if stand.consecutive_failures >= UNHEALTHY_AFTER_FAILURES:
+            stand.unhealthy_until = self.host.now + UNHEALTHY_SECONDS
             self.balancer.zone.looked = -math.inf
 
 
@@ -613,9 +691,9 @@
             (-math.inf, {}),
         )
         link(self.answer, self.listing, self.effect, self.zone, self.selection)
-        host.set_timer(host.now + TIDY_EVERY * (1 + self.rng.uniform()), "rebalance")
+        host.set_timer(host.now + REBALANCE_INTERVAL_SECONDS * (1 + self.rng.uniform()), "rebalance")
         if settings.may_publish:
-            host.set_timer(host.now + TELL_EVERY * (1 + self.rng.uniform()), "publish")
+            host.set_timer(host.now + PUBLISH_INTERVAL_SECONDS * (1 + self.rng.uniform()), "publish")
         if settings.asks:
             host.set_timer(host.now + self.discovery_retry.first_delay(), "watch")
 
@@ -634,11 +712,13 @@
 
     def on_delay_reported(self, leg: Leg, delay: float) -> None:
         self.overload.last_server_notice = self.host.now
-        self.selection.record_delay(leg.server, delay / self.settings.shortest_message_aim, SWAMPED_FOR)
+        self.selection.record_delay(
+            leg.server, delay / self.settings.shortest_message_aim, NOTICE_VALID_SECONDS
+        )
 
     def fleet_load(self) -> dict[Server, float]:
         """What all balancers hold of each ready server; empty where nobody tells."""
-        if self.host.now >= self.filled[0] + LOOK:
+        if self.host.now >= self.filled[0] + CACHE_SECONDS:
             self.filled = self.host.now, self.overload.fleet_load(self.listing.ready, self.host.now)
         return self.filled[1]
 
@@ -656,25 +736,25 @@
         if isinstance(what, Call):
             self.answer.due(what)
         elif isinstance(what, Server) and what.cordoned:
-            self.selection.move(list(what.local_state.established_legs), OUT_SHARE)
-            self.host.set_timer(self.host.now + OUT_EVERY, what)
+            self.selection.move(list(what.local_state.established_legs), CORDON_MOVE_SHARE)
+            self.host.set_timer(self.host.now + CORDON_MOVE_INTERVAL_SECONDS, what)
         elif what == "queue":
             waiting, self.queued, self.looks = self.queued, [], False
             for call in waiting:
                 # Guards against a long queue, and looking everywhere while none it waits for has room.
-                if len(self.queued) < KEPT_LOOKS and self.may_be_placed(call):
+                if len(self.queued) < MAX_QUEUE_TRIES and self.may_be_placed(call):
                     self.again(call)
                 else:
                     self.enqueue(call)
         elif what == "rebalance":
             self.host.set_timer(
-                self.host.now + TIDY_EVERY, "rebalance"
+                self.host.now + REBALANCE_INTERVAL_SECONDS, "rebalance"
             )  # first: a fault in one look ends no other
             self.selection.update_overload_shares()
             self.zone.limit_fleet_overload()
             self.zone.rebalance()
         elif what == "publish":
-            self.host.set_timer(self.host.now + TELL_EVERY, "publish")
+            self.host.set_timer(self.host.now + PUBLISH_INTERVAL_SECONDS, "publish")
             self.overload.on_period(self.host.now)
         elif what == "watch":
             self.host.watch()
@@ -698,12 +778,12 @@
         """No server may take the call yet: hold it while it is worth something, then answer at once."""
         if call.done:
             return
-        if self.host.now >= call.arrived + KEEP_SHARE * call.type.setup_target:
+        if self.host.now >= call.arrived + QUEUE_TIME_SHARE * call.type.setup_target:
             self.answer.give_up(call, "no-room")
             return
         if not self.looks:
             self.looks = True
-            self.host.set_timer(self.host.now + KEEP_STEP, "queue")
+            self.host.set_timer(self.host.now + QUEUE_INTERVAL_SECONDS, "queue")
         self.queued.append(call)
 
     def on_servers_listed(self, servers: list[Server]) -> None:
--- a/bellrack/lab/cli.py
+++ b/bellrack/lab/cli.py
@@ -20,7 +20,7 @@
   run      Play a scenario on virtual time and judge the four rules; a row a policy.
   live     Play it on real sockets: bellrack serve processes before stand-in servers, all on loopback.
   compare  Say whether the second folder of results (FOLDER or FOLDER:POLICY) differs from the first.
-  sweep    Play it with several values of a key: clients.rate=4,6,8 or choice.GROWTH=0.3,0.5.
+  sweep    Play it with several values of a key: clients.rate=4,6,8 or choice.PACE_SHARE_PER_SECOND=0.3,0.5.
   shrink   Cut a scenario that breaks a rule, or serves less than asked, to the least that still does.
   report   Make one HTML page of a folder of results.
   check    Say what a scenario asks for, and whether it can be played.
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -121,7 +121,7 @@
         bench.run(bench.now + 0.02)
         bench.call()
         bench.end_leg(bench.sent[-1][0], model.COMPLETED)
-    gap = bench.rules.ramp_time / (2 * choice.AHEAD * bench.balancer.slow_start.baseline_load())
+    gap = bench.rules.ramp_time / (2 * choice.SLOW_START_FACTOR * bench.balancer.slow_start.baseline_load())
     assert sum(leg.server is cold for leg, _ in bench.sent[before:]) <= 1 + 20 * 0.02 / gap < 20
 
 
@@ -131,9 +131,11 @@
     for _ in range(16):
         bench.call()
     # What it surely bears goes at once: guards against a mass reconnect rejected while servers stand empty.
-    assert len(bench.sent) == choice.FIRST_FILL
+    assert len(bench.sent) == choice.ASSUMED_CONNECTIONS_PER_CAPACITY
     bench.run(bench.now + 0.24)
-    assert {leg.server for leg, _ in bench.sent} == {home} and len(bench.sent) == choice.FIRST_FILL + 1
+    assert {leg.server for leg, _ in bench.sent} == {home} and len(
+        bench.sent
+    ) == choice.ASSUMED_CONNECTIONS_PER_CAPACITY + 1
 
 
 def test_after_a_restart_servers_half_warm_are_not_taken_for_cold():
@@ -315,7 +317,7 @@
         bench.call(group=77)
         bench.run(bench.now + 0.3)
         chosen |= {leg.server.id_hash for leg, _ in bench.sent}
-    assert 1 <= len(chosen) <= choice.LOTS
+    assert 1 <= len(chosen) <= choice.MAX_CANDIDATES_TRIED
 
 
 def test_forty_balancers_with_a_connection_each_do_not_fill_a_late_server_up_again():
@@ -327,13 +329,13 @@
         [server] = bench.fleet(0)
         bench.call()
         bench.establish(leg := bench.sent[0][0])
-        bench.balancer.on_delay_reported(leg, choice.MOVE_MOST * bench.rules.shortest_message_aim)
+        bench.balancer.on_delay_reported(leg, choice.MAX_MOVE_FACTOR * bench.rules.shortest_message_aim)
         if bench.moved:
             moved += 1
             bench.end_leg(leg, model.CANCELLED)
-        bench.run(bench.now + 2 * choice.SWAMPED_FOR)
+        bench.run(bench.now + 2 * choice.NOTICE_VALID_SECONDS)
         refilled += bench.balancer.selection.has_room(server) and not server.local_state.open_legs
-    share = choice.MOVE_SHARE * choice.MOVE_MOST
+    share = choice.MOVE_SHARE * choice.MAX_MOVE_FACTOR
     assert 0.4 * 40 * share <= moved
     assert 0 < refilled <= 1.5 * (1 - share) * moved
 
@@ -412,9 +414,9 @@
     holder.local_state.limit, holder.local_state.limit_cut_at = 0.0, bench.now  # full, and the others are not
     call = bench.call(group=7)
     kind = call.type
-    bench.run(call.arrived + choice.HOLDERS_FOR * kind.setup_target - 0.01)
+    bench.run(call.arrived + choice.GROUP_HOLDERS_TIME_SHARE * kind.setup_target - 0.01)
     assert not call.legs and not call.done  # it waits for its group's holder first
-    bench.run(call.arrived + choice.KEEP_SHARE * kind.setup_target)
+    bench.run(call.arrived + choice.QUEUE_TIME_SHARE * kind.setup_target)
     assert [leg.server in fleet and leg.server is not holder for leg in call.legs] == [True]
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -45,7 +45,7 @@
 
 
 def all_tokens_kept(monkeypatch):
-    monkeypatch.setattr(choice, "RUSH", 1e-9)
+    monkeypatch.setattr(choice, "RUSH_FACTOR", 1e-9)
 
 
 # Two hundred balancers whose clients come again while the first of a warm-up's tokens are out.
@@ -131,7 +131,7 @@
             for _ in range(4):
                 clients.append(await world.call("c=chat,t=acme,d=50000"))
             await world.until(lambda calls=4 * number: world.node.counters["calls"] == calls)
-        allowed = 4.0 * choice.FIRST_FILL * (0.2 + 0.8 * 26 / RAMP) * 2.0 / RAMP
+        allowed = 4.0 * choice.ASSUMED_CONNECTIONS_PER_CAPACITY * (0.2 + 0.8 * 26 / RAMP) * 2.0 / RAMP
         assert len(waiting) > most_requests(allowed)
         come_up.set()
         sent = 0
@@ -178,5 +178,5 @@
             node.over.set()
             await serving
     warm = 0.2 + 0.8 * (AGE / RAMP)
-    allowed = FACTOR * choice.FIRST_FILL * warm * WINDOW / RAMP
+    allowed = FACTOR * choice.ASSUMED_CONNECTIONS_PER_CAPACITY * warm * WINDOW / RAMP
     assert 0 < len(lines) <= most_requests(allowed), lines
--- a/tests/test_gossip_live.py
+++ b/tests/test_gossip_live.py
@@ -23,7 +23,7 @@
 from bellrack.net import node
 from bellrack.net.config import read_config
 from bellrack.peers import gossip
-gossip.LARGE, gossip.EACH, gossip.HEARS_FOR, choice.TELL_EVERY = 2, 0.09, 2.0, 0.1
+gossip.LARGE, gossip.EACH, gossip.HEARS_FOR, choice.PUBLISH_INTERVAL_SECONDS = 2, 0.09, 2.0, 0.1
 held, listed, turn = json.loads(sys.argv[2]), gossip.Gossip.on_servers_listed, gossip.Gossip.on_period
 def filled(self, servers, zone):
     listed(self, servers, zone)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -482,7 +482,7 @@
     assert rows[0]["store_calls"] < rows[1]["store_calls"]
     rows = experiment.sweep(
         raw({"kind": "failing", "at": 1.0, "count": 2, "lasts": 18.0}),
-        "choice.FAILURES",
+        "choice.UNHEALTHY_AFTER_FAILURES",
         [1, 50],
         [1],
         "bellrack",
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -152,7 +152,7 @@
         usual = sum(server.local_state.open_legs for server in warm) / 2
         assert (
             cold.local_state.open_legs
-            <= 1 + choice.AHEAD * usual * (bench.now - start) / bench.rules.ramp_time
+            <= 1 + choice.SLOW_START_FACTOR * usual * (bench.now - start) / bench.rules.ramp_time
         )
     assert cold.local_state.open_legs > 3
 
@@ -179,7 +179,7 @@
                     bench.end_leg(bench.sent[-1][0], model.RESET)
         total += sum(server.local_state.open_legs for server in warm) / len(warm)
     # Of what servers bear in all, or eight before any was seen.
-    even = choice.AHEAD * (total + 8.0) * 3.2 / rules.ramp_time
+    even = choice.SLOW_START_FACTOR * (total + 8.0) * 3.2 / rules.ramp_time
     assert sent <= 3 * even + 4 * even**0.5 + 1  # a place filled, freed and filled again at twice the pace
 
 
@@ -198,5 +198,5 @@
                 bench.balancer.selection.send(Call(rules.types[0], 1e9), cold)
                 placed += 1
         assert bench.now <= start + warm_share * rules.ramp_time + 0.01
-    even = choice.FIRST_FILL * warm_share  # nothing was seen yet of what servers bear
-    assert 1.5 * even <= placed <= choice.AHEAD * even + even**0.5
+    even = choice.ASSUMED_CONNECTIONS_PER_CAPACITY * warm_share  # nothing was seen yet of what servers bear
+    assert 1.5 * even <= placed <= choice.SLOW_START_FACTOR * even + even**0.5
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -262,7 +262,7 @@
 def allowed():
     """What one balancer alone may send in the window: the server is as cold as it gets."""
     warm = 0.2 + 0.8 * (AGE + 5.0) / RAMP
-    return most_requests(FACTOR * choice.FIRST_FILL * warm * WINDOW / RAMP)
+    return most_requests(FACTOR * choice.ASSUMED_CONNECTIONS_PER_CAPACITY * warm * WINDOW / RAMP)
 
 
 @pytest.mark.parametrize("how", ["hot restart", "kill", "two hot restarts"])
