--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -168,7 +168,7 @@
             return math.inf
         if call.type.effect == model.ONCE_ONLY:
             return -math.inf
-        return risky[0].sent + call.type.key_ttl - model.HELD_UP - self.settings.tick
+        return risky[0].sent + call.type.key_ttl - model.MAX_STALL_SECONDS - self.settings.tick
 
     def risky(self, call: Call) -> list[Leg]:
         """Legs that are not known never to have run."""
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -33,12 +33,21 @@
 # Values of a report: load over what the server can do, seconds piled up, errors a second, cores in use,
 # calls held.
 FULLNESS, BACKLOG, ERRORS, BUSY, HELD = "fullness", "backlog", "errors", "busy", "held"
-PAIR = 2  # balancers tell one another nothing: each sees half itself, and its set-ups and the other's are few
-SURE = 5.0  # connections by listed size, of all balancers, that fill no server
-STEADY, WHOLE = 2 / 3, 1.5  # of a budget what comes anew; of a larger one all but one request
-SLACK = 1.0  # requests that the budget of a cold server spends of the two that its rule leaves besides
+MAX_PEERS_WITHOUT_EXCHANGE = (
+    2  # balancers tell one another nothing: each sees half itself, and its set-ups and the other's are few
+)
+SAFE_CONNECTIONS_PER_CAPACITY = 5.0  # connections by listed size, of all balancers, that fill no server
+STEADY_BUDGET_SHARE, WHOLE_REQUEST_BUDGET = (
+    2 / 3,
+    1.5,
+)  # of a budget what comes anew; of a larger one all but one request
+BUDGET_SLACK_REQUESTS = (
+    1.0  # requests that the budget of a cold server spends of the two that its rule leaves besides
+)
 NEVER_RAN = (FULL, NO_CONN, MOOT)  # results that prove the leg had no effect
-HELD_UP = 0.15  # seconds that a host may be held up between reading its clock and writing (STANDING.md)
+MAX_STALL_SECONDS = (
+    0.15  # seconds that a host may be held up between reading its clock and writing (STANDING.md)
+)
 
 
 @dataclass(eq=False)
@@ -87,23 +96,24 @@
 
     def slow_start_allowance(self, borne: float, size: float) -> float:
         """This balancer's part of N, the requests that the settings allow a cold server in `fall_time`."""
-        bears = max(borne, SURE / self.peers) * size
+        bears = max(borne, SAFE_CONNECTIONS_PER_CAPACITY / self.peers) * size
         return self.overload_factor * self.fall_time / self.ramp_time * bears
 
     def slow_start_budget(self, borne: float, size: float) -> tuple[float, float]:
         """This balancer's part of the requests that a cold server may be sent within `fall_time`, and how
         many of them may come anew in it, from own connections by size that warm ones bear and the size that
-        it has by now. Over all balancers N + 2 sqrt(N) + SLACK at most, N being overload_factor times what
+        it has by now. Over all balancers N + 2 sqrt(N) + BUDGET_SLACK_REQUESTS at most,
+        N being overload_factor times what
         fills it evenly over its warm-up."""
         allowed = self.slow_start_allowance(borne, size)
-        budget = allowed + 2 * math.sqrt(allowed / self.peers) + SLACK / self.peers
-        return budget, budget - 1 if budget > WHOLE else STEADY * budget
+        budget = allowed + 2 * math.sqrt(allowed / self.peers) + BUDGET_SLACK_REQUESTS / self.peers
+        return budget, budget - 1 if budget > WHOLE_REQUEST_BUDGET else STEADY_BUDGET_SHARE * budget
 
     @property
     def peers_unseen(self) -> bool:
         """One of many balancers, whom nobody tells what the others hold: neither they nor reports. What each
         opens for a group beyond the group's first server then adds up, unseen."""
-        return self.peers > PAIR and not self.may_publish and not self.report
+        return self.peers > MAX_PEERS_WITHOUT_EXCHANGE and not self.may_publish and not self.report
 
     @property
     def answer_margin(self) -> float:
--- a/bellrack/settings.py
+++ b/bellrack/settings.py
@@ -136,7 +136,9 @@
             overload_factor=over_nought("overloadFactor", rules.get("overloadFactor", 1.0)),
             fall_time=over_nought("fallUs", rules.get("fallUs", 1e6)) / 1e6,
             number=number,
-            may_publish=bool(caps.get("mayTell")) and 0 <= number < peers and peers > model.PAIR,
+            may_publish=bool(caps.get("mayTell"))
+            and 0 <= number < peers
+            and peers > model.MAX_PEERS_WITHOUT_EXCHANGE,
             drain_grace=rules.get("stopSendingWithinUs", 1e6) / 1e6,
             ask_within=over_nought("askWithinUs", rules.get("askWithinUs", 1e7)) / 1e6,
         )
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -48,7 +48,7 @@
     Mutant(
         "a repeat's window is the decision's",
         (
-            ("choice.py", "key_ttl - model.HELD_UP - self.settings.tick", "key_ttl"),
+            ("choice.py", "key_ttl - model.MAX_STALL_SECONDS - self.settings.tick", "key_ttl"),
             ("net/servers.py", "        if now >= self.leg.call.write_by:\n", "        if False:\n"),
             NOT_PREVENTED,
         ),
--- a/tests/test_blind.py
+++ b/tests/test_blind.py
@@ -95,7 +95,8 @@
 
 
 @pytest.mark.parametrize(
-    "told", [{"may_publish": True}, {"report": (model.FULLNESS,)}, {"peers": model.PAIR}]
+    "told",
+    [{"may_publish": True}, {"report": (model.FULLNESS,)}, {"peers": model.MAX_PEERS_WITHOUT_EXCHANGE}],
 )
 def test_who_is_told_what_others_hold_or_sees_most_itself_asks_a_groups_further_servers(told):
     assert settings(peers=BALANCERS).peers_unseen
@@ -130,7 +131,7 @@
     assert room(one)
 
 
-@pytest.mark.parametrize("told", [{"peers": model.PAIR}, {"peers": 1}])
+@pytest.mark.parametrize("told", [{"peers": model.MAX_PEERS_WITHOUT_EXCHANGE}, {"peers": 1}])
 def test_who_hears_of_lateness_before_a_reset_cuts_little_and_closes_nothing(told):
     _, one, _, held = shed(**told)
     assert one.local_state.limit == pytest.approx(0.95 * held)
