--- a/bellrack/net/config.py
+++ b/bellrack/net/config.py
@@ -14,7 +14,14 @@
 from bellrack.model import Settings
 from bellrack.net import transient
 from bellrack.net.lines import LineError, Listing, address, listing
-from bellrack.settings import ProtocolNames, SettingsError, check_shape, missing, parse_names, parse_settings
+from bellrack.settings import (
+    ProtocolNames,
+    SettingsError,
+    check_shape,
+    first_missing_key,
+    parse_protocol_names,
+    parse_settings,
+)
 
 
 @dataclass(eq=False)
@@ -63,7 +70,7 @@
     new = read_config(config.path)
     if new.known_error:
         raise SettingsError(f"{config.path}: known: {new.known_error}")
-    if lacks := missing(new.raw, config.raw):
+    if lacks := first_missing_key(new.raw, config.raw):
         raise SettingsError(f"{config.path}: no value at '{lacks}', which it had")
     for name in ("zone", "asks", "live", "report"):
         if getattr(new.settings, name) != getattr(config.settings, name):
@@ -91,7 +98,7 @@
             seed=int(str(raw.get("seed", "0")), 16),
             sockets=int(raw.get("limits", {}).get("sockets", 1024)),
             settings=parse_settings(check_shape(raw["settings"])),
-            names=parse_names(raw["settings"]),
+            names=parse_protocol_names(raw["settings"]),
             known=known,
             known_error=known_error,
             peer_listen=address(raw["peer_listen"]) if raw.get("peer_listen") else None,
--- a/bellrack/settings.py
+++ b/bellrack/settings.py
@@ -14,16 +14,16 @@
 EFFECTS = {"retryable": model.REPEATABLE, "dedup": model.REFERENCED, "fragile": model.ONCE_ONLY}
 
 
-REPORT = {
+REPORT_FIELDS = {
     "x0": model.FULLNESS,
     "x1": model.BACKLOG,
     "errors_per_s": model.ERRORS,
     "utilization": model.BUSY,
     "outstanding": model.HELD,
 }
-MOST_FIELDS = 4
-KEPT = 60.0  # seconds for which a traffic type that has vanished is still served
-WEIGHTS = ("nominal", "rough", "off", "live")
+MAX_REPORT_FIELDS = 4
+RETAIN_SECONDS = 60.0  # seconds for which a traffic type that has vanished is still served
+WEIGHT_MODES = ("nominal", "rough", "off", "live")
 
 
 class SettingsError(ValueError):
@@ -51,13 +51,13 @@
         against clients that are moved, come again as what they were, and hear that there is none such."""
         for name, index in former.types.items():
             since = former.vanished.get(name, now)
-            if name not in self.types and now - since <= KEPT:
+            if name not in self.types and now - since <= RETAIN_SECONDS:
                 self.vanished[name], self.types[name] = since, len(settings.types)
                 settings.types.append(types[index])
                 self.default_timeouts.append(former.default_timeouts[index])
         for name, index in former.tenants.items() if self.tenants else ():
             since = former.closed.get(name, now)
-            if name not in self.tenants and now - since <= KEPT:
+            if name not in self.tenants and now - since <= RETAIN_SECONDS:
                 self.closed[name], self.tenants[name] = since, index
 
 
@@ -72,26 +72,26 @@
         raise SettingsError(str(error)) from error
 
 
-def over_nought(name: str, value: float) -> float:
+def positive(name: str, value: float) -> float:
     """Guards against a slip of the pen with which every call would be given up at once, or wait for ever."""
     if not 0 < value < math.inf:
         raise SettingsError(f"{name} is {value}, not over 0")
     return value
 
 
-def missing(raw: Any, former: Any) -> str:
+def first_missing_key(raw: Any, former: Any) -> str:
     """The first key that stood in the former object, or in every row of its lists, and is not in this one."""
     if isinstance(former, dict) and isinstance(raw, dict):
         for key in former:
             if key not in raw:
                 return key
-            if inner := missing(raw[key], former[key]):
+            if inner := first_missing_key(raw[key], former[key]):
                 return f"{key}.{inner}"
     elif isinstance(former, list) and isinstance(raw, list):
         rows = [row for row in former if isinstance(row, dict)]
         common = {key: rows[0][key] for key in rows[0] if all(key in row for row in rows)} if rows else {}
         for row in raw if common else []:
-            if inner := missing(row, common) if isinstance(row, dict) else "a row":
+            if inner := first_missing_key(row, common) if isinstance(row, dict) else "a row":
                 return inner
     elif isinstance(former, dict | list):
         return "its own form"
@@ -115,9 +115,9 @@
         ]
         peers, number = int(raw["peersTotal"]), int(raw.get("slotNo", -1))
         for kind in types:
-            over_nought("setupTargetUs", kind.setup_target)
-            over_nought("messageAimUs", kind.message_aim)
-        over_nought("maxLegs", caps["maxLegs"])
+            positive("setupTargetUs", kind.setup_target)
+            positive("messageAimUs", kind.message_aim)
+        positive("maxLegs", caps["maxLegs"])
         if not types or peers < 1:
             raise SettingsError("no traffic types" if not types else f"peersTotal is {peers}")
         return Settings(
@@ -126,21 +126,21 @@
             peers=peers,
             asks=raw["discovery"] == "ask",
             live=raw.get("weights") == "live",
-            report=probes_tell(raw),
+            report=probe_report_fields(raw),
             max_legs=int(caps["maxLegs"]),
             max_open_wait=caps.get("maxRetryAfterUs", 0) / 1e6 if caps.get("retryAfter") else 0.0,
             tick=raw.get("tickUs", 0) / 1e6,
             answer_slack=rules["answerSlackUs"] / 1e6,
             cold_share=float(rules["coldShare"]),
-            ramp_time=over_nought("rampTimeUs", rules["rampTimeUs"]) / 1e6,
-            overload_factor=over_nought("overloadFactor", rules.get("overloadFactor", 1.0)),
-            fall_time=over_nought("fallUs", rules.get("fallUs", 1e6)) / 1e6,
+            ramp_time=positive("rampTimeUs", rules["rampTimeUs"]) / 1e6,
+            overload_factor=positive("overloadFactor", rules.get("overloadFactor", 1.0)),
+            fall_time=positive("fallUs", rules.get("fallUs", 1e6)) / 1e6,
             number=number,
             may_publish=bool(caps.get("mayTell"))
             and 0 <= number < peers
             and peers > model.MAX_PEERS_WITHOUT_EXCHANGE,
             drain_grace=rules.get("stopSendingWithinUs", 1e6) / 1e6,
-            ask_within=over_nought("askWithinUs", rules.get("askWithinUs", 1e7)) / 1e6,
+            ask_within=positive("askWithinUs", rules.get("askWithinUs", 1e7)) / 1e6,
         )
 
 
@@ -157,27 +157,27 @@
         how, fields = report.get("how", "off"), report.get("fields", [])
         for key, value, known in (
             ("discovery", raw["discovery"], ("ask", "push")),
-            ("weights", raw.get("weights", "nominal"), WEIGHTS),
+            ("weights", raw.get("weights", "nominal"), WEIGHT_MODES),
             ("report.how", how, ("off", "inline", "on_probe")),
             ("caps.probes", raw["caps"].get("probes", False), (True, False)),
         ):
             if not isinstance(value, type(known[0])) or value not in known:
                 raise SettingsError(f"{key} is {value!r}, not one of {', '.join(map(str, known))}")
         named = isinstance(fields, list) and all(isinstance(name, str) for name in fields)
-        if not named or len(fields) > MOST_FIELDS or len(set(fields)) < len(fields):
-            raise SettingsError(f"report.fields is no list of {MOST_FIELDS} different names at most")
+        if not named or len(fields) > MAX_REPORT_FIELDS or len(set(fields)) < len(fields):
+            raise SettingsError(f"report.fields is no list of {MAX_REPORT_FIELDS} different names at most")
         return raw
 
 
-def probes_tell(raw: Any) -> tuple[str, ...]:
+def probe_report_fields(raw: Any) -> tuple[str, ...]:
     """What a probe's report brings, in its order, by the names of the decisions; others keep theirs."""
     report = raw.get("report", {})
     if report.get("how") != "on_probe" or not raw["caps"].get("probes"):
         return ()
-    return tuple(REPORT.get(field, field) for field in report.get("fields", ()))
+    return tuple(REPORT_FIELDS.get(field, field) for field in report.get("fields", ()))
 
 
-def parse_names(raw: Any) -> ProtocolNames:
+def parse_protocol_names(raw: Any) -> ProtocolNames:
     """What a host on sockets needs besides."""
     with named_errors():
         special = raw["specifics"]
@@ -186,9 +186,9 @@
             tenants={row["name"]: index for index, row in enumerate(raw.get("accounts", []))},
             zones={name: index for index, name in enumerate(raw["areas"])},
             default_timeouts=[
-                over_nought("guardTimeUs", row["guardTimeUs"]) / 1e6 for row in raw["trafficTypes"]
+                positive("guardTimeUs", row["guardTimeUs"]) / 1e6 for row in raw["trafficTypes"]
             ],
-            connect_timeout=over_nought("connectTimeoutUs", raw["caps"]["connectTimeoutUs"]) / 1e6,
+            connect_timeout=positive("connectTimeoutUs", raw["caps"]["connectTimeoutUs"]) / 1e6,
             reports_delay=bool(special.get("tellsDelay")),
             reports_load=bool(special.get("tellsLoad")),
         )
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -9,7 +9,7 @@
 from helpers import World, played, raw_settings
 
 from bellrack import model, settings
-from bellrack.settings import SettingsError, missing
+from bellrack.settings import SettingsError, first_missing_key
 
 
 class File:
@@ -73,7 +73,7 @@
         assert (await file.read(changed(world.raw, more={}, third={}))) == (1, 0)
         await world.standing("c=third,t=acme,d=2000")
         await world.standing("c=chat,t=acme,d=2000,again=1")
-        monkeypatch.setattr(settings, "KEPT", -1.0)
+        monkeypatch.setattr(settings, "RETAIN_SECONDS", -1.0)
         assert (await file.read(changed(world.raw, more={}))) == (1, 0)
         gone = await world.call()
         assert await gone.line() == "SYNTAX"
@@ -89,7 +89,7 @@
         assert (await file.read(new)) == (1, 0)
         await world.standing("c=chat,t=other,d=2000")
         await world.standing("c=chat,t=acme,d=2000,again=1")
-        monkeypatch.setattr(settings, "KEPT", -1.0)
+        monkeypatch.setattr(settings, "RETAIN_SECONDS", -1.0)
         assert (await file.read(new)) == (1, 0)
         assert await (await world.call()).line() == "SYNTAX"
 
@@ -200,11 +200,13 @@
 
 def test_a_missing_key_is_named_with_its_way():
     former = raw_settings()
-    assert missing(former, former) == missing({"a": [], "b": {}}, {"a": [], "b": {}}) == ""
-    assert missing(former | {"caps": {}}, former) == "caps.maxLegs"
-    assert missing(former | {"areas": 3}, former) == "areas.its own form"
-    assert missing({"rows": [{"a": 1}, 5]}, {"rows": [{"a": 1}, {"a": 2, "b": 3}]}) == "rows.a row"
-    assert missing({"rows": []}, {"rows": [{"a": 1}]}) == ""  # a list may be shorter
+    assert (
+        first_missing_key(former, former) == first_missing_key({"a": [], "b": {}}, {"a": [], "b": {}}) == ""
+    )
+    assert first_missing_key(former | {"caps": {}}, former) == "caps.maxLegs"
+    assert first_missing_key(former | {"areas": 3}, former) == "areas.its own form"
+    assert first_missing_key({"rows": [{"a": 1}, 5]}, {"rows": [{"a": 1}, {"a": 2, "b": 3}]}) == "rows.a row"
+    assert first_missing_key({"rows": []}, {"rows": [{"a": 1}]}) == ""  # a list may be shorter
 
 
 @pytest.mark.parametrize("value", [0, -1, float("inf"), float("nan")])
