--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -133,7 +133,7 @@
     def give_up(self, call: Call, why: str) -> None:
         """Its one answer; `why` goes to the log."""
         call.refusal = why
-        if self.balancer.effect.harmless(call):
+        if self.balancer.effect.retry_is_harmless(call):
             self.host.reject(call, RETRY_AFTER_SHARE * self.settings.max_open_wait)
         else:
             self.host.release(call)
@@ -151,8 +151,8 @@
     def handle(self, call: Call) -> None:
         if any(leg.result is None for leg in call.legs):
             return
-        risky, kind = self.risky(call), call.type
-        call.write_by = self.write_by(call)
+        risky, kind = self.possibly_run_legs(call), call.type
+        call.write_by = self.latest_write(call)
         if self.host.now >= call.write_by:
             self.balancer.answer.give_up(call, "may-have-run")
             return
@@ -160,27 +160,27 @@
             call.candidates = [s for s in call.candidates if self.same_group(call, s, risky[0].server)]
         self.forward_or_queue(call)
 
-    def write_by(self, call: Call) -> float:
+    def latest_write(self, call: Call) -> float:
         """Until when the next attempt's line may be written: never where an earlier one may have run and is
         not dropped; only as long as it surely is, also if we are held up before the write."""
-        risky = self.risky(call)
+        risky = self.possibly_run_legs(call)
         if not risky or call.type.effect == model.REPEATABLE:
             return math.inf
         if call.type.effect == model.ONCE_ONLY:
             return -math.inf
         return risky[0].sent + call.type.key_ttl - model.MAX_STALL_SECONDS - self.settings.tick
 
-    def risky(self, call: Call) -> list[Leg]:
+    def possibly_run_legs(self, call: Call) -> list[Leg]:
         """Legs that are not known never to have run."""
         return [leg for leg in call.legs if leg.result is None or leg.result.kind not in model.NEVER_RAN]
 
     def same_group(self, call: Call, one: Server, other: Server) -> bool:
         return call.type.same_group(one, other)
 
-    def harmless(self, call: Call) -> bool:
+    def retry_is_harmless(self, call: Call) -> bool:
         """May the client be told that trying again does no harm?"""
         dropped = call.type.effect == model.REFERENCED and call.type.group == "all"
-        return call.type.effect == model.REPEATABLE or dropped or not self.risky(call)
+        return call.type.effect == model.REPEATABLE or dropped or not self.possibly_run_legs(call)
 
 
 class ListedStage(Stage):
