--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -114,7 +114,7 @@
     Mutant(
         "each process has a cold server's budget",
         (
-            ("choice.py", "server.local_state.tokens_used += max(0, self.tokens(server))", "pass"),
+            ("choice.py", "server.local_state.tokens_used += max(0, self.available_tokens(server))", "pass"),
             ("choice.py", "        self.suspended = on\n", "        self.suspended = False\n"),
         ),
         "cold",
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -391,11 +391,11 @@
 @pytest.fixture
 def quick(monkeypatch):
     for name, value in {
-        "GAP_FIRST": 0.05,
-        "GAP_MOST": 0.2,
-        "OVERLAP": 0.3,
-        "CONNECT": 0.15,
-        "AT_ONCE": 0.025,
+        "FIRST_DELAY_SECONDS": 0.05,
+        "MAX_DELAY_SECONDS": 0.2,
+        "HEDGE_AFTER_SECONDS": 0.3,
+        "CONNECT_TIMEOUT_SECONDS": 0.15,
+        "PROMPT_FAILURE_SECONDS": 0.025,
     }.items():
         monkeypatch.setattr(discovery_retry, name, value)
     monkeypatch.setattr(discovery, "LOOK", 0.025)
