--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -454,7 +454,7 @@
     quick, monkeypatch
 ):
     refusal = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-    monkeypatch.setattr(discovery_retry, "AT_ONCE", 60.0)
+    monkeypatch.setattr(discovery_retry, "PROMPT_FAILURE_SECONDS", 60.0)
     async with World() as world:
         age = world.node.discovery.age
         for number in range(3):
@@ -463,7 +463,7 @@
             call.writer.write(refusal)
             await world.until(lambda least=number: world.node.counters["list_failures"] > least)
             assert age.confirmed_at > before and not age.reached
-        monkeypatch.setattr(discovery_retry, "AT_ONCE", 0.0)
+        monkeypatch.setattr(discovery_retry, "PROMPT_FAILURE_SECONDS", 0.0)
         call, _ = await world.question()
         call.writer.write(refusal)
         await world.until(lambda: age.reached)
@@ -528,8 +528,8 @@
 
 @played
 async def test_refused_beyond_the_bound_it_uses_only_servers_that_took_one_lately(quick, monkeypatch):
-    monkeypatch.setattr(discovery_retry, "TOLD", 1.0)
-    monkeypatch.setattr(discovery_retry, "SPARE", 0.1)
+    monkeypatch.setattr(discovery_retry, "TOLD_AFTER_SECONDS", 1.0)
+    monkeypatch.setattr(discovery_retry, "MARGIN_SECONDS", 0.1)
     rules = {"answerSlackUs": 16000, "coldShare": 0.2, "rampTimeUs": 2e7, "stopSendingWithinUs": 1e5}
     async with World(servers=3, obligations=rules) as world:
         living = asyncio.Event()
