--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -85,7 +85,7 @@
     if not node.server_list.cordon(name, out):
         return 404, "no such server\n"
     node.hot_restart.publish_order(node.server_list.orders[lines.mark(name)])
-    log.tell("by_hand", server=name, out=out)
+    log.event("by_hand", server=name, out=out)
     return 200, "out\n" if out else "back\n"
 
 
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -234,7 +234,7 @@
         if doubts != self.doubts:
             self.doubts = doubts
             self.node.counters["doubtful_lists"] += doubts
-            log.tell("list", doubtful=doubts)
+            log.event("list", doubtful=doubts)
             if not doubts:
                 self.node.server_list.mark_doubtful(math.inf)
         if doubts:
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -49,7 +49,7 @@
                 return await asyncio.to_thread(sibling.connect_to_predecessor, path)
             except (sibling.BusyError, OSError) as error:
                 if self.node.clock() >= end:
-                    log.tell("handover", taken="nothing", error=repr(error))
+                    log.event("handover", taken="nothing", error=repr(error))
                     break
             await asyncio.sleep(TURN_LOOK)
         return None
@@ -117,7 +117,7 @@
             self.giver = self.sibling.giver
             node.listeners.stop_accepting()
             node.balancer.slow_start.suspend(True)  # two processes are one balancer: it has the budget now
-            log.tell("followed")
+            log.event("followed")
 
     def on_sibling_lost(self, lost: sibling.Sibling) -> None:
         """The other process is gone."""
--- a/bellrack/net/invariants.py
+++ b/bellrack/net/invariants.py
@@ -44,7 +44,7 @@
 
     def violated(self, invariant: Invariant, request_id: str, **detail: object) -> None:
         self.counters[f"violation_{invariant.value}"] += 1
-        log.tell("violation", rule=invariant.value, id=request_id, **detail)
+        log.event("violation", rule=invariant.value, id=request_id, **detail)
 
     def may_write(self, leg: Leg, request_id: str, now: float, answered: bool, allowed: float) -> bool:
         """Checks an attempt at the moment at which its first line would go out; `now` in seconds. `allowed`:
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -50,7 +50,7 @@
             except (BlockingIOError, ConnectionAbortedError, InterruptedError):
                 return
             except OSError as error:
-                log.tell("accept", error=error)
+                log.event("accept", error=error)
                 self.pause()
                 return
 
@@ -132,7 +132,7 @@
             self.successor_socket = sibling.SuccessorSocket(self.node, self.successor_path)
         except OSError as error:
             if not self.successor_socket_failed:
-                log.tell("handover", offered="nothing", error=error)
+                log.event("handover", offered="nothing", error=error)
             self.successor_socket_failed = True
             if transient.passes(error):
                 self.node.after(transient.FOLDER_AGAIN, self.offer_hot_restart)
--- a/bellrack/net/log.py
+++ b/bellrack/net/log.py
@@ -39,7 +39,7 @@
     return '"' + text.replace('"', '\\"') + '"'
 
 
-def start() -> None:
+def configure() -> None:
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValue())
     logger.addHandler(handler)
@@ -49,11 +49,11 @@
     logging.getLogger("asyncio").addHandler(handler)
 
 
-def tell(event: str, **figures: object) -> None:
+def event(event: str, **figures: object) -> None:
     logger.info(event, extra={"figures": figures})
 
 
-def fault(event: str, **figures: object) -> None:
+def exception(event: str, **figures: object) -> None:
     """Within an except clause: what failed and where, on one line."""
     logger.error(event, exc_info=True, extra={"figures": figures})
 
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -62,7 +62,7 @@
 
     def log_end(self, link: Any, reason: str, figures: dict) -> None:
         self.counters[f"ended_{link.side}"] += 1
-        log.tell(
+        log.event(
             "ended", side=link.side, reason=reason, connection=link.number, **link.described(), **figures
         )
 
@@ -105,7 +105,7 @@
         self.at(when, self.on_timer, what)
 
     def log(self, text: str) -> None:
-        log.tell("mode", text=text)
+        log.event("mode", text=text)
 
     def on_timer(self, what: Any) -> None:
         self.balancer.on_timer(what)
@@ -269,7 +269,7 @@
             self.balancer.slow_start.suspend(False)  # what was issued until now is the predecessor's
         self.hot_restart.publish(took=True)
         self.address = self.listeners.socket.getsockname()
-        log.tell(
+        log.event(
             "serving",
             name=self.config.name,
             listen=lines.written(self.address),
@@ -286,7 +286,7 @@
 
     def show(self) -> None:
         """What operators are told at their door, as one line."""
-        log.tell("counters", **metrics.collect(self), longest_turn_us=int(1e6 * self.longest_turn))
+        log.event("counters", **metrics.collect(self), longest_turn_us=int(1e6 * self.longest_turn))
 
     def leave(self) -> None:
         """Asked to end: move what stands, spread over the time there is, and go once empty."""
@@ -295,13 +295,13 @@
 
 
 def run(config: Config) -> None:
-    log.start()
+    log.configure()
     start_signals.install()
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(
-            lambda _, said: log.tell(
+            lambda _, said: log.event(
                 "loop", what=said.get("message", ""), error=repr(said.get("exception", ""))
             )
         )
--- a/bellrack/net/passing.py
+++ b/bellrack/net/passing.py
@@ -168,7 +168,7 @@
             links = [client, self.standing(client, words)] if "line" in words else [client]
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             # Guards against what another version hands over in a form of its own.
-            log.tell("handover", taken="not one connection", error=repr(error))
+            log.event("handover", taken="not one connection", error=repr(error))
             for fd in fds:
                 os.close(fd)
             self.node.limits.counted(-len(fds))
--- a/bellrack/net/reload.py
+++ b/bellrack/net/reload.py
@@ -28,7 +28,7 @@
         return
     node.counters["config_reloads"] += 1
     waits = [name for name in NEEDS_RESTART if getattr(config, name) != getattr(node.config, name)]
-    log.tell(
+    log.event(
         "reload",
         discovery=lines.written(config.discovery),
         sockets=config.sockets,
@@ -41,7 +41,7 @@
 
 def refused(node: Any, error: SettingsError) -> None:
     """Guards against a file that is bad or half written: what was told before holds."""
-    log.tell("reload", taken="nothing", error=error)
+    log.event("reload", taken="nothing", error=error)
     node.counters["config_reload_errors"] += 1
 
 
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -131,7 +131,7 @@
         server.host_record.address = entry.address or server.host_record.address
         started = self.started(server.host_record, stamp, newest)
         if server.local_state and (state != server.state or started != server.started_at):
-            log.tell("server", name=entry.name, state=state, was=server.state, started=started)
+            log.event("server", name=entry.name, state=state, was=server.state, started=started)
         zones, zone = self.node.names.zones, server.zone
         if entry.zone:
             zone = zones.setdefault(entry.zone, len(zones))
@@ -229,7 +229,7 @@
 def load_known(node: Any) -> None:
     """The list that the configuration brings."""
     if node.config.known_error:
-        log.tell("known", taken="nothing", error=node.config.known_error)
+        log.event("known", taken="nothing", error=node.config.known_error)
     if node.config.known:
         node.server_list.load(node.config.known)
         if node.servers:  # guards against a list that was lost and, by its version, is never told again
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -24,7 +24,7 @@
         node.after(LOOK, self.look)
         if judged := node.balancer.overload.verdicts:
             if not node.counters["late_seen"]:
-                log.tell(
+                log.event(
                     "late-seen", notices=node.counters["late_notices"], promised=node.names.reports_delay
                 )
             node.counters["late_seen"] = judged
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -80,7 +80,7 @@
     try:
         part(node, predecessor)
     except (ValueError, TypeError, AttributeError, KeyError) as error:
-        log.tell("handover", taken="in part", without=part.__name__, error=repr(error))
+        log.event("handover", taken="in part", without=part.__name__, error=repr(error))
 
 
 def adopt_clock(node: Any, predecessor: Predecessor) -> None:
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -30,7 +30,7 @@
         self.node, self.started_at = node, node.now
         self.time_limit = min(LONGEST, max(node.names.default_timeouts)) + GRACE
         standing = [client for client in node.clients if client.other]
-        log.tell(
+        log.event(
             "leaving",
             standing=len(standing),
             seconds=self.time_limit,
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -104,7 +104,7 @@
             sock.close()
             raise
         if not isinstance(error, FileNotFoundError | ConnectionRefusedError):
-            log.tell("handover", taken="nothing", error=repr(error))
+            log.event("handover", taken="nothing", error=repr(error))
         sock.close()
         for fd in fds:
             os.close(fd)
@@ -209,7 +209,7 @@
                 fds = [self.node.listeners.socket.fileno(), theirs.fileno()]
                 sent = socket.send_fds(sock, [text], fds)  # what it does not take at once follows
         except OSError as error:
-            log.tell("handover", given="nothing", error=error)
+            log.event("handover", given="nothing", error=error)
             if error.errno == errno.EAGAIN or transient.passes(error):
                 with contextlib.suppress(OSError):
                     sock.sendall(BUSY)
--- a/bellrack/net/turns.py
+++ b/bellrack/net/turns.py
@@ -90,4 +90,4 @@
             what(*values)
         except Exception:
             self.counters["faults"] += 1
-            log.fault("fault", doing=getattr(what, "__qualname__", what))
+            log.exception("fault", doing=getattr(what, "__qualname__", what))
