--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -50,7 +50,7 @@
         now = self.node.clock()
         self.opened = now if self.opened is None else self.opened
         if self.call is None:
-            self.node.limits.spare[self] = now
+            self.node.limits.evictable[self] = now
             self.lasts(max(0.0, self.opened + limits.FIRST_LINE - now), self.stale)
         self.wake()
 
@@ -86,14 +86,14 @@
         super().spared()
 
     def ready(self) -> None:
-        if self.call is None and not self.node.limits.room(self.node.now, 2):
+        if self.call is None and not self.node.limits.make_room(self.node.now, 2):
             self.crowded_out()
         while not self.over and self.call is None and (line := self.ring.line()):
             self.first(line)
         if self.over:
             return
         if self.call is None and self.ring.held and not self.ended:
-            self.node.limits.wrote(self, self.node.now)
+            self.node.limits.on_partial_line(self, self.node.now)
         if self.other:
             self.pass_on()
         if self.call and not self.other and self.ring.held:
@@ -129,7 +129,7 @@
             return
         try:
             self.request_line = lines.parse_request_line(line)
-            if "at" not in self.request_line.values and not self.node.limits.room(self.node.now):
+            if "at" not in self.request_line.values and not self.node.limits.make_room(self.node.now):
                 if self.request_line.values.get("c") in self.node.names.types:
                     self.counted_as("rejected")
                 self.busy()
--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -22,7 +22,7 @@
     def made(self) -> None:
         self.request, admin_connections = Request(), self.node.admin_connections
         admin_connections[self] = None
-        if len(admin_connections) > self.node.limits.callers:
+        if len(admin_connections) > self.node.limits.max_admin_connections:
             # Guards against callers that hold connections with no whole call: the oldest of them goes.
             next(iter(admin_connections)).reply(503, "too many callers\n", "many-callers")
         self.lasts(limits.CALL, self.stale)
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -105,8 +105,8 @@
         if "held" in said:
             # What is on its way counts too: guards against hundreds that neither holds for an instant.
             on_the_way = int(said.get("passed", 0)) - self.taker.passed if self.taker else 0
-            node.limits.beside = int(said["held"]) + max(0, on_the_way)
-            node.limits.room(node.now)
+            node.limits.sibling_descriptors = int(said["held"]) + max(0, on_the_way)
+            node.limits.make_room(node.now)
         if "news" in said and said.get("discovery") == lines.written(node.discovery.address):
             node.server_list.on_sibling_news(lines.listing(said["news"]))
         if "out" in said or "back" in said:
@@ -125,7 +125,7 @@
             return
         lost.close()
         node, followed, self.sibling, self.giver = self.node, self.has_successor, None, None
-        node.limits.beside = 0
+        node.limits.sibling_descriptors = 0
         if node.over.is_set():
             return
         if followed:
--- a/bellrack/net/limits.py
+++ b/bellrack/net/limits.py
@@ -41,27 +41,29 @@
 
 class Limits:
     def __init__(self, sockets: int):
-        self.allow(sockets)
+        self.set_limit(sockets)
         self.probes = 0  # that are out
-        self.beside = 0  # descriptors of our other process: the two are counted as one
+        self.sibling_descriptors = 0  # descriptors of our other process: the two are counted as one
         self.descriptors = open_descriptors()
-        self.spare: dict[Any, float] = {}  # links without a call or answered, by when they became so
+        self.evictable: dict[Any, float] = {}  # links without a call or answered, by when they became so
         self.writing: dict[Any, float] = {}  # links with a part of a first line, by when they last wrote
         self.ids: dict[str, Any] = {}  # of calls whose connections are open
         self.seen: dict[str, None] = {}  # of calls that have ended, oldest first
         self.expects_resumed: Callable[[], bool] = bool  # may those without a word be resumed connections?
 
-    def allow(self, sockets: int) -> None:
+    def set_limit(self, sockets: int) -> None:
         hard = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         self.limit = min(sockets, hard if hard > 0 else sockets)
         self.reserve = min(RESERVE, 3 * self.limit // 8)
 
-    def counted(self, by: int) -> None:
+    def count_descriptors(self, by: int) -> None:
         self.descriptors += by
 
     def probe(self) -> bool:
         """May one more probe go out? A few have their part of the reserve."""
-        return self.probes < (self.reserve // PROBES_PART if self.crowded() else PROBES) and not self.spent()
+        return (
+            self.probes < (self.reserve // PROBES_PART if self.crowded() else PROBES) and not self.exhausted()
+        )
 
     def known(self, mark: str) -> bool:
         """An id is new with every connection. Guards against another client's: servers refuse it with
@@ -76,32 +78,32 @@
 
     def crowded(self, part: int = 1) -> bool:
         """No descriptors but the reserve, or that part of it."""
-        return self.descriptors + self.beside + self.reserve // part >= self.limit
+        return self.descriptors + self.sibling_descriptors + self.reserve // part >= self.limit
 
     def full(self, more: int) -> bool:
         """Not even that many more by the part of the reserve that clients may have."""
-        return self.descriptors + self.beside + more + self.reserve // 2 > self.limit
+        return self.descriptors + self.sibling_descriptors + more + self.reserve // 2 > self.limit
 
-    def spent(self) -> bool:
+    def exhausted(self) -> bool:
         """No descriptor at all, for whatever it is."""
         return self.descriptors >= self.limit
 
-    def wrote(self, link: Any, now: float) -> None:
+    def on_partial_line(self, link: Any, now: float) -> None:
         """A part of its first line came."""
-        self.spare.pop(link, None)
+        self.evictable.pop(link, None)
         self.writing.pop(link, None)
         self.writing[link] = now
 
-    def no_longer(self, link: Any) -> None:
+    def untrack(self, link: Any) -> None:
         """It has a call, or is gone."""
-        self.spare.pop(link, None)
+        self.evictable.pop(link, None)
         self.writing.pop(link, None)
 
-    def room(self, now: float, part: int = 1) -> bool:
+    def make_room(self, now: float, part: int = 1) -> bool:
         """Is there any? Guards against calls told BUSY for the sake of connections that say nothing, and slow
         writers let go before those that are silent or write no more."""
         spared_for = SLOW_FIRST_LINE if self.expects_resumed() else YOUNG
-        for waiting in (self.spare, self.writing):
+        for waiting in (self.evictable, self.writing):
             while self.crowded(part) and waiting:
                 link, since = next(iter(waiting.items()))
                 if now - since < spared_for:
@@ -110,6 +112,6 @@
         return not self.crowded(part)
 
     @property
-    def callers(self) -> int:
+    def max_admin_connections(self) -> int:
         """Operators' calls that may be under way: what is left of the half of the reserve for control."""
         return max(1, min(CALLERS, self.reserve // 2 - self.reserve // PROBES_PART - CONTROL))
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -57,7 +57,7 @@
     def accept_one(self) -> None:
         sock, _ = self.sockets[0].accept()
         sock.setblocking(False)
-        self.node.limits.counted(1)
+        self.node.limits.count_descriptors(1)
         task = self.node.loop.create_task(self.connect(sock))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
@@ -68,7 +68,7 @@
         except OSError:
             sock.close()  # it has gone again
         finally:
-            self.node.limits.counted(-1)  # its connection counts itself
+            self.node.limits.count_descriptors(-1)  # its connection counts itself
 
     def pause(self) -> None:
         """Who waits stays with the kernel until there is room."""
@@ -76,7 +76,7 @@
         self.node.after(limits.PAUSE, self.resume)
 
     def resume(self) -> None:
-        self.node.limits.room(self.node.now)
+        self.node.limits.make_room(self.node.now)
         self.read()
 
     def stop(self) -> None:
@@ -108,10 +108,10 @@
 
     async def open_admin(self) -> None:
         if place := self.node.config.control:
-            self.node.limits.counted(1)
+            self.node.limits.count_descriptors(1)
             sock = socket.create_server(place, backlog=limits.CALLERS)
             self.admin = Listener(
-                self.node, sock, lambda: not self.node.limits.spent(), lambda: AdminConnection(self.node)
+                self.node, sock, lambda: not self.node.limits.exhausted(), lambda: AdminConnection(self.node)
             )
 
     async def open(self, taken: socket.socket | None) -> None:
@@ -119,7 +119,7 @@
         self.socket = taken or socket.create_server(
             self.node.config.listen, reuse_port=self.hot_restart_enabled
         )
-        self.node.limits.counted(1)
+        self.node.limits.count_descriptors(1)
         self.accept()
         self.offer_hot_restart()
 
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -173,7 +173,7 @@
         self.counters["calls"] += 1
         call.host_record, client.call = client, call
         self.limits.ids[request_line.id] = client
-        self.limits.no_longer(client)
+        self.limits.untrack(client)
         client.lasts(None)
         if resumes:
             self.resumed.admit(client, wait if "d" in values else None)
--- a/bellrack/net/passing.py
+++ b/bellrack/net/passing.py
@@ -56,13 +56,13 @@
         self.node, self.sock = node, sock
         self.passed = 0  # descriptors that went over so far
         sock.setblocking(False)
-        node.limits.counted(1)
+        node.limits.count_descriptors(1)
 
     def close(self) -> None:
         if self.sock.fileno() >= 0:
             self.node.loop.remove_reader(self.sock.fileno())
             self.sock.close()
-            self.node.limits.counted(-1)
+            self.node.limits.count_descriptors(-1)
 
 
 class Giver(End):
@@ -153,7 +153,7 @@
                     self.close()
                     return
                 self.passed += len(fds)
-                self.node.limits.counted(len(fds))  # from now on, and not only once they are connections
+                self.node.limits.count_descriptors(len(fds))  # before they become connections
                 self.node.queue(self.take, data, fds)
 
     def take(self, data: bytes, fds: list[int]) -> None:
@@ -171,7 +171,7 @@
             log.event("handover", taken="not one connection", error=repr(error))
             for fd in fds:
                 os.close(fd)
-            self.node.limits.counted(-len(fds))
+            self.node.limits.count_descriptors(-len(fds))
             return
         task = self.node.loop.create_task(self.connect(links, [socket.socket(fileno=fd) for fd in fds]))
         self.tasks.add(task)
@@ -213,7 +213,7 @@
                 sock.setblocking(False)
                 await self.node.loop.connect_accepted_socket(lambda link=link: link, sock)
         finally:
-            self.node.limits.counted(-len(socks))  # each connection counts itself
+            self.node.limits.count_descriptors(-len(socks))  # each connection counts itself
             self.node.queue(self.up, links)
 
     def up(self, links: list[Link]) -> None:
--- a/bellrack/net/peer_socket.py
+++ b/bellrack/net/peer_socket.py
@@ -25,7 +25,7 @@
             local_addr=node.config.peer_listen,
             reuse_port=node.listeners.hot_restart_enabled or None,
         )
-        node.limits.counted(1)
+        node.limits.count_descriptors(1)
         return protocol
 
     def connection_made(self, transport: Any) -> None:
--- a/bellrack/net/reload.py
+++ b/bellrack/net/reload.py
@@ -50,6 +50,6 @@
     config.names.zones = node.names.zones  # with those that only the list has named
     node.settings.update_from(config.settings)
     node.names, config.settings, node.config = config.names, node.settings, config
-    node.limits.allow(config.sockets)
+    node.limits.set_limit(config.sockets)
     if config.discovery != node.discovery.address:
         node.discovery.move(config.discovery)
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -62,7 +62,7 @@
 
     def descriptors_free(self) -> bool:
         """Connections that have said nothing make room, as for any request."""
-        self.node.limits.room(self.node.now)
+        self.node.limits.make_room(self.node.now)
         return not self.node.limits.full(limits.CONNECTING)
 
     def on_attempt_ended(self, link: ServerLink, kind: str) -> None:
--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -125,7 +125,7 @@
     def count(self, on: bool) -> None:
         if self.counted != on:
             self.counted = on
-            self.node.limits.counted(1 if on else -1)
+            self.node.limits.count_descriptors(1 if on else -1)
 
     def get_buffer(self, hint: int) -> memoryview:
         return SCRATCH if self.over else self.ring.space()
@@ -150,7 +150,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         self.count(False)
-        self.node.limits.no_longer(self)
+        self.node.limits.untrack(self)
         self.lasts(None)
         self.ended = self.ended or ("rst" if error else "fin")
         self.wake()
@@ -247,7 +247,7 @@
                 self.transport.resume_reading()
             # Guards against whole lines that are lost with a side that is slow, and one that takes nothing.
             self.lasts(HELD if self.blocked else LINGER, self.transport.abort)
-            self.node.limits.spare.setdefault(self, self.node.now)
+            self.node.limits.evictable.setdefault(self, self.node.now)
 
     def described(self) -> dict[str, Any]:
         """What its log line tells of it beside its number."""
@@ -261,7 +261,7 @@
 
     def spared(self) -> None:
         """Its descriptor is needed and nothing is owed to it: guards against ends that wait long."""
-        self.node.limits.no_longer(self)
+        self.node.limits.untrack(self)
         if self.transport:
             self.transport.abort()
             self.count(False)  # the descriptor is free before the next is accepted
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -57,7 +57,7 @@
         self.task = self.node.loop.create_task(self._open(address, wait))
 
     async def _open(self, address: tuple[str, int], wait: float) -> None:
-        self.node.limits.counted(1)  # the descriptor is there from the start
+        self.node.limits.count_descriptors(1)  # the descriptor is there from the start
         sock = None
         try:
             sock = await self.connected(address, wait)
@@ -72,7 +72,7 @@
         finally:
             if self.transport is None and sock is not None:
                 sock.close()
-            self.node.limits.counted(-1)
+            self.node.limits.count_descriptors(-1)
 
     async def connected(self, address: tuple[str, int], wait: float) -> socket.socket:
         """A socket that is up, or on which the time is over. What our own machine fails in for a moment is
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -124,7 +124,7 @@
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        self.node.limits.counted(1)
+        self.node.limits.count_descriptors(1)
         transport.write(self.unsaid)
         self.held()
         self.data_received(self.early)
@@ -142,7 +142,7 @@
                 self.node.queue(self.node.hot_restart.on_message, said, first=True)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.node.limits.counted(-1)
+        self.node.limits.count_descriptors(-1)
         self.node.queue(self.node.hot_restart.on_sibling_lost, self)
 
     def send(self, **words: Any) -> None:
@@ -187,7 +187,7 @@
             with contextlib.suppress(OSError):
                 os.unlink(aside)
             raise
-        node.limits.counted(1)
+        node.limits.count_descriptors(1)
         node.loop.add_reader(self.sock.fileno(), self.on_connection)
 
     def on_connection(self) -> None:
@@ -226,4 +226,4 @@
     def close(self) -> None:
         self.node.loop.remove_reader(self.sock.fileno())
         self.sock.close()
-        self.node.limits.counted(-1)
+        self.node.limits.count_descriptors(-1)
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -78,8 +78,8 @@
     Mutant(
         "BUSY at the line",
         "net/clients.py",
-        'if "at" not in self.request_line.values and not self.node.limits.room(self.node.now):',
-        "if not self.node.limits.room(self.node.now):",
+        'if "at" not in self.request_line.values and not self.node.limits.make_room(self.node.now):',
+        "if not self.node.limits.make_room(self.node.now):",
     ),
     Mutant(
         "BUSY before the line",
@@ -108,7 +108,7 @@
     Mutant(
         "makes no room",
         "net/resumed.py",
-        "        self.node.limits.room(self.node.now)\n",
+        "        self.node.limits.make_room(self.node.now)\n",
         "",
     ),
     Mutant(
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -242,12 +242,12 @@
         room.descriptors = limit - control - 1
         assert not room.crowded(2) and not room.full(1) and room.full(2)
         room.descriptors += 1
-        assert room.crowded(2) and room.full(1) and not room.spent()
+        assert room.crowded(2) and room.full(1) and not room.exhausted()
         while room.probe():
             room.probes += 1
         # Probes, operators, two watches and a fetch of the list, three of a hand-off: all fit at once.
-        assert room.probes >= 2 and room.callers >= 4
-        assert room.probes + room.callers + 3 + 3 <= control
+        assert room.probes >= 2 and room.max_admin_connections >= 4
+        assert room.probes + room.max_admin_connections + 3 + 3 <= control
 
 
 @played
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -63,7 +63,9 @@
         await world.first_ends(serving)
         assert not old.clients and not old.listeners.listener
         assert len(world.node.clients) == 2 and again
-        await world.until(lambda: world.node.hot_restart.sibling is None and world.node.limits.beside == 0)
+        await world.until(
+            lambda: world.node.hot_restart.sibling is None and world.node.limits.sibling_descriptors == 0
+        )
 
 
 @played
@@ -387,11 +389,11 @@
 
 def test_descriptors_of_both_are_one_sum():
     room = Limits(200)
-    room.descriptors, room.beside = 60, 60
+    room.descriptors, room.sibling_descriptors = 60, 60
     assert not room.crowded() and not room.full(2)
-    room.beside = 100
+    room.sibling_descriptors = 100
     assert room.crowded() and not room.full(2)
-    room.beside = 115  # clients' connections leave half the reserve, here 24, to control
+    room.sibling_descriptors = 115  # clients' connections leave half the reserve, here 24, to control
     assert room.full(2) and not room.full(1)
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -99,7 +99,7 @@
             client.end("fin")
         while not world.arrived.empty():
             world.arrived.get_nowait()[1].end("rst")
-        await world.until(lambda: room.descriptors == before and not (room.ids or room.spare))
+        await world.until(lambda: room.descriptors == before and not (room.ids or room.evictable))
         stands = [server.local_state for server in world.node.servers.values()]
         assert not any(stand.open_legs or stand.established_legs or stand.legs_by_group for stand in stands)
         assert not (world.node.clients or world.node.balancer.open_legs or world.node.counters["faults"])
@@ -771,15 +771,15 @@
     class Waiting:
         def spared(self):
             gone.append(self)
-            room.no_longer(self)
-            room.counted(-1)
+            room.untrack(self)
+            room.count_descriptors(-1)
 
     room.descriptors = 78
     silent, stopped, slow = Waiting(), Waiting(), Waiting()
-    room.spare[silent] = 2.0
-    room.wrote(slow, 1.0)
-    room.wrote(stopped, 1.1)
-    room.wrote(slow, 2.5)
-    room.room(3.0)
+    room.evictable[silent] = 2.0
+    room.on_partial_line(slow, 1.0)
+    room.on_partial_line(stopped, 1.1)
+    room.on_partial_line(slow, 2.5)
+    room.make_room(3.0)
     assert gone == [silent, stopped, slow]
     assert limits.FIRST_LINE > 2.5  # true clients may take 2 s to write theirs, and come late
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -225,12 +225,12 @@
         room = world.node.limits
         await resumes(world)
         idle = [await world.dial() for _ in range(5)]
-        await world.until(lambda: len(room.spare) == 5)
+        await world.until(lambda: len(room.evictable) == 5)
         room.limit = room.descriptors + room.reserve
         late = idle[0]
         client = await world.call(AT)
         await comes_up(world, client)  # by its part of the reserve
-        assert len(room.spare) == 5
+        assert len(room.evictable) == 5
         late.say(f"OPEN 00000000000000fe 7f3a9c21e0b4d655 {AT}")
         await comes_up(world, late)
         monkeypatch.setattr(limits, "SLOW_FIRST_LINE", 0.0)
