--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -85,7 +85,7 @@
     def stop(self) -> None:
         """It is killed: whatever timers still bring, nothing is done any more."""
         self.alive = False
-        for question in (self.discovery.standing, self.discovery.younger, self.discovery.former):
+        for question in (self.discovery.current, self.discovery.hedged, self.discovery.previous):
             if question and question.transport:
                 question.transport.abort()
             elif question:
@@ -229,14 +229,14 @@
 @contextmanager
 def questions(form: type) -> Iterator[None]:
     """While this lasts the client of discovery makes its calls by that form of them, which counts bytes."""
-    before, discovery.Question = discovery.Question, form
+    before, discovery.DiscoveryRequest = discovery.DiscoveryRequest, form
     try:
         yield
     finally:
-        discovery.Question = before
+        discovery.DiscoveryRequest = before
 
 
-class Question(discovery.Question):
+class DiscoveryRequest(discovery.DiscoveryRequest):
     """A call of discovery whose bytes are counted."""
 
     def buffer_updated(self, count: int) -> None:
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -27,7 +27,7 @@
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.desk import Desk, Line
 from bellrack.lab.scale.guard import Guard, used_mb
-from bellrack.lab.scale.hollow import Hollow, Question, configurations, questions
+from bellrack.lab.scale.hollow import DiscoveryRequest, Hollow, configurations, questions
 from bellrack.lab.scale.plan import Plan, settings_of
 from bellrack.lab.scale.run import with_parent
 from bellrack.lab.scale.tier import Tier
@@ -426,5 +426,5 @@
             await tier.finish()
         return tier
 
-    with questions(Question):
+    with questions(DiscoveryRequest):
         return asyncio.run(played())
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -43,7 +43,7 @@
 from bellrack.model import Call, Leg, Result, Server, Settings
 from bellrack.net import lines
 from bellrack.net.config import parse_config, read_config, reread
-from bellrack.net.discovery import Question
+from bellrack.net.discovery import DiscoveryRequest
 from bellrack.net.node import Node
 from bellrack.net.peer_socket import PeerSocket
 from bellrack.net.servers import ServerLink
@@ -241,7 +241,7 @@
     return Host(parse_settings(deployment(peers, number, **changes)))
 
 
-class Fed(Question):
+class Fed(DiscoveryRequest):
     """A question whose answer is put into its ring, in place of a connection."""
 
     def open(self, address: tuple[str, int], wait: float) -> None: ...
@@ -274,7 +274,7 @@
 def watching(node: Node) -> Fed:
     """A watch whose head has come."""
     question = Fed(node, ("127.0.0.1", 1), True)
-    node.discovery.standing = question
+    node.discovery.current = question
     question.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     return question
 
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -14,7 +14,7 @@
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.desk import Desk, Line
 from bellrack.lab.scale.guard import Guard
-from bellrack.lab.scale.hollow import Hollow, Lean, Question, configurations, questions
+from bellrack.lab.scale.hollow import DiscoveryRequest, Hollow, Lean, configurations, questions
 from bellrack.lab.scale.plan import Plan
 from bellrack.lab.scale.tier import Tier
 from bellrack.model import Server
@@ -134,7 +134,7 @@
     def set_write_buffer_limits(self, high: int) -> None: ...
 
 
-class VirtualQuestion(Question):
+class VirtualDiscoveryRequest(DiscoveryRequest):
     def open(self, address: tuple[str, int], wait: float) -> None:
         self.node.loop.connect(self)
 
@@ -285,7 +285,7 @@
         self.set_off()
         gc.disable()  # guards against time of the collector that grows with all balancers of the process
         try:
-            with questions(VirtualQuestion):
+            with questions(VirtualDiscoveryRequest):
                 self.run_through(plan, tell)
         finally:
             gc.enable()
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -21,7 +21,7 @@
 AGAIN = 0.25  # of the grace of a drain: where lists are pushed a change counts as told while no watch is open
 
 
-class Question(Outgoing):
+class DiscoveryRequest(Outgoing):
     """One call to discovery: a watch, or a list."""
 
     side = "discovery"
@@ -90,17 +90,17 @@
             line, end, self.body = self.body.partition(b"\n")
             if news := self.objects.feed(line + end):
                 news = lines.listing(news)
-                discovery.spoke(self, news=True)
-                self.node.server_list.on_list(news, counts=self is not discovery.former)
+                discovery.on_line(self, news=True)
+                self.node.server_list.on_list(news, counts=self is not discovery.previous)
             elif self.objects.whole and not self.begun:
-                discovery.spoke(self, news=False)
+                discovery.on_line(self, news=False)
                 self.node.server_list.on_unchanged()  # it stands and has nothing new
             if self.objects.whole:
                 self.begun = True
                 # Guards against a watch kept alive by bytes that never make a line, or lines that never make
                 # an object: what it would have to tell counts as told all the same.
                 self.heard = self.node.now
-                if self is discovery.standing:
+                if self is discovery.current:
                     discovery.confirmed(self.node.now)
 
     def fail(self, reason: str) -> None:
@@ -118,79 +118,83 @@
     """The watch, while one stands or is asked for, the call beside it, and lists."""
 
     def __init__(self, node: Any, address: tuple[str, int], call: Callable[..., Any] | None = None):
-        self.node, self.address, self.call = node, address, call or (lambda *values: Question(*values))
-        self.standing: Any = None  # the watch, or the oldest call for one
-        self.younger: Any = None  # the call beside one that says nothing
-        self.former: Any = None  # of the address before, until the new one has told its list
+        self.node, self.address, self.call = (
+            node,
+            address,
+            call or (lambda *values: DiscoveryRequest(*values)),
+        )
+        self.current: Any = None  # the watch, or the oldest call for one
+        self.hedged: Any = None  # the call beside one that says nothing
+        self.previous: Any = None  # of the address before, until the new one has told its list
         self.overlap_at = math.inf  # when the next goes out beside the standing one
-        self.age = discovery_retry.ListAge(node.begun)
+        self.list_age = discovery_retry.ListAge(node.begun)
         self.doubts = self.ages = False  # the list is doubtful; it is on the way there
 
     def watch(self, on: bool = True) -> None:
-        if on and self.standing:
+        if on and self.current:
             return  # guards against a late retry that ends the watch which a change of address has brought
         self.end("watch-ended")
         if on:
-            self.standing = self.call(self.node, self.address, True)
+            self.current = self.call(self.node, self.address, True)
             self.overlap_at = self.node.now + self.node.balancer.discovery_retry.hedge_delay()
 
     def end(self, reason: str) -> None:
-        for question in (self.standing, self.younger):
+        for question in (self.current, self.hedged):
             if question:
                 question.stop(reason)
-        self.standing = self.younger = None
+        self.current = self.hedged = None
 
     def fetch(self) -> None:
         self.call(self.node, self.address, False)
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Another address from now on. Its versions are its own, so the first list is asked for whole; till
         it has come, the watch at the old address tells what it still has to."""
         self.address, self.node.server_list.version = address, 0
         self.node.balancer.discovery_retry.reset()
-        if self.standing and not self.standing.waits:
-            self.former, self.standing = self.standing, self.former
+        if self.current and not self.current.waits:
+            self.previous, self.current = self.current, self.previous
         self.end("watch-replaced")
         self.watch()
 
-    def spoke(self, question: Any, news: bool) -> None:
+    def on_line(self, question: Any, news: bool) -> None:
         """A call has brought a whole line, about to be heeded. Of two the one that speaks first is the watch;
         the first list of a new address replaces the old one's."""
-        if question is self.former:
+        if question is self.previous:
             return
-        if question is self.younger:
-            self.standing, self.younger = self.younger, self.standing
-        if self.younger:
-            self.younger.stop("watch-overtaken")
-            self.younger = None
-        if self.former and news:
-            self.former.stop("watch-replaced")
-            self.former = None
+        if question is self.hedged:
+            self.current, self.hedged = self.hedged, self.current
+        if self.hedged:
+            self.hedged.stop("watch-overtaken")
+            self.hedged = None
+        if self.previous and news:
+            self.previous.stop("watch-replaced")
+            self.previous = None
 
     def confirmed(self, since: float) -> None:
         """The list is what discovery had then, and was heeded."""
-        self.age.confirm(since)
+        self.list_age.confirm(since)
         self.node.server_list.confirmed = True
         self.node.balancer.discovery_retry.reset()
-        self.judge()
+        self.update_doubt()
 
     def failed(self, question: Any) -> None:
-        if question is self.former:
-            self.former = None  # expected, so not a failure of the list
+        if question is self.previous:
+            self.previous = None  # expected, so not a failure of the list
             return
         if question.met and not question.begun:  # the end of a watch tells nothing of what comes after it
-            self.age.on_reached()
+            self.list_age.on_reached()
         elif not question.met:
-            self.age.on_unreachable(question.started)
-        if question is self.younger or question is self.standing and self.younger:
+            self.list_age.on_unreachable(question.started)
+        if question is self.hedged or question is self.current and self.hedged:
             # The other one may still be answered; the next beside it goes out as if there were none.
-            self.standing = self.younger if question is self.standing else self.standing
-            self.younger = None
+            self.current = self.hedged if question is self.current else self.current
+            self.hedged = None
             self.node.counters["list_failures"] += 1
             self.overlap_at = self.node.now + self.node.balancer.discovery_retry.next_delay(question.reached)
             return
-        if question is self.standing:
-            self.standing = None
+        if question is self.current:
+            self.current = None
             if not self.node.settings.asks:  # changes come unasked there, so the host holds the watch
                 self.node.after(AGAIN * self.node.settings.drain_grace, self.watch)
         self.node.server_list.on_failure(question.reached)
@@ -201,36 +205,36 @@
         turn, and who gives that up goes to the end of the queue: it is kept, and another sent beside it."""
         self.node.after(LOOK, self.look)
         now = self.node.now
-        if self.former and now - self.former.heard > SILENT:
-            self.former.fail("watch-silent")
-        if (watch := self.standing) and not watch.waits and now - watch.heard > SILENT:
+        if self.previous and now - self.previous.heard > SILENT:
+            self.previous.fail("watch-silent")
+        if (watch := self.current) and not watch.waits and now - watch.heard > SILENT:
             if watch.begun:
-                self.age.on_watch_silent()
+                self.list_age.on_watch_silent()
                 self.end("watch-silent")
                 self.watch()
             else:
                 watch.fail("watch-silent")  # half an answer
         elif watch and not watch.begun and now >= self.overlap_at:
             self.overlap()
-        self.judge()
+        self.update_doubt()
 
     def overlap(self) -> None:
         """The standing call has not been answered for long."""
         self.node.counters["list_failures"] += 1
         retry = self.node.balancer.discovery_retry
-        if self.younger and self.node.now - self.standing.started > retry.hedge_patience:
-            self.standing, self.younger = self.younger, self.standing
-        if self.younger:
-            self.younger.stop("watch-late")
-        self.younger = self.call(self.node, self.address, True)
+        if self.hedged and self.node.now - self.current.started > retry.hedge_patience:
+            self.current, self.hedged = self.hedged, self.current
+        if self.hedged:
+            self.hedged.stop("watch-late")
+        self.hedged = self.call(self.node, self.address, True)
         self.overlap_at = self.node.now + retry.hedge_delay()
 
-    def judge(self) -> None:
+    def update_doubt(self) -> None:
         """May the list still be used for whatever it names?"""
-        if any(call and not call.begun and call.met for call in (self.standing, self.younger)):
-            self.age.on_reached()
+        if any(call and not call.begun and call.met for call in (self.current, self.hedged)):
+            self.list_age.on_reached()
         window = self.node.balancer.discovery_retry.window()
-        doubts = self.age.is_doubtful(self.node.now, window)
+        doubts = self.list_age.is_doubtful(self.node.now, window)
         if doubts != self.doubts:
             self.doubts = doubts
             self.node.counters["doubtful_lists"] += doubts
@@ -239,7 +243,7 @@
                 self.node.server_list.mark_doubtful(math.inf)
         if doubts:
             self.node.server_list.mark_doubtful(window)
-        ages = self.age.is_doubtful(self.node.now, window / 2)
+        ages = self.list_age.is_doubtful(self.node.now, window / 2)
         if ages or self.ages:
             self.node.server_list.mark_unproved(window / 2 if ages else math.inf)
         self.ages = ages
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -96,7 +96,7 @@
         in the versions of discovery's present address, not of the one before."""
         if self.sibling:
             discovery = self.node.discovery
-            address = discovery.address if of_present else discovery.former.address
+            address = discovery.address if of_present else discovery.previous.address
             self.publish(news=lines.retold(news), discovery=lines.written(address))
 
     def on_message(self, said: dict[str, Any]) -> None:
--- a/bellrack/net/reload.py
+++ b/bellrack/net/reload.py
@@ -52,4 +52,4 @@
     node.names, config.settings, node.config = config.names, node.settings, config
     node.limits.set_limit(config.sockets)
     if config.discovery != node.discovery.address:
-        node.discovery.move(config.discovery)
+        node.discovery.change_address(config.discovery)
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -188,7 +188,7 @@
     def mark_doubtful(self, window: float) -> None:
         """The list may lack what counts as told: new connections go only to servers that took one within the
         window (seconds). Infinite: the list is good again."""
-        since = max(self.node.now - window, self.node.discovery.age.proofs_valid_from)
+        since = max(self.node.now - window, self.node.discovery.list_age.proofs_valid_from)
         changed = False
         for server in self.node.servers.values():
             doubtful = server.last_accepted < since
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -31,7 +31,7 @@
 
 
 class Modelled:
-    """A call to discovery whose far side is modelled; what Discovery reads of a Question, and no more."""
+    """A call to discovery whose far side is modelled; what Discovery reads of DiscoveryRequest."""
 
     def __init__(self, node, address, watch):
         self.node, self.started, self.heard = node, node.now, node.now
@@ -105,7 +105,7 @@
     def answer(self, call):
         if not call.over and self.mode == "up":
             call.waits, call.begun, call.heard = False, True, call.node.now
-            call.node.discovery.spoke(call, news=True)
+            call.node.discovery.on_line(call, news=True)
             call.node.listed(self.drained)
             call.node.discovery.confirmed(call.node.now)
             self.standing.append(call)
@@ -204,7 +204,7 @@
         self.nodes = [Modelling(self, number, peers) for number in range(peers)]
         for node in self.nodes:
             node.discovery.watch()
-            call = node.discovery.standing
+            call = node.discovery.current
             call.reached = True
             self.service.mode = "up"
             self.service.answer(call)
@@ -431,7 +431,7 @@
         speaks.writer.write(HEAD * (speaks is other or not said) + news(world))
         await drained(world)
         assert await ends.line() == "rst"
-        assert world.node.discovery.standing.begun and world.node.discovery.younger is None
+        assert world.node.discovery.current.begun and world.node.discovery.hedged is None
 
 
 @played
@@ -443,7 +443,7 @@
         one.end("rst")
         await world.until(lambda: world.node.counters["list_failures"] == 2)
         world.node.discovery.overlap_at = float("inf")
-        await world.until(lambda: world.node.discovery.standing and not world.node.discovery.younger)
+        await world.until(lambda: world.node.discovery.current and not world.node.discovery.hedged)
         two.writer.write(HEAD + news(world))
         await drained(world)
         assert world.questions.empty()
@@ -456,7 +456,7 @@
     refusal = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
     monkeypatch.setattr(discovery_retry, "PROMPT_FAILURE_SECONDS", 60.0)
     async with World() as world:
-        age = world.node.discovery.age
+        age = world.node.discovery.list_age
         for number in range(3):
             before = age.confirmed_at
             call, _ = await world.question()
@@ -474,7 +474,7 @@
     async with World(servers=2) as world:
         one, _ = await world.question()
         one.writer.write(HEAD)
-        await world.until(lambda: not world.node.discovery.standing.waits)
+        await world.until(lambda: not world.node.discovery.current.waits)
         one.end("rst")
         two, _ = await world.question()
         two.writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -506,11 +506,11 @@
         old.writer.write(HEAD + chunk("\n"))
         await world.until(lambda: world.node.readiness.list_received)
         door, fillers = full_door()
-        world.node.queue(world.node.discovery.move, door.getsockname())
+        world.node.queue(world.node.discovery.change_address, door.getsockname())
         await world.until(lambda: world.node.counters["list_failures"] >= 3)
         old.writer.write(news(world, 1, 51))  # the old one still tells what it has to
         await drained(world, 1)
-        assert not world.node.discovery.age.reached and world.node.server_list.version == 0
+        assert not world.node.discovery.list_age.reached and world.node.server_list.version == 0
         for filler in fillers:
             filler.close()
         asked = asyncio.Queue()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -350,7 +350,7 @@
 async def test_a_watch_whose_call_had_to_wait_is_silent_only_from_its_head_on():
     async with World() as world:
         watch, _ = await world.question()
-        asked = world.node.discovery.standing
+        asked = world.node.discovery.current
         before = asked.heard
         watch.writer.write(HEAD[:20])
         await world.until(lambda: asked.reply.rest)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -67,7 +67,7 @@
     async with World(servers=2) as world:
         room = world.node.limits
         await world.question()
-        await world.until(lambda: world.node.discovery.standing.transport)
+        await world.until(lambda: world.node.discovery.current.transport)
         before = room.descriptors
         await serves(world)
         for words in (b"", b"OPEN", b"PING\r\n", b"x" * 9000, b"OPEN 1 2 c=chat\r\nmore", b"\0\r\n" * 900):
@@ -310,10 +310,10 @@
         client = await world.call()
         await world.until(lambda: world.node.counters["legs"])
         order, link = [], next(iter(world.node.clients))
-        world.node.discovery.standing.ready = lambda: order.append("list")
+        world.node.discovery.current.ready = lambda: order.append("list")
         link.ready = lambda: order.append("call")
         link.wake()
-        world.node.discovery.standing.wake()
+        world.node.discovery.current.wake()
         await world.until(lambda: len(order) == 2)
         assert order == ["list", "call"]
         del link.ready
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -244,7 +244,7 @@
     # Before, the task died: the attempt hung until its time was over, and a descriptor counted for ever.
     async with World(servers=1) as world:
         await world.question()
-        await world.until(lambda: world.node.discovery.standing.transport)
+        await world.until(lambda: world.node.discovery.current.transport)
         before = world.node.limits.descriptors
         failures = [OSError(errno.EMFILE, "none left") for _ in range(2)]
 
@@ -431,7 +431,7 @@
 async def test_a_client_that_leaves_before_it_is_up_leaves_nothing_behind(how, at):
     async with World(servers=1) as world:
         await world.question()
-        await world.until(lambda: world.node.discovery.standing.transport)
+        await world.until(lambda: world.node.discovery.current.transport)
         before = world.node.limits.descriptors
         client = await world.call(f"{AT[:-3]}{at}")
         if at == "s-0":
