--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -79,8 +79,8 @@
     def start(self) -> None:
         """What a node does at its start, but for doors and sockets."""
         self.resumed.window.on_request()  # nothing is resumed here: the run has begun
-        self.queue(self.server_watch.look)
-        self.queue(self.discovery.look)
+        self.queue(self.server_watch.check)
+        self.queue(self.discovery.check_watch)
 
     def stop(self) -> None:
         """It is killed: whatever timers still bring, nothing is done any more."""
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -466,7 +466,7 @@
         tidy.append(processor_time(lambda host=host: host.balancer.on_timer("rebalance"), repeats))
         tell.append(processor_time(told(host), repeats))
         with looked_after(count, count) as node:
-            look.append(processor_time(node.server_watch.look, repeats))
+            look.append(processor_time(node.server_watch.check, repeats))
     of = "servers, a connection each"
     yield figure("timers", "processor time of a second's tidy", "us", of, sizes, tidy)
     yield figure("timers", "processor time of a half-second's report", "us", of, sizes, tell)
@@ -480,7 +480,7 @@
         tidy.append(processor_time(lambda host=host: host.balancer.on_timer("rebalance"), repeats))
         tell.append(processor_time(told(host), repeats))
         with looked_after(servers, count) as node:
-            look.append(processor_time(node.server_watch.look, repeats))
+            look.append(processor_time(node.server_watch.check, repeats))
     of = f"standing connections, {servers} servers"
     yield figure("timers", "processor time of a second's tidy", "us", of, held, tidy)
     yield figure("timers", "processor time of a half-second's report", "us", of, held, tell)
--- a/bellrack/net/config.py
+++ b/bellrack/net/config.py
@@ -56,7 +56,7 @@
             raw.setdefault("control", place)
         config = parse_config(raw)
     except OSError as error:
-        kind = UnreadableError if transient.passes(error) else SettingsError
+        kind = UnreadableError if transient.is_transient(error) else SettingsError
         raise kind(f"{path}: {error.strerror}") from error
     except ValueError as error:
         raise SettingsError(f"{path}: {error}") from error
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -126,9 +126,9 @@
         self.current: Any = None  # the watch, or the oldest call for one
         self.hedged: Any = None  # the call beside one that says nothing
         self.previous: Any = None  # of the address before, until the new one has told its list
-        self.overlap_at = math.inf  # when the next goes out beside the standing one
+        self.hedge_at = math.inf  # when the next goes out beside the standing one
         self.list_age = discovery_retry.ListAge(node.begun)
-        self.doubts = self.ages = False  # the list is doubtful; it is on the way there
+        self.doubtful = self.aging = False  # the list is doubtful; it is on the way there
 
     def watch(self, on: bool = True) -> None:
         if on and self.current:
@@ -136,7 +136,7 @@
         self.end("watch-ended")
         if on:
             self.current = self.call(self.node, self.address, True)
-            self.overlap_at = self.node.now + self.node.balancer.discovery_retry.hedge_delay()
+            self.hedge_at = self.node.now + self.node.balancer.discovery_retry.hedge_delay()
 
     def end(self, reason: str) -> None:
         for question in (self.current, self.hedged):
@@ -191,7 +191,7 @@
             self.current = self.hedged if question is self.current else self.current
             self.hedged = None
             self.node.counters["list_failures"] += 1
-            self.overlap_at = self.node.now + self.node.balancer.discovery_retry.next_delay(question.reached)
+            self.hedge_at = self.node.now + self.node.balancer.discovery_retry.next_delay(question.reached)
             return
         if question is self.current:
             self.current = None
@@ -199,11 +199,11 @@
                 self.node.after(AGAIN * self.node.settings.drain_grace, self.watch)
         self.node.server_list.on_failure(question.reached)
 
-    def look(self) -> None:
+    def check_watch(self) -> None:
         """A watch that is cut off says nothing. One that had begun is renewed at once: guards against a drain
         that is told meanwhile and counts as heard 6 s later. One that has not begun may only wait for its
         turn, and who gives that up goes to the end of the queue: it is kept, and another sent beside it."""
-        self.node.after(LOOK, self.look)
+        self.node.after(LOOK, self.check_watch)
         now = self.node.now
         if self.previous and now - self.previous.heard > SILENT:
             self.previous.fail("watch-silent")
@@ -214,11 +214,11 @@
                 self.watch()
             else:
                 watch.fail("watch-silent")  # half an answer
-        elif watch and not watch.begun and now >= self.overlap_at:
-            self.overlap()
+        elif watch and not watch.begun and now >= self.hedge_at:
+            self.send_hedged()
         self.update_doubt()
 
-    def overlap(self) -> None:
+    def send_hedged(self) -> None:
         """The standing call has not been answered for long."""
         self.node.counters["list_failures"] += 1
         retry = self.node.balancer.discovery_retry
@@ -227,7 +227,7 @@
         if self.hedged:
             self.hedged.stop("watch-late")
         self.hedged = self.call(self.node, self.address, True)
-        self.overlap_at = self.node.now + retry.hedge_delay()
+        self.hedge_at = self.node.now + retry.hedge_delay()
 
     def update_doubt(self) -> None:
         """May the list still be used for whatever it names?"""
@@ -235,8 +235,8 @@
             self.list_age.on_reached()
         window = self.node.balancer.discovery_retry.window()
         doubts = self.list_age.is_doubtful(self.node.now, window)
-        if doubts != self.doubts:
-            self.doubts = doubts
+        if doubts != self.doubtful:
+            self.doubtful = doubts
             self.node.counters["doubtful_lists"] += doubts
             log.event("list", doubtful=doubts)
             if not doubts:
@@ -244,6 +244,6 @@
         if doubts:
             self.node.server_list.mark_doubtful(window)
         ages = self.list_age.is_doubtful(self.node.now, window / 2)
-        if ages or self.ages:
+        if ages or self.aging:
             self.node.server_list.mark_unproved(window / 2 if ages else math.inf)
-        self.ages = ages
+        self.aging = ages
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -134,7 +134,7 @@
             if not self.successor_socket_failed:
                 log.event("handover", offered="nothing", error=error)
             self.successor_socket_failed = True
-            if transient.passes(error):
+            if transient.is_transient(error):
                 self.node.after(transient.FOLDER_AGAIN, self.offer_hot_restart)
 
     def accept(self) -> None:
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -233,12 +233,12 @@
         server_list.load_known(self)
         if not self.settings.asks:
             self.watch()
-        self.queue(self.server_watch.look)
-        self.queue(self.discovery.look)
+        self.queue(self.server_watch.check)
+        self.queue(self.discovery.check_watch)
         if self.config.peer_listen:
-            self.peers = await transient.retried(lambda: PeerSocket.open(self))
+            self.peers = await transient.retry(lambda: PeerSocket.open(self))
         self.handle_signals()
-        await transient.retried(self.listeners.open_admin)
+        await transient.retry(self.listeners.open_admin)
         predecessor = await self.hot_restart.find_predecessor()
         await startup.wait_until_ready(self, alone=predecessor is None)
         if not self.shutdown:  # guards against a door that is opened only to be closed on who comes
@@ -263,7 +263,7 @@
     async def take_requests(self, listening: socket.socket | None) -> None:
         """Be ready; `listening`: the socket of the process that served before."""
         if not self.listeners.listener:
-            await transient.retried(lambda: self.listeners.open(listening))
+            await transient.retry(lambda: self.listeners.open(listening))
         self.takes_requests = True
         if listening:
             self.balancer.slow_start.suspend(False)  # what was issued until now is the predecessor's
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -68,7 +68,7 @@
         """The whole list of the process before us, at the same address; `theirs`: how recent it is."""
         self.merge_newer(news, theirs)
         self.versions.merge(theirs)
-        self.look_loaded()
+        self.note_known_list()
 
     def on_unchanged(self) -> None:
         """A watch stands and brings nothing new: what was listed holds."""
@@ -83,12 +83,12 @@
         self.node.changed.set()
         self.node.balancer.on_discovery_failed(reached)
 
-    def load(self, news: lines.Listing) -> None:
+    def load_known_list(self, news: lines.Listing) -> None:
         """A list from before the start. It may be old."""
         self.merge(news)
-        self.look_loaded()
+        self.note_known_list()
 
-    def look_loaded(self) -> None:
+    def note_known_list(self) -> None:
         """A list from before the start is in hand: does it name any server, and one that may be used?"""
         servers = self.node.servers.values()
         self.loaded = self.loaded or bool(servers)
@@ -110,7 +110,7 @@
         """`kept`: marks of servers that are not gone although a whole list lacks them."""
         self.node.counters["list_lines"] += 1
         newest = start_times.newest(entry.row[3] for entry in news.entries)
-        rows = [row for entry in news.entries if (row := self.row(entry, newest))]
+        rows = [row for entry in news.entries if (row := self.record_entry(entry, newest))]
         self.node.apply_entries(rows, news.whole, kept)
         for server in map(self.node.servers.get, self.cordoned):
             if (
@@ -118,7 +118,9 @@
             ):  # forgotten meanwhile, or told by our other process: it stays out
                 self.node.balancer.on_cordoned(server, True)
 
-    def row(self, entry: lines.Entry, newest: float) -> tuple[int, str, int, int, float, float, int] | None:
+    def record_entry(
+        self, entry: lines.Entry, newest: float
+    ) -> tuple[int, str, int, int, float, float, int] | None:
         """An entry as the decisions read it; None of a server that is gone and was never known. `newest`: the
         newest stamp of a start among the entries that came with it."""
         state, cell, weight, stamp = entry.row
@@ -146,12 +148,12 @@
             place.start = start_times.latest_start(stamp, self.node.now, long_ago, newest)
         return place.start.time
 
-    def written(self) -> dict[str, Any]:
+    def to_message(self) -> dict[str, Any]:
         """The list in hand, in the form that discovery sends a whole one."""
         listed = [s for s in self.node.servers.values() if s.host_record and s.state != model.GONE]
-        return lines.told(self.written_rows(listed))
+        return lines.told(self.entry_rows(listed))
 
-    def written_rows(self, servers: Iterable[Server]) -> Iterator[tuple]:
+    def entry_rows(self, servers: Iterable[Server]) -> Iterator[tuple]:
         """What the entry of each has, as `lines.told` writes it."""
         zones = {index: name for name, index in self.node.names.zones.items()}
         machines = {index: name for name, index in self.machine_types.items()}
@@ -171,16 +173,16 @@
         """What a process that holds these versions of the list lacks, as messages of discovery's form."""
         ours = self.versions
         if ours.complete > versions.complete:
-            yield self.written() | {"generation": ours.complete}
+            yield self.to_message() | {"generation": ours.complete}
         for version in sorted(set(ours.newer.values())):
             marks = [
                 mark for mark, later in ours.newer.items() if later == version > versions.version_of(mark)
             ]
             servers = [s for s in map(self.node.servers.get, marks) if s and s.host_record]
             if servers:
-                yield lines.told(self.written_rows(servers), version, whole=False)
+                yield lines.told(self.entry_rows(servers), version, whole=False)
 
-    def forget(self, mark: int) -> None:
+    def forget_order(self, mark: int) -> None:
         """Of a server that is forgotten: guards against a record for each one that was ever put back."""
         if mark in self.orders and not self.orders[mark].cordon:
             del self.orders[mark]
@@ -231,6 +233,6 @@
     if node.config.known_error:
         log.event("known", taken="nothing", error=node.config.known_error)
     if node.config.known:
-        node.server_list.load(node.config.known)
+        node.server_list.load_known_list(node.config.known)
         if node.servers:  # guards against a list that was lost and, by its version, is never told again
             node.server_list.version = node.config.known.version
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -19,9 +19,9 @@
     def __init__(self, node: Any):
         self.node = node
 
-    def look(self) -> None:
+    def check(self) -> None:
         node = self.node
-        node.after(LOOK, self.look)
+        node.after(LOOK, self.check)
         if judged := node.balancer.overload.verdicts:
             if not node.counters["late_seen"]:
                 log.event(
@@ -43,7 +43,7 @@
         elif self.node.now - server.host_record.used > FORGET:
             self.node.forget_server(server)
             self.node.invariants.forget(server)
-            self.node.server_list.forget(server.id_hash)
+            self.node.server_list.forget_order(server.id_hash)
 
     def time_messages(self, server: Server) -> None:
         node, place = self.node, server.host_record
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -31,7 +31,7 @@
     versions, orders = node.server_list.versions, node.server_list.orders.values()
     return {
         "version": sibling.VERSION,
-        "list": node.server_list.written(),
+        "list": node.server_list.to_message(),
         "list_versions": {
             "discovery": lines.written(node.discovery.address),
             "complete": versions.complete,
@@ -100,7 +100,7 @@
     if theirs is not None:
         server_list.on_predecessor_list(news, theirs)
     elif not server_list.confirmed:
-        server_list.load(news)
+        server_list.load_known_list(news)
 
 
 def adopt_learned(node: Any, predecessor: Predecessor) -> None:
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -100,7 +100,7 @@
         if isinstance(error, BusyError | ConnectionResetError) and not fds:
             sock.close()
             raise BusyError from error
-        if isinstance(error, OSError) and transient.passes(error) and not fds:
+        if isinstance(error, OSError) and transient.is_transient(error) and not fds:
             sock.close()
             raise
         if not isinstance(error, FileNotFoundError | ConnectionRefusedError):
@@ -210,7 +210,7 @@
                 sent = socket.send_fds(sock, [text], fds)  # what it does not take at once follows
         except OSError as error:
             log.event("handover", given="nothing", error=error)
-            if error.errno == errno.EAGAIN or transient.passes(error):
+            if error.errno == errno.EAGAIN or transient.is_transient(error):
                 with contextlib.suppress(OSError):
                     sock.sendall(BUSY)
             sock.close()
--- a/bellrack/net/startup.py
+++ b/bellrack/net/startup.py
@@ -31,5 +31,5 @@
 async def listen_unready(node: Any) -> None:
     """Resumed connections are admitted from now on; whoever else comes is turned away."""
     node.takes_requests = False
-    await transient.retried(lambda: node.listeners.open(None))
+    await transient.retry(lambda: node.listeners.open(None))
     log.event("listening", address=lines.written(node.listeners.socket.getsockname()), ready=False)
--- a/bellrack/net/transient.py
+++ b/bellrack/net/transient.py
@@ -34,7 +34,7 @@
 FOLDER_AGAIN = 0.25  # from a failure of a folder to the next try
 
 
-def passes(error: OSError) -> bool:
+def is_transient(error: OSError) -> bool:
     """May the same call succeed in a moment?"""
     return error.errno in LOCAL or error.errno in DISK
 
@@ -44,7 +44,7 @@
     return error.errno in LOCAL
 
 
-async def retried(make: Callable[[], Awaitable[Made]], seconds: float = START_FOR) -> Made:
+async def retry(make: Callable[[], Awaitable[Made]], seconds: float = START_FOR) -> Made:
     """What `make` returns, tried again while it fails for what passes. Raises its OSError after that time."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
@@ -52,6 +52,6 @@
         try:
             return await make()
         except OSError as error:
-            if not passes(error) or loop.time() >= end:
+            if not is_transient(error) or loop.time() >= end:
                 raise
         await asyncio.sleep(AGAIN)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -163,8 +163,8 @@
             world.node.server_list.on_list(
                 lines.listing({"generation": 50, "reset": False, "instances": [entry]})
             )
-            world.node.server_watch.look()
-            world.node.server_watch.look()
+            world.node.server_watch.check()
+            world.node.server_watch.check()
         assert [s.cordoned for s in world.node.balancer.fleet if s.host_record.name == "s-0"] == [True]
         assert len(world.node.balancer.listing.ready) == 1
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -140,7 +140,7 @@
         self.discovery = Discovery(self, ("", 0), Modelled)
         self.server_list = ServerList(self)
         self.listed(False)
-        world.after(self, 0.25 * self.draws.uniform(), self.discovery.look)
+        world.after(self, 0.25 * self.draws.uniform(), self.discovery.check_watch)
 
     def listed(self, drained):
         self.has = drained
@@ -277,7 +277,7 @@
         tier = Tier(3)
         tier.service.becomes(how)
         tier.run(60.0)
-        assert len(tier.untold) == 3 and not any(node.discovery.doubts for node in tier.nodes)
+        assert len(tier.untold) == 3 and not any(node.discovery.doubtful for node in tier.nodes)
 
 
 def test_of_a_discovery_that_takes_calls_and_says_nothing_the_list_is_doubtful_in_time():
@@ -349,7 +349,7 @@
     before = tier.service.calls
     tier.service.becomes("up")
     tier.run(1.0)
-    assert not any(node.discovery.doubts for node in tier.nodes)  # it counts from the return
+    assert not any(node.discovery.doubtful for node in tier.nodes)  # it counts from the return
     tier.run(BOUND - 1.0)
     had = 200 - len(tier.without)
     assert not tier.untold
@@ -439,10 +439,10 @@
     async with World(servers=2) as world:
         one, _ = await world.question()
         two, _ = await world.question()
-        world.node.discovery.overlap_at = float("inf")
+        world.node.discovery.hedge_at = float("inf")
         one.end("rst")
         await world.until(lambda: world.node.counters["list_failures"] == 2)
-        world.node.discovery.overlap_at = float("inf")
+        world.node.discovery.hedge_at = float("inf")
         await world.until(lambda: world.node.discovery.current and not world.node.discovery.hedged)
         two.writer.write(HEAD + news(world))
         await drained(world)
@@ -566,7 +566,7 @@
             await asyncio.sleep(0.02)  # a pace, and no wait for anything
             return line == "UP 1"
 
-        while not world.node.discovery.doubts:
+        while not world.node.discovery.doubtful:
             await served()
         assert set(took) == {0, 1, 2} and first.usable and not any(one.usable for one in others)
         took.clear()
@@ -576,7 +576,7 @@
         assert not await served() and not took
         serving.cancel()
         living.set()
-        await world.until(lambda: not world.node.discovery.doubts)
+        await world.until(lambda: not world.node.discovery.doubtful)
         assert all(one.usable for one in others) and not first.usable
         assert world.node.counters["doubtful_lists"] == 1
         answering.cancel()
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -271,7 +271,7 @@
     """The window is longer than the test, so whatever is sent lies in one."""
     async with World(control=True, listen=free(), obligations=COLD) as world:
         start_cold(world.node)
-        listed = world.node.server_list.written()
+        listed = world.node.server_list.to_message()
         sends = ColdSends(world)
         await sends.ask(10)
         alone = sends.count
