--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -779,7 +779,7 @@
     told = []
     for count in ids:
         with Alone() as node:
-            node.limits.ids = {f"c{n:08d}": None for n in range(count)}
+            node.limits.open_ids = {f"c{n:08d}": None for n in range(count)}
             told.append(len(json.dumps(node.hot_restart.snapshot())))
     yield figure(
         role,
--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -51,14 +51,14 @@
         self.opened = now if self.opened is None else self.opened
         if self.call is None:
             self.node.limits.evictable[self] = now
-            self.lasts(max(0.0, self.opened + limits.FIRST_LINE - now), self.stale)
+            self.lasts(max(0.0, self.opened + limits.FIRST_LINE_SECONDS - now), self.stale)
         self.wake()
 
     def connection_lost(self, error: Exception | None) -> None:
         super().connection_lost(error)
         self.node.clients.pop(self, None)
-        if self.call and self.node.limits.ids.get(self.request_line.id) is self:
-            self.node.limits.ended(self.request_line.id)
+        if self.call and self.node.limits.open_ids.get(self.request_line.id) is self:
+            self.node.limits.on_call_ended(self.request_line.id)
 
     def stale(self) -> None:
         """Guards against connections that say nothing, or never end their line, and stay; and, by an answer,
@@ -123,7 +123,7 @@
                 return
             self.pings += 1
             self.node.counters["pings"] += 1
-            if self.pings > limits.PINGS:
+            if self.pings > limits.MAX_PINGS:
                 self.refuse("many-pings")
             self.write(b"PONG\r\n")
             return
--- a/bellrack/net/limits.py
+++ b/bellrack/net/limits.py
@@ -11,19 +11,29 @@
 from collections.abc import Callable
 from typing import Any
 
-BACKLOG = 1024  # connections that the kernel takes in ahead of us: a rush must not wait for its retries
-ACCEPTS = 16  # of them accepted at one go
-FAILED_LOOKS = 10  # at who waits in the door as it closes for good; each 0.05 s
-PAUSE = 0.02  # seconds until accepting is tried again, when there was no descriptor to spare
-RESERVE = 48  # descriptors kept free, or 3/8 of few: half for clients that are told so, half for control
-FIRST_LINE = 2.75  # seconds from connecting for a whole first line: some write for 2; an end is owed within 3
-PINGS = 8  # on one connection
-YOUNG = 0.1  # seconds for which a connection without a word stays even if room is needed
-SLOW_FIRST_LINE = 5.0  # seconds of the same while resumed connections are expected: some of them write late
-LONGEST_WAIT = 60.0  # seconds that a client may say it waits: its call is kept as long
-SEEN = 1024  # ids remembered beside the open ones
-CONNECTING = 2  # descriptors free for an attempt: it counts twice for the instant at which it comes up
-PROBES = 32  # that are out at once: more are not sent, and what they were for goes on without
+LISTEN_BACKLOG = (
+    1024  # connections that the kernel takes in ahead of us: a rush must not wait for its retries
+)
+ACCEPTS_PER_TURN = 16  # of them accepted at one go
+FINAL_ACCEPT_RETRIES = 10  # at who waits in the door as it closes for good; each 0.05 s
+ACCEPT_RETRY_SECONDS = 0.02  # seconds until accepting is tried again, when there was no descriptor to spare
+RESERVED_DESCRIPTORS = (
+    48  # descriptors kept free, or 3/8 of few: half for clients that are told so, half for control
+)
+FIRST_LINE_SECONDS = (
+    2.75  # seconds from connecting for a whole first line: some write for 2; an end is owed within 3
+)
+MAX_PINGS = 8  # on one connection
+SILENT_GRACE_SECONDS = 0.1  # seconds for which a connection without a word stays even if room is needed
+RESUMED_GRACE_SECONDS = (
+    5.0  # seconds of the same while resumed connections are expected: some of them write late
+)
+MAX_WAIT_SECONDS = 60.0  # seconds that a client may say it waits: its call is kept as long
+MAX_RECENT_IDS = 1024  # ids remembered beside the open ones
+DESCRIPTORS_PER_ATTEMPT = (
+    2  # descriptors free for an attempt: it counts twice for the instant at which it comes up
+)
+MAX_PROBES = 32  # that are out at once: more are not sent, and what they were for goes on without
 PROBES_PART = 12  # of the reserve, one in so many is for probes when there is nothing but the reserve
 CONTROL = 6  # descriptors beside: two watches and a fetch of the list, three of a hand-off
 AT_START = 8  # descriptors of a process that starts: the standard ones and those of the loop
@@ -42,45 +52,48 @@
 class Limits:
     def __init__(self, sockets: int):
         self.set_limit(sockets)
-        self.probes = 0  # that are out
+        self.probes_in_flight = 0  # that are out
         self.sibling_descriptors = 0  # descriptors of our other process: the two are counted as one
         self.descriptors = open_descriptors()
         self.evictable: dict[Any, float] = {}  # links without a call or answered, by when they became so
-        self.writing: dict[Any, float] = {}  # links with a part of a first line, by when they last wrote
-        self.ids: dict[str, Any] = {}  # of calls whose connections are open
-        self.seen: dict[str, None] = {}  # of calls that have ended, oldest first
+        self.partial_lines: dict[
+            Any, float
+        ] = {}  # links with a part of a first line, by when they last wrote
+        self.open_ids: dict[str, Any] = {}  # of calls whose connections are open
+        self.recent_ids: dict[str, None] = {}  # of calls that have ended, oldest first
         self.expects_resumed: Callable[[], bool] = bool  # may those without a word be resumed connections?
 
     def set_limit(self, sockets: int) -> None:
         hard = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         self.limit = min(sockets, hard if hard > 0 else sockets)
-        self.reserve = min(RESERVE, 3 * self.limit // 8)
+        self.reserve = min(RESERVED_DESCRIPTORS, 3 * self.limit // 8)
 
     def count_descriptors(self, by: int) -> None:
         self.descriptors += by
 
-    def probe(self) -> bool:
+    def may_probe(self) -> bool:
         """May one more probe go out? A few have their part of the reserve."""
         return (
-            self.probes < (self.reserve // PROBES_PART if self.crowded() else PROBES) and not self.exhausted()
+            self.probes_in_flight < (self.reserve // PROBES_PART if self.crowded() else MAX_PROBES)
+            and not self.exhausted()
         )
 
-    def known(self, mark: str) -> bool:
+    def knows_id(self, mark: str) -> bool:
         """An id is new with every connection. Guards against another client's: servers refuse it with
         what looks like a failure of theirs."""
-        return mark in self.ids or mark in self.seen
+        return mark in self.open_ids or mark in self.recent_ids
 
-    def ended(self, mark: str) -> None:
-        del self.ids[mark]
-        self.seen[mark] = None
-        if len(self.seen) > SEEN:
-            del self.seen[next(iter(self.seen))]
+    def on_call_ended(self, mark: str) -> None:
+        del self.open_ids[mark]
+        self.recent_ids[mark] = None
+        if len(self.recent_ids) > MAX_RECENT_IDS:
+            del self.recent_ids[next(iter(self.recent_ids))]
 
     def crowded(self, part: int = 1) -> bool:
         """No descriptors but the reserve, or that part of it."""
         return self.descriptors + self.sibling_descriptors + self.reserve // part >= self.limit
 
-    def full(self, more: int) -> bool:
+    def lacks(self, more: int) -> bool:
         """Not even that many more by the part of the reserve that clients may have."""
         return self.descriptors + self.sibling_descriptors + more + self.reserve // 2 > self.limit
 
@@ -91,19 +104,19 @@
     def on_partial_line(self, link: Any, now: float) -> None:
         """A part of its first line came."""
         self.evictable.pop(link, None)
-        self.writing.pop(link, None)
-        self.writing[link] = now
+        self.partial_lines.pop(link, None)
+        self.partial_lines[link] = now
 
     def untrack(self, link: Any) -> None:
         """It has a call, or is gone."""
         self.evictable.pop(link, None)
-        self.writing.pop(link, None)
+        self.partial_lines.pop(link, None)
 
     def make_room(self, now: float, part: int = 1) -> bool:
         """Is there any? Guards against calls told BUSY for the sake of connections that say nothing, and slow
         writers let go before those that are silent or write no more."""
-        spared_for = SLOW_FIRST_LINE if self.expects_resumed() else YOUNG
-        for waiting in (self.evictable, self.writing):
+        spared_for = RESUMED_GRACE_SECONDS if self.expects_resumed() else SILENT_GRACE_SECONDS
+        for waiting in (self.evictable, self.partial_lines):
             while self.crowded(part) and waiting:
                 link, since = next(iter(waiting.items()))
                 if now - since < spared_for:
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -41,7 +41,7 @@
 
     def accept(self) -> None:
         """Those that wait, as many as may come in at one go."""
-        for _ in range(limits.ACCEPTS):
+        for _ in range(limits.ACCEPTS_PER_TURN):
             if not self.may_accept():
                 self.pause()
                 return
@@ -73,7 +73,7 @@
     def pause(self) -> None:
         """Who waits stays with the kernel until there is room."""
         self.stop()
-        self.node.after(limits.PAUSE, self.resume)
+        self.node.after(limits.ACCEPT_RETRY_SECONDS, self.resume)
 
     def resume(self) -> None:
         self.node.limits.make_room(self.node.now)
@@ -138,7 +138,7 @@
                 self.node.after(transient.FOLDER_AGAIN, self.offer_hot_restart)
 
     def accept(self) -> None:
-        self.socket.listen(limits.BACKLOG)
+        self.socket.listen(limits.LISTEN_BACKLOG)
         self.listener = Listener(
             self.node, self.socket, lambda: not self.node.limits.crowded(2), lambda: Client(self.node)
         )
@@ -177,7 +177,7 @@
         except OSError:
             # One that has gone again, or nothing to be had for a moment: others may wait behind it.
             self.failed_looks += 1
-            return self.failed_looks >= limits.FAILED_LOOKS
+            return self.failed_looks >= limits.FINAL_ACCEPT_RETRIES
 
     async def reopen(self) -> None:
         """The other process is gone before its time: guards against a door that nobody answers."""
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -45,7 +45,7 @@
         self.peers: PeerSocket | None = None
         self.limits = limits.Limits(config.sockets)
         self.begun = self.clock()
-        self.resumed = ResumedConnections(self, self.begun, limits.FIRST_LINE)
+        self.resumed = ResumedConnections(self, self.begun, limits.FIRST_LINE_SECONDS)
         self.limits.expects_resumed = self.resumed.expects_more
         self.takes_requests = True  # but where it listens before it is ready
         # Where lists are pushed, what the discovery has counts as told from our first moment on.
@@ -122,14 +122,14 @@
             client.forget_if_closed()
         if leg.call.done:
             self.leg_ended(leg, Result(model.MOOT), True)
-        elif self.limits.full(limits.CONNECTING):  # never sent: that proves it has not run
+        elif self.limits.lacks(limits.DESCRIPTORS_PER_ATTEMPT):  # never sent: that proves it has not run
             self.leg_ended(leg, Result(model.MOOT), False)
         else:
             self.counters["legs"] += 1
             ServerLink(self, leg, client, until)
 
     def probing(self, server: Server) -> None:
-        if server.host_record and self.limits.probe():
+        if server.host_record and self.limits.may_probe():
             self.counters["probes"] += 1
             Probe(self, server)
         else:
@@ -150,10 +150,10 @@
             raise lines.LineError("unknown-type")
         wait = self.names.default_timeouts[kind] if wait is None else wait / 1000
         resumes = "at" in values
-        if not resumes and wait > limits.LONGEST_WAIT:  # resumed ones say that they wait for an hour
+        if not resumes and wait > limits.MAX_WAIT_SECONDS:  # resumed ones say that they wait for an hour
             raise lines.LineError("bad-d")
         # A resumed connection whose first try failed comes again as what it was at its server.
-        taken = request_line.id in self.limits.ids if resumes else self.limits.known(request_line.id)
+        taken = request_line.id in self.limits.open_ids if resumes else self.limits.knows_id(request_line.id)
         if taken:
             raise lines.LineError("id-known")
         if resumes and not self.resumed.window.admits(self.now):
@@ -172,7 +172,7 @@
         )
         self.counters["calls"] += 1
         call.host_record, client.call = client, call
-        self.limits.ids[request_line.id] = client
+        self.limits.open_ids[request_line.id] = client
         self.limits.untrack(client)
         client.lasts(None)
         if resumes:
--- a/bellrack/net/passing.py
+++ b/bellrack/net/passing.py
@@ -202,7 +202,7 @@
         client.blocked = link.blocked = True
         link.other, client.other = client, link
         # In the books before anything can end it: guards against a leg that is taken off before it is put on.
-        node.limits.ids[request_line.id] = client
+        node.limits.open_ids[request_line.id] = client
         link.place.legs[link] = None
         node.resume_leg(leg)
         return link
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -63,7 +63,7 @@
     def descriptors_free(self) -> bool:
         """Connections that have said nothing make room, as for any request."""
         self.node.limits.make_room(self.node.now)
-        return not self.node.limits.full(limits.CONNECTING)
+        return not self.node.limits.lacks(limits.DESCRIPTORS_PER_ATTEMPT)
 
     def on_attempt_ended(self, link: ServerLink, kind: str) -> None:
         """An attempt ended before it was up; `kind` is a result of `model`."""
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -266,7 +266,7 @@
         super().__init__(node)
         self.server, self.begun, self.asked = server, node.now, False
         self.fields = len(node.settings.report)
-        node.limits.probes += 1
+        node.limits.probes_in_flight += 1
         self.node.after(PROBE_WAIT, self.over_with, model.TIMEOUT)
         self.open(server.host_record.address, PROBE_WAIT)
 
@@ -290,7 +290,7 @@
     def over_with(self, kind: str, report: tuple[float, ...] = ()) -> None:
         if not self.over:
             self.drop()
-            self.node.limits.probes -= 1
+            self.node.limits.probes_in_flight -= 1
             self.node.counters[f"probe_{kind.replace(' ', '_')}"] += 1
             self.finish(kind, server=self.server.host_record.name)
             self.node.balancer.on_probe_result(self.server, Result(kind, self.node.now - self.begun, report))
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -40,7 +40,7 @@
         "learned": node.export_learned(),
         "out": list(node.server_list.cordoned.values()),  # for versions that do not read the orders
         "orders": [[order.name, order.cordon, order.ordered_at] for order in orders],
-        "seen": [*node.limits.seen, *node.limits.ids],
+        "seen": [*node.limits.recent_ids, *node.limits.open_ids],
         "started": node.resumed.window.started,
         "anchor": node.anchor,
         "requested": node.resumed.window.requested,
@@ -125,7 +125,7 @@
 def adopt_requests(node: Any, predecessor: Predecessor) -> None:
     """A hot restart does not extend the time in which resumed connections are admitted."""
     told, window = predecessor.told, node.resumed.window
-    node.limits.seen = dict.fromkeys(told.get("seen", ())) | node.limits.seen
+    node.limits.recent_ids = dict.fromkeys(told.get("seen", ())) | node.limits.recent_ids
     window.requested = window.requested or told.get("requested") is True  # the run has begun
     if "started" in told:
         window.started = min(window.started, float(told["started"]) + node.hot_restart.clock_ahead)
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -96,13 +96,13 @@
     Mutant(
         "silent ones go at once",
         "net/limits.py",
-        "spared_for = SLOW_FIRST_LINE if self.expects_resumed() else YOUNG",
-        "spared_for = YOUNG",
+        "spared_for = RESUMED_GRACE_SECONDS if self.expects_resumed() else SILENT_GRACE_SECONDS",
+        "spared_for = SILENT_GRACE_SECONDS",
     ),
     Mutant(
         "ignores descriptors",
         "net/resumed.py",
-        "        return not self.node.limits.full(limits.CONNECTING)\n",
+        "        return not self.node.limits.lacks(limits.DESCRIPTORS_PER_ATTEMPT)\n",
         "        return True\n",
     ),
     Mutant(
@@ -228,8 +228,8 @@
     Mutant(
         "an ended id is refused",
         "net/node.py",
-        "request_line.id in self.limits.ids if resumes else self.limits.known(request_line.id)",
-        "self.limits.known(request_line.id)",
+        "request_line.id in self.limits.open_ids if resumes else self.limits.knows_id(request_line.id)",
+        "self.limits.knows_id(request_line.id)",
     ),
     Mutant(
         "a line does not end the holding",
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -147,7 +147,7 @@
 def test_what_a_process_tells_the_next_grows_with_servers_and_with_ids():
     with roles.Alone() as node:
         bare = len(json.dumps(node.hot_restart.snapshot()))
-        node.limits.ids = {"c00000001": None}
+        node.limits.open_ids = {"c00000001": None}
         assert len(json.dumps(node.hot_restart.snapshot())) == bare + len('"c00000001"')
     assert isinstance(node, Node)
 
--- a/tests/test_connection_log.py
+++ b/tests/test_connection_log.py
@@ -22,7 +22,7 @@
 
 @played
 async def test_a_connection_without_a_request_is_told_by_number_peer_and_time(monkeypatch, ended):
-    monkeypatch.setattr(limits, "FIRST_LINE", 0.1)
+    monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.1)
     async with World(servers=1) as world:
         world.node.resumed.window.requested = True  # the run has begun
         clients = [await world.dial() for _ in range(2)]
@@ -33,7 +33,7 @@
         told = ended()
         assert sorted(line["peer"] for line in told) == sorted(f"127.0.0.1:{port}" for port in ports)
         assert len({line["connection"] for line in told}) == 2
-        assert all(limits.FIRST_LINE <= line["lasted"] < 5 and "id" not in line for line in told)
+        assert all(limits.FIRST_LINE_SECONDS <= line["lasted"] < 5 and "id" not in line for line in told)
 
 
 @played
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -178,7 +178,7 @@
         started.append(await first.start(hard))
         await first.answers("/_ready", 200)
         async with crowd(clients.getsockname()[1], allowed + 100, how):
-            filled = allowed - min(limits.RESERVE, 3 * allowed // 8) - 2
+            filled = allowed - min(limits.RESERVED_DESCRIPTORS, 3 * allowed // 8) - 2
             await until(lambda: first.most >= filled, "a process that is full up to its reserve")
             tries = discovery.tries
             await until(lambda: discovery.tries >= tries + 3, "tries of discovery while it is full")
@@ -240,14 +240,14 @@
         room = limits.Limits(limit)
         control = room.reserve // 2
         room.descriptors = limit - control - 1
-        assert not room.crowded(2) and not room.full(1) and room.full(2)
+        assert not room.crowded(2) and not room.lacks(1) and room.lacks(2)
         room.descriptors += 1
-        assert room.crowded(2) and room.full(1) and not room.exhausted()
-        while room.probe():
-            room.probes += 1
+        assert room.crowded(2) and room.lacks(1) and not room.exhausted()
+        while room.may_probe():
+            room.probes_in_flight += 1
         # Probes, operators, two watches and a fetch of the list, three of a hand-off: all fit at once.
-        assert room.probes >= 2 and room.max_admin_connections >= 4
-        assert room.probes + room.max_admin_connections + 3 + 3 <= control
+        assert room.probes_in_flight >= 2 and room.max_admin_connections >= 4
+        assert room.probes_in_flight + room.max_admin_connections + 3 + 3 <= control
 
 
 @played
--- a/tests/test_first_line.py
+++ b/tests/test_first_line.py
@@ -41,7 +41,7 @@
 
 @pytest.fixture
 def quick(monkeypatch):
-    monkeypatch.setattr(limits, "FIRST_LINE", 0.2)
+    monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.2)
     monkeypatch.setattr(clients, "RECHECK", 0.02)
 
 
@@ -77,14 +77,17 @@
         client, begun = await world.dial(), world.node.clock()
         client.writer.write(data)
         assert [await client.line(), await client.line()] == ["BUSY 1500", "fin"]
-        assert world.node.clock() - begun >= limits.FIRST_LINE and not world.node.resumed.window.requested
+        assert (
+            world.node.clock() - begun >= limits.FIRST_LINE_SECONDS
+            and not world.node.resumed.window.requested
+        )
 
 
 @played
 async def test_junk_of_a_connection_that_was_silent_for_long_has_its_end_too(quick):
     async with World(servers=1) as world:
         client, begun = await world.dial(), world.node.clock()
-        await world.until(lambda: world.node.clock() > begun + 3 * limits.FIRST_LINE)
+        await world.until(lambda: world.node.clock() > begun + 3 * limits.FIRST_LINE_SECONDS)
         assert world.node.clients
         client.writer.write(b"GET / HT")
         assert await client.line() == "BUSY 1500"
@@ -95,7 +98,7 @@
     async with World(servers=1) as world:
         client, begun = await world.dial(), world.node.clock()
         client.writer.write(LINE[:30])
-        await world.until(lambda: world.node.clock() > begun + 3 * limits.FIRST_LINE)
+        await world.until(lambda: world.node.clock() > begun + 3 * limits.FIRST_LINE_SECONDS)
         assert world.node.clients
         await world.standing()
         assert await client.line() == "BUSY 1500"
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -390,11 +390,11 @@
 def test_descriptors_of_both_are_one_sum():
     room = Limits(200)
     room.descriptors, room.sibling_descriptors = 60, 60
-    assert not room.crowded() and not room.full(2)
+    assert not room.crowded() and not room.lacks(2)
     room.sibling_descriptors = 100
-    assert room.crowded() and not room.full(2)
+    assert room.crowded() and not room.lacks(2)
     room.sibling_descriptors = 115  # clients' connections leave half the reserve, here 24, to control
-    assert room.full(2) and not room.full(1)
+    assert room.lacks(2) and not room.lacks(1)
 
 
 def test_what_is_handed_over_reads_as_a_list():
--- a/tests/test_idle_close.py
+++ b/tests/test_idle_close.py
@@ -11,7 +11,7 @@
 @pytest.mark.parametrize("first", [b"", b"PING\r\n"])
 @played
 async def test_a_request_that_crosses_the_idle_close_has_its_answer(monkeypatch, first):
-    monkeypatch.setattr(limits, "FIRST_LINE", 0.1)
+    monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.1)
     async with World() as world:
         client = await world.dial()
         client.writer.write(first)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -63,7 +63,7 @@
 @played
 async def test_after_every_kind_of_end_nothing_is_left(monkeypatch):
     # Guards against legs, ids and descriptors that leak with each client of a bad kind until none are left.
-    monkeypatch.setattr(limits, "FIRST_LINE", 0.2)
+    monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.2)
     async with World(servers=2) as world:
         room = world.node.limits
         await world.question()
@@ -99,7 +99,7 @@
             client.end("fin")
         while not world.arrived.empty():
             world.arrived.get_nowait()[1].end("rst")
-        await world.until(lambda: room.descriptors == before and not (room.ids or room.evictable))
+        await world.until(lambda: room.descriptors == before and not (room.open_ids or room.evictable))
         stands = [server.local_state for server in world.node.servers.values()]
         assert not any(stand.open_legs or stand.established_legs or stand.legs_by_group for stand in stands)
         assert not (world.node.clients or world.node.balancer.open_legs or world.node.counters["faults"])
@@ -383,11 +383,11 @@
         client.say("M 1")
         assert await server.line() == "M 1" and world.arrived.empty()
         client.end("fin")
-        await world.until(lambda: not world.node.limits.ids)
+        await world.until(lambda: not world.node.limits.open_ids)
         assert await (await world.call(number=1)).line() == "SYNTAX"
-        monkeypatch.setattr(limits, "SEEN", 1)
+        monkeypatch.setattr(limits, "MAX_RECENT_IDS", 1)
         (await world.standing())[0].end("fin")
-        await world.until(lambda: not world.node.limits.ids)
+        await world.until(lambda: not world.node.limits.open_ids)
         await world.standing(number=1)
 
 
@@ -405,7 +405,7 @@
 async def test_whoever_sends_no_whole_first_line_is_let_go_in_time(monkeypatch):
     # Guards against an end that is owed and not given, against questions that keep a connection, and against
     # an end without an answer for whose line is whole in that instant.
-    monkeypatch.setattr(limits, "FIRST_LINE", 0.2)
+    monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.2)
     async with World() as world:
         await serves(world)
         begun = world.node.loop.time()
@@ -418,7 +418,7 @@
         assert world.node.loop.time() - begun < 1.5
         client = await world.dial()
         client.writer.write(b"PING\r\n" * 1000)
-        assert (await client.reader.read()).count(b"\r\n") == limits.PINGS + 1
+        assert (await client.reader.read()).count(b"\r\n") == limits.MAX_PINGS + 1
 
 
 @played
@@ -432,7 +432,7 @@
 
 @played
 async def test_those_that_say_nothing_go_before_a_call_is_told_busy(monkeypatch):
-    monkeypatch.setattr(limits, "YOUNG", 0.05)
+    monkeypatch.setattr(limits, "SILENT_GRACE_SECONDS", 0.05)
     async with World() as world:
         silent = [await world.dial() for _ in range(30)]
         await world.until(lambda: len(world.node.clients) == 30)
@@ -741,13 +741,13 @@
 @played
 async def test_a_slow_writer_keeps_its_place_in_a_crowd_that_finishes_nothing(monkeypatch):
     # Guards against true clients, 2 s at their line, that are let go as the oldest of a crowd.
-    monkeypatch.setattr(limits, "YOUNG", 0.0)
+    monkeypatch.setattr(limits, "SILENT_GRACE_SECONDS", 0.0)
     async with World(sockets=120) as world:
         room = world.node.limits
         room.descriptors = 20  # as in a process of its own: what tests before this left open counts not
         slow = await world.dial()
         slow.writer.write(b"OPEN 00000000000000")
-        await world.until(lambda: room.writing)
+        await world.until(lambda: room.partial_lines)
         crowd = []
         for number in range(200):
             crowd.append(await world.dial())
@@ -782,4 +782,4 @@
     room.on_partial_line(slow, 2.5)
     room.make_room(3.0)
     assert gone == [silent, stopped, slow]
-    assert limits.FIRST_LINE > 2.5  # true clients may take 2 s to write theirs, and come late
+    assert limits.FIRST_LINE_SECONDS > 2.5  # true clients may take 2 s to write theirs, and come late
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -153,7 +153,7 @@
 
 @played
 async def test_who_writes_late_is_waited_for_until_a_request_comes(monkeypatch):
-    monkeypatch.setattr(limits, "FIRST_LINE", 0.1)
+    monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.1)
     monkeypatch.setattr(clients, "RECHECK", 0.05)
     async with World(servers=1) as world:
         late, pinged, partial = [await world.dial() for _ in range(3)]
@@ -175,19 +175,19 @@
 
 
 async def wait_longer_than_first_line(world):
-    end = world.node.clock() + 3 * limits.FIRST_LINE
+    end = world.node.clock() + 3 * limits.FIRST_LINE_SECONDS
     await world.until(lambda: world.node.clock() > end)
 
 
 @played
 async def test_who_writes_late_among_requests_is_waited_for_while_others_are_resumed(monkeypatch):
-    monkeypatch.setattr(limits, "FIRST_LINE", 0.3)
+    monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.3)
     monkeypatch.setattr(clients, "RECHECK", 0.05)
     async with World(servers=2) as world:
         pending = await world.call(AT)
         _, server, _ = await world.leg()  # it says nothing yet
         await in_service(world)
-        world.node.resumed.window.evidence = limits.FIRST_LINE
+        world.node.resumed.window.evidence = limits.FIRST_LINE_SECONDS
         late = await world.dial()
         await wait_longer_than_first_line(world)
         late.say("OPEN 00000000000000fe 7f3a9c21e0b4d655 c=chat,t=acme,d=4294967,at=s-1")
@@ -202,7 +202,7 @@
 @played
 async def test_it_waits_for_a_descriptor_and_is_not_told_busy(monkeypatch):
     monkeypatch.setattr(
-        limits, "YOUNG", 60.0
+        limits, "SILENT_GRACE_SECONDS", 60.0
     )  # it is not ended for its silence, however long this test takes
     async with World(servers=1, sockets=200) as world:
         room, client = world.node.limits, await world.dial()
@@ -220,7 +220,7 @@
 @played
 async def test_idle_connections_make_room_for_it_and_its_own_kind_does_not(monkeypatch):
     # One that has said nothing yet may be the next to be resumed: it is not ended at once for another.
-    monkeypatch.setattr(limits, "YOUNG", 0.0)
+    monkeypatch.setattr(limits, "SILENT_GRACE_SECONDS", 0.0)
     async with World(servers=1) as world:
         room = world.node.limits
         await resumes(world)
@@ -233,7 +233,7 @@
         assert len(room.evictable) == 5
         late.say(f"OPEN 00000000000000fe 7f3a9c21e0b4d655 {AT}")
         await comes_up(world, late)
-        monkeypatch.setattr(limits, "SLOW_FIRST_LINE", 0.0)
+        monkeypatch.setattr(limits, "RESUMED_GRACE_SECONDS", 0.0)
         await resumes(world)
         assert await idle[1].line() == "BUSY 1500"
 
@@ -421,7 +421,7 @@
         assert [await thief.line(), await thief.line()] == ["SYNTAX", "fin"]
         first.end("rst")
         assert await server.line() in ("fin", "rst")
-        await world.until(lambda: not world.node.limits.ids)
+        await world.until(lambda: not world.node.limits.open_ids)
         await resumes(world, AT, number=7)
 
 
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -184,7 +184,7 @@
 
 @played
 async def test_probes_that_are_out_are_bounded_and_a_call_does_without(monkeypatch):
-    monkeypatch.setattr(limits, "PROBES", 0)
+    monkeypatch.setattr(limits, "MAX_PROBES", 0)
     async with World(**LIVE) as world:
         client = await world.call()  # kept: a client that is let go has left
         assert (await world.leg())[2].startswith("OPEN") and client
@@ -199,7 +199,7 @@
         assert (await world.leg())[2].startswith("OPEN") and client
         assert await silent.line() == "fin"
         await world.until(lambda: world.node.counters["probe_timeout"] == 1)
-        assert world.node.limits.probes == 0
+        assert world.node.limits.probes_in_flight == 0
 
 
 @pytest.mark.parametrize("shape, first", [({}, "OPEN"), (LIVE, "STATS"), ({}, "OPEN")])
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -98,7 +98,7 @@
 @played
 async def test_a_hot_restart_gives_a_half_request_no_more_time(folder, monkeypatch, words):  # noqa: F811
     """STANDING.md: they get their error or close within the 3 s, whichever process ends them."""
-    monkeypatch.setattr(limits, "FIRST_LINE", 1.0)
+    monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 1.0)
     async with World(control=True, listen=free()) as world:
         first, _ = world.node, await world.standing()
         client = await world.dial()
