--- a/bellrack/__main__.py
+++ b/bellrack/__main__.py
@@ -66,14 +66,14 @@
     from bellrack.net import transient
     from bellrack.net.config import UnreadableError, read_config
 
-    end = time.monotonic() + transient.START_FOR
+    end = time.monotonic() + transient.START_RETRY_SECONDS
     while True:
         try:
             return read_config(path)
         except UnreadableError:
             if time.monotonic() >= end:
                 raise
-        time.sleep(transient.AGAIN)
+        time.sleep(transient.RETRY_INTERVAL_SECONDS)
 
 
 def arguments(given: list[str]) -> dict[str, Any]:
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -16,9 +16,11 @@
 from bellrack.net import lines, log
 from bellrack.net.servers import Outgoing
 
-SILENT = 4.5  # seconds without a whole line on a watch that has begun: an empty one comes every 2 s
-LOOK = 0.25  # seconds between looks for that
-AGAIN = 0.25  # of the grace of a drain: where lists are pushed a change counts as told while no watch is open
+SILENCE_SECONDS = 4.5  # seconds without a whole line on a watch that has begun: an empty one comes every 2 s
+CHECK_INTERVAL_SECONDS = 0.25  # seconds between looks for that
+WATCH_RETRY_GRACE_SHARE = (
+    0.25  # of the grace of a drain: where lists are pushed a change counts as told while no watch is open
+)
 
 
 class DiscoveryRequest(Outgoing):
@@ -35,7 +37,9 @@
         self.objects, self.begun = lines.Objects(), False
         self.open(address, discovery_retry.CONNECT_TIMEOUT_SECONDS)
         if not watch:
-            self.lasts(SILENT, self.fail, "list-silent")  # a watch is looked after for as long as it lasts
+            self.lasts(
+                SILENCE_SECONDS, self.fail, "list-silent"
+            )  # a watch is looked after for as long as it lasts
 
     @property
     def reached(self) -> bool:
@@ -196,18 +200,18 @@
         if question is self.current:
             self.current = None
             if not self.node.settings.asks:  # changes come unasked there, so the host holds the watch
-                self.node.after(AGAIN * self.node.settings.drain_grace, self.watch)
+                self.node.after(WATCH_RETRY_GRACE_SHARE * self.node.settings.drain_grace, self.watch)
         self.node.server_list.on_failure(question.reached)
 
     def check_watch(self) -> None:
         """A watch that is cut off says nothing. One that had begun is renewed at once: guards against a drain
         that is told meanwhile and counts as heard 6 s later. One that has not begun may only wait for its
         turn, and who gives that up goes to the end of the queue: it is kept, and another sent beside it."""
-        self.node.after(LOOK, self.check_watch)
+        self.node.after(CHECK_INTERVAL_SECONDS, self.check_watch)
         now = self.node.now
-        if self.previous and now - self.previous.heard > SILENT:
+        if self.previous and now - self.previous.heard > SILENCE_SECONDS:
             self.previous.fail("watch-silent")
-        if (watch := self.current) and not watch.waits and now - watch.heard > SILENT:
+        if (watch := self.current) and not watch.waits and now - watch.heard > SILENCE_SECONDS:
             if watch.begun:
                 self.list_age.on_watch_silent()
                 self.end("watch-silent")
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -135,7 +135,7 @@
                 log.event("handover", offered="nothing", error=error)
             self.successor_socket_failed = True
             if transient.is_transient(error):
-                self.node.after(transient.FOLDER_AGAIN, self.offer_hot_restart)
+                self.node.after(transient.FOLDER_RETRY_INTERVAL_SECONDS, self.offer_hot_restart)
 
     def accept(self) -> None:
         self.socket.listen(limits.LISTEN_BACKLOG)
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -23,7 +23,7 @@
 from bellrack.net.hot_restart import HotRestart
 from bellrack.net.invariants import Invariant, Invariants
 from bellrack.net.listeners import Listeners
-from bellrack.net.peer_socket import LONGEST_DATAGRAM, PeerSocket
+from bellrack.net.peer_socket import MAX_DATAGRAM_BYTES, PeerSocket
 from bellrack.net.readiness import Readiness
 from bellrack.net.resumed import ResumedConnections
 from bellrack.net.server_watch import ServerWatch
@@ -98,7 +98,7 @@
         self.act(self.probing, server)
 
     def send_datagram(self, peer: int | None, data: bytes) -> None:
-        if self.peers and len(data) <= LONGEST_DATAGRAM:
+        if self.peers and len(data) <= MAX_DATAGRAM_BYTES:
             self.act(self.peers.send, peer, data)
 
     def set_timer(self, when: float, what: Any) -> None:
--- a/bellrack/net/peer_socket.py
+++ b/bellrack/net/peer_socket.py
@@ -7,7 +7,7 @@
 
 from bellrack.net.config import Config
 
-LONGEST_DATAGRAM = 256  # bytes; PROTOCOL.md, "Between balancers": a longer one voids the run
+MAX_DATAGRAM_BYTES = 256  # bytes; PROTOCOL.md, "Between balancers": a longer one voids the run
 
 
 class PeerSocket(asyncio.DatagramProtocol):
@@ -33,7 +33,7 @@
 
     def datagram_received(self, data: bytes, sender: tuple[str, int]) -> None:
         number = self.numbers.get(sender[:2])
-        if number is not None and len(data) <= LONGEST_DATAGRAM:
+        if number is not None and len(data) <= MAX_DATAGRAM_BYTES:
             self.node.queue(self.node.balancer.on_datagram, number, data)
 
     def error_received(self, error: Exception) -> None: ...
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -9,8 +9,10 @@
 from bellrack.net import log
 from bellrack.net.servers import Place
 
-LOOK = 1.0  # seconds between notices of late messages, as the decisions expect them
-FORGET = 60.0  # seconds after which a server that is gone and holds nothing of ours is forgotten
+CHECK_INTERVAL_SECONDS = 1.0  # seconds between notices of late messages, as the decisions expect them
+FORGET_AFTER_SECONDS = (
+    60.0  # seconds after which a server that is gone and holds nothing of ours is forgotten
+)
 TOLD_FOR = 1.5  # seconds for which a server's own word on its messages stands before what we timed
 NOTICE = 1 / 3  # of the shortest message aim: lines slower than this are told of
 
@@ -21,7 +23,7 @@
 
     def check(self) -> None:
         node = self.node
-        node.after(LOOK, self.check)
+        node.after(CHECK_INTERVAL_SECONDS, self.check)
         if judged := node.balancer.overload.verdicts:
             if not node.counters["late_seen"]:
                 log.event(
@@ -40,7 +42,7 @@
         """Guards against records that grow with each machine that is replaced."""
         if server.state != model.GONE or server.local_state.open_legs:
             server.host_record.used = self.node.now
-        elif self.node.now - server.host_record.used > FORGET:
+        elif self.node.now - server.host_record.used > FORGET_AFTER_SECONDS:
             self.node.forget_server(server)
             self.node.invariants.forget(server)
             self.node.server_list.forget_order(server.id_hash)
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -79,7 +79,7 @@
         tried again: guards against requests refused, and servers blamed, for it."""
         loop = self.node.loop
         end = loop.time() + wait
-        try_until = min(end, loop.time() + transient.CONNECT_FOR)
+        try_until = min(end, loop.time() + transient.CONNECT_RETRY_SECONDS)
         while True:
             sock = None
             try:
@@ -95,7 +95,7 @@
                 passes = isinstance(error, OSError) and transient.is_local(error)
                 if not passes or loop.time() >= try_until:
                     raise
-            await asyncio.sleep(transient.AGAIN)
+            await asyncio.sleep(transient.RETRY_INTERVAL_SECONDS)
 
     def made(self) -> None:
         if self.over:  # given up while it came up
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -178,7 +178,7 @@
         (
             (
                 "net/transient.py",
-                "    return error.errno in LOCAL or error.errno in DISK\n",
+                "    return error.errno in LOCAL_ERRNOS or error.errno in DISK_ERRNOS\n",
                 "    return False\n",
             ),
         ),
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -154,7 +154,7 @@
 
 @played
 async def test_out_by_hand_outlasts_a_list_without_it(monkeypatch):
-    monkeypatch.setattr(server_watch, "FORGET", 0.0)
+    monkeypatch.setattr(server_watch, "FORGET_AFTER_SECONDS", 0.0)
     async with World(servers=2, control=True) as world:
         place = world.entries[0]
         await world.ask("/_servers/detach", "s-0")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -376,11 +376,19 @@
 
 
 def test_the_arithmetic_of_the_bound():
-    worst = discovery_retry.CONNECT_TIMEOUT_SECONDS + discovery_retry.MAX_DELAY_SECONDS + discovery.LOOK
+    worst = (
+        discovery_retry.CONNECT_TIMEOUT_SECONDS
+        + discovery_retry.MAX_DELAY_SECONDS
+        + discovery.CHECK_INTERVAL_SECONDS
+    )
     assert worst <= discovery_retry.TOLD_AFTER_SECONDS - 2.0
-    assert worst >= discovery_retry.HEDGE_AFTER_SECONDS + discovery.LOOK
+    assert worst >= discovery_retry.HEDGE_AFTER_SECONDS + discovery.CHECK_INTERVAL_SECONDS
     retry = discovery_retry.RetrySchedule(settings(drain_grace=0.0), Rng(5))
-    assert discovery.SILENT + discovery.LOOK < retry.window() < discovery_retry.TOLD_AFTER_SECONDS
+    assert (
+        discovery.SILENCE_SECONDS + discovery.CHECK_INTERVAL_SECONDS
+        < retry.window()
+        < discovery_retry.TOLD_AFTER_SECONDS
+    )
     # Of a tier whose gaps are longer than a list stands without a call, each change is told that soon.
     assert discovery_retry.RetrySchedule(settings(peers=4800, ask_within=3.0), Rng(5)).window() < 3.0 + 1.0
 
@@ -398,7 +406,7 @@
         "PROMPT_FAILURE_SECONDS": 0.025,
     }.items():
         monkeypatch.setattr(discovery_retry, name, value)
-    monkeypatch.setattr(discovery, "LOOK", 0.025)
+    monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.025)
 
 
 def news(world, number=0, version=50):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -35,7 +35,7 @@
 async def test_a_server_that_hangs_in_the_middle_of_a_line_is_left(monkeypatch, part):
     # Seen on roll+brink: 17 bytes of a line held, the client's lines unanswered for 7 s, and no MOVE.
     monkeypatch.setattr(servers, "SILENT", 0.2)
-    monkeypatch.setattr(server_watch, "LOOK", 0.05)
+    monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.05)
     quiet = {"messageAimUs": [1e9], "tellsDelay": False}  # lateness alone moves nobody
     async with World(specifics=quiet) as world:
         client, server = await world.standing()
@@ -327,8 +327,8 @@
 @pytest.mark.parametrize("part", [b"x", b"1\r\n \r\n"])
 @played
 async def test_a_watch_that_only_dribbles_is_silent(monkeypatch, begun, part):
-    monkeypatch.setattr(discovery, "SILENT", 0.3)
-    monkeypatch.setattr(discovery, "LOOK", 0.05)
+    monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.3)
+    monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.05)
     monkeypatch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.02)
     if part == b"x" and begun.endswith(b"\n"):
         part = b"9" * 1  # the head of a chunk that never ends
@@ -362,8 +362,8 @@
 
 @played
 async def test_an_empty_line_keeps_a_watch_and_nothing_else_of_its_kind(monkeypatch):
-    monkeypatch.setattr(discovery, "SILENT", 0.3)
-    monkeypatch.setattr(discovery, "LOOK", 0.05)
+    monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.3)
+    monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.05)
     async with World() as world:
         watch, _ = await world.question()
         watch.writer.write(HEAD)
@@ -400,7 +400,7 @@
 
 @played
 async def test_a_fetch_that_is_not_answered_is_given_up(monkeypatch):
-    monkeypatch.setattr(discovery, "SILENT", 0.1)
+    monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.1)
     async with World(discovery="push") as world:
         await world.question()
         world.node.queue(world.node.discovery.fetch)
@@ -501,7 +501,7 @@
 @played
 async def test_short_of_descriptors_a_leg_was_never_sent(monkeypatch, effect, group):
     async with World(servers=2, apart=True, trafficTypes=kinds(effect, group)) as world:
-        monkeypatch.setattr(world.node.limits, "full", lambda more: True)
+        monkeypatch.setattr(world.node.limits, "lacks", lambda more: True)
         client = await world.call()
         assert [await client.line(), await client.line()] == ["BUSY 500", "fin"]
         assert world.arrived.empty() and not world.node.counters["legs"]
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -165,7 +165,7 @@
 async def test_a_client_that_leaves_while_its_ring_is_full_is_not_sent_on(monkeypatch, how, ends):
     # It stands, its server takes nothing, so reading from it is paused: no end is read. What then: the pair
     # goes with its server's end, or as with any server that falls silent, and there is no other attempt.
-    monkeypatch.setattr(server_watch, "LOOK", 0.05)
+    monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.05)
     quiet = {"messageAimUs": [1e9], "tellsDelay": False}
     async with World(servers=2, specifics=quiet, trafficTypes=PATIENT) as world:
         client = come(world)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -262,7 +262,7 @@
 
 @played
 async def test_a_server_that_falls_silent_is_late_and_then_left(monkeypatch):
-    monkeypatch.setattr(server_watch, "LOOK", 0.05)
+    monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.05)
     monkeypatch.setattr(servers, "SILENT", 0.3)
     monkeypatch.setattr("bellrack.choice.MOVE_SHARE", 0.0)
     async with World() as world:
@@ -567,8 +567,8 @@
 @played
 async def test_the_watch_brings_changes_and_is_renewed_when_it_fails(monkeypatch):
     monkeypatch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.05)
-    monkeypatch.setattr(discovery, "LOOK", 0.05)
-    monkeypatch.setattr(discovery, "SILENT", 0.4)
+    monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.05)
+    monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.4)
     async with World(servers=2) as world:
         refused, target = await world.question()
         assert target == "/v1/endpoints?watch=1&after=41"
@@ -654,8 +654,8 @@
 
 @played
 async def test_a_server_that_is_gone_is_forgotten_once_it_holds_nothing(monkeypatch):
-    monkeypatch.setattr(server_watch, "LOOK", 0.02)
-    monkeypatch.setattr(server_watch, "FORGET", 0.1)
+    monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.02)
+    monkeypatch.setattr(server_watch, "FORGET_AFTER_SECONDS", 0.1)
     async with World(servers=2) as world:
         client, server = await world.standing()
         world.node.queue(
@@ -675,7 +675,7 @@
 
 @played
 async def test_where_changes_come_unasked_the_host_holds_the_watch(monkeypatch):
-    monkeypatch.setattr(discovery, "AGAIN", 0.05)
+    monkeypatch.setattr(discovery, "WATCH_RETRY_GRACE_SHARE", 0.05)
     async with World(**LIVE) as world:
         (await world.question())[0].end("rst")
         await world.question()
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -246,7 +246,7 @@
 
 @played
 async def test_asked_to_end_without_a_list_it_ends_in_order(monkeypatch):
-    monkeypatch.setattr(discovery, "SILENT", 60.0)  # nothing else ends its wait
+    monkeypatch.setattr(discovery, "SILENCE_SECONDS", 60.0)  # nothing else ends its wait
     async with starting(0.02, known=EMPTY) as world:
         world.node.queue(world.node.leave)
         await asyncio.wait_for(world.serving, 10)
