--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -32,9 +32,9 @@
     def __init__(self, node: Any, address: tuple[str, int], watch: bool):
         super().__init__(node)
         self.address, self.watch = address, watch
-        self.reply, self.body, self.asked = lines.Answer(), b"", False
-        self.started = self.heard = self.asked_at = node.now
-        self.objects, self.begun = lines.Objects(), False
+        self.response, self.body, self.request_sent = lines.Answer(), b"", False
+        self.started_at = self.last_received = self.request_sent_at = node.now
+        self.objects, self.received_line = lines.Objects(), False
         self.open(address, discovery_retry.CONNECT_TIMEOUT_SECONDS)
         if not watch:
             self.lasts(
@@ -47,48 +47,53 @@
         return self.transport is not None
 
     @property
-    def met(self) -> bool:
+    def service_up(self) -> bool:
         """Did discovery begin to answer it, or let it wait? One that fails at once found it down."""
-        waited = self.node.now - self.asked_at > discovery_retry.PROMPT_FAILURE_SECONDS
-        return self.reached and (self.reply.status == 200 or self.asked and waited)
+        waited = self.node.now - self.request_sent_at > discovery_retry.PROMPT_FAILURE_SECONDS
+        return self.reached and (self.response.status == 200 or self.request_sent and waited)
 
     @property
-    def waits(self) -> bool:
+    def awaits_response(self) -> bool:
         """Has no head yet: it may have to wait for its turn."""
-        return not self.reply.status
+        return not self.response.status
 
     def ready(self) -> None:
-        if self.reached and not self.asked:
-            self.asked, self.asked_at = True, self.node.now
+        if self.reached and not self.request_sent:
+            self.request_sent, self.request_sent_at = True, self.node.now
             query = f"?watch=1&after={self.node.server_list.version}" if self.watch else ""
             self.write(
                 f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: {lines.written(self.address)}\r\n"
                 f"Accept: application/json\r\n\r\n".encode()
             )
-        begun = self.reply.status
+        begun = self.response.status
         try:
             while self.ring.held and not self.over:
-                self.body += self.reply.feed(self.ring.take(self.ring.held))
+                self.body += self.response.feed(self.ring.take(self.ring.held))
                 if len(self.body) > lines.MOST:
                     raise lines.LineError("too-long")
-            if self.reply.status != begun:
+            if self.response.status != begun:
                 # Once: guards against a watch taken for silent since its call had to wait for its turn.
-                self.heard = self.node.now
-            if self.reply.status not in (0, 200):
-                self.fail(f"status-{self.reply.status}")
+                self.last_received = self.node.now
+            if self.response.status not in (0, 200):
+                self.fail(f"status-{self.response.status}")
             elif self.watch:
-                self.changes()
-            elif self.reply.done or self.ended == "fin" and self.reply.left is None and self.reply.status:
+                self.process_changes()
+            elif (
+                self.response.done
+                or self.ended == "fin"
+                and self.response.left is None
+                and self.response.status
+            ):
                 self.finish("listed")
                 if self.address == self.node.discovery.address:
                     self.node.server_list.on_list(lines.listing(lines.parsed(self.body)), fetched=True)
-                    self.node.discovery.confirmed(self.started)
+                    self.node.discovery.confirmed(self.started_at)
         except lines.LineError as error:
             self.fail(str(error).partition(":")[0])
-        if self.ended or self.reply.done:
+        if self.ended or self.response.done:
             self.fail(f"list-{self.ended or 'done'}")
 
-    def changes(self) -> None:
+    def process_changes(self) -> None:
         discovery = self.node.discovery
         while b"\n" in self.body and not self.over:
             line, end, self.body = self.body.partition(b"\n")
@@ -96,14 +101,14 @@
                 news = lines.listing(news)
                 discovery.on_line(self, news=True)
                 self.node.server_list.on_list(news, counts=self is not discovery.previous)
-            elif self.objects.whole and not self.begun:
+            elif self.objects.whole and not self.received_line:
                 discovery.on_line(self, news=False)
                 self.node.server_list.on_unchanged()  # it stands and has nothing new
             if self.objects.whole:
-                self.begun = True
+                self.received_line = True
                 # Guards against a watch kept alive by bytes that never make a line, or lines that never make
                 # an object: what it would have to tell counts as told all the same.
-                self.heard = self.node.now
+                self.last_received = self.node.now
                 if self is discovery.current:
                     discovery.confirmed(self.node.now)
 
@@ -121,11 +126,11 @@
 class Discovery:
     """The watch, while one stands or is asked for, the call beside it, and lists."""
 
-    def __init__(self, node: Any, address: tuple[str, int], call: Callable[..., Any] | None = None):
-        self.node, self.address, self.call = (
+    def __init__(self, node: Any, address: tuple[str, int], new_request: Callable[..., Any] | None = None):
+        self.node, self.address, self.new_request = (
             node,
             address,
-            call or (lambda *values: DiscoveryRequest(*values)),
+            new_request or (lambda *values: DiscoveryRequest(*values)),
         )
         self.current: Any = None  # the watch, or the oldest call for one
         self.hedged: Any = None  # the call beside one that says nothing
@@ -137,28 +142,28 @@
     def watch(self, on: bool = True) -> None:
         if on and self.current:
             return  # guards against a late retry that ends the watch which a change of address has brought
-        self.end("watch-ended")
+        self.stop_watches("watch-ended")
         if on:
-            self.current = self.call(self.node, self.address, True)
+            self.current = self.new_request(self.node, self.address, True)
             self.hedge_at = self.node.now + self.node.balancer.discovery_retry.hedge_delay()
 
-    def end(self, reason: str) -> None:
+    def stop_watches(self, reason: str) -> None:
         for question in (self.current, self.hedged):
             if question:
                 question.stop(reason)
         self.current = self.hedged = None
 
     def fetch(self) -> None:
-        self.call(self.node, self.address, False)
+        self.new_request(self.node, self.address, False)
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Another address from now on. Its versions are its own, so the first list is asked for whole; till
         it has come, the watch at the old address tells what it still has to."""
         self.address, self.node.server_list.version = address, 0
         self.node.balancer.discovery_retry.reset()
-        if self.current and not self.current.waits:
+        if self.current and not self.current.awaits_response:
             self.previous, self.current = self.current, self.previous
-        self.end("watch-replaced")
+        self.stop_watches("watch-replaced")
         self.watch()
 
     def on_line(self, question: Any, news: bool) -> None:
@@ -186,10 +191,12 @@
         if question is self.previous:
             self.previous = None  # expected, so not a failure of the list
             return
-        if question.met and not question.begun:  # the end of a watch tells nothing of what comes after it
+        if (
+            question.service_up and not question.received_line
+        ):  # the end of a watch tells nothing of what comes after it
             self.list_age.on_reached()
-        elif not question.met:
-            self.list_age.on_unreachable(question.started)
+        elif not question.service_up:
+            self.list_age.on_unreachable(question.started_at)
         if question is self.hedged or question is self.current and self.hedged:
             # The other one may still be answered; the next beside it goes out as if there were none.
             self.current = self.hedged if question is self.current else self.current
@@ -209,16 +216,20 @@
         turn, and who gives that up goes to the end of the queue: it is kept, and another sent beside it."""
         self.node.after(CHECK_INTERVAL_SECONDS, self.check_watch)
         now = self.node.now
-        if self.previous and now - self.previous.heard > SILENCE_SECONDS:
+        if self.previous and now - self.previous.last_received > SILENCE_SECONDS:
             self.previous.fail("watch-silent")
-        if (watch := self.current) and not watch.waits and now - watch.heard > SILENCE_SECONDS:
-            if watch.begun:
+        if (
+            (watch := self.current)
+            and not watch.awaits_response
+            and now - watch.last_received > SILENCE_SECONDS
+        ):
+            if watch.received_line:
                 self.list_age.on_watch_silent()
-                self.end("watch-silent")
+                self.stop_watches("watch-silent")
                 self.watch()
             else:
                 watch.fail("watch-silent")  # half an answer
-        elif watch and not watch.begun and now >= self.hedge_at:
+        elif watch and not watch.received_line and now >= self.hedge_at:
             self.send_hedged()
         self.update_doubt()
 
@@ -226,16 +237,16 @@
         """The standing call has not been answered for long."""
         self.node.counters["list_failures"] += 1
         retry = self.node.balancer.discovery_retry
-        if self.hedged and self.node.now - self.current.started > retry.hedge_patience:
+        if self.hedged and self.node.now - self.current.started_at > retry.hedge_patience:
             self.current, self.hedged = self.hedged, self.current
         if self.hedged:
             self.hedged.stop("watch-late")
-        self.hedged = self.call(self.node, self.address, True)
+        self.hedged = self.new_request(self.node, self.address, True)
         self.hedge_at = self.node.now + retry.hedge_delay()
 
     def update_doubt(self) -> None:
         """May the list still be used for whatever it names?"""
-        if any(call and not call.begun and call.met for call in (self.current, self.hedged)):
+        if any(call and not call.received_line and call.service_up for call in (self.current, self.hedged)):
             self.list_age.on_reached()
         window = self.node.balancer.discovery_retry.window()
         doubts = self.list_age.is_doubtful(self.node.now, window)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -34,16 +34,16 @@
     """A call to discovery whose far side is modelled; what Discovery reads of DiscoveryRequest."""
 
     def __init__(self, node, address, watch):
-        self.node, self.started, self.heard = node, node.now, node.now
-        self.reached = self.begun = self.over = False
+        self.node, self.started_at, self.last_received = node, node.now, node.now
+        self.reached = self.received_line = self.over = False
         self.taken = node.now
-        self.waits = True
+        self.awaits_response = True
         node.service.called(self)
 
     @property
-    def met(self):
+    def service_up(self):
         return self.reached and (
-            self.begun or self.node.now - self.taken > discovery_retry.PROMPT_FAILURE_SECONDS
+            self.received_line or self.node.now - self.taken > discovery_retry.PROMPT_FAILURE_SECONDS
         )
 
     def fail(self, reason):
@@ -104,7 +104,7 @@
 
     def answer(self, call):
         if not call.over and self.mode == "up":
-            call.waits, call.begun, call.heard = False, True, call.node.now
+            call.awaits_response, call.received_line, call.last_received = False, True, call.node.now
             call.node.discovery.on_line(call, news=True)
             call.node.listed(self.drained)
             call.node.discovery.confirmed(call.node.now)
@@ -113,7 +113,7 @@
 
     def empty_line(self, call):
         if not call.over and call in self.standing:
-            call.heard = call.node.now
+            call.last_received = call.node.now
             call.node.discovery.confirmed(call.node.now)
             self.world.after(call.node, 2.0, self.empty_line, call)
 
@@ -439,7 +439,7 @@
         speaks.writer.write(HEAD * (speaks is other or not said) + news(world))
         await drained(world)
         assert await ends.line() == "rst"
-        assert world.node.discovery.current.begun and world.node.discovery.hedged is None
+        assert world.node.discovery.current.received_line and world.node.discovery.hedged is None
 
 
 @played
@@ -482,7 +482,7 @@
     async with World(servers=2) as world:
         one, _ = await world.question()
         one.writer.write(HEAD)
-        await world.until(lambda: not world.node.discovery.current.waits)
+        await world.until(lambda: not world.node.discovery.current.awaits_response)
         one.end("rst")
         two, _ = await world.question()
         two.writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -351,13 +351,13 @@
     async with World() as world:
         watch, _ = await world.question()
         asked = world.node.discovery.current
-        before = asked.heard
+        before = asked.last_received
         watch.writer.write(HEAD[:20])
-        await world.until(lambda: asked.reply.rest)
-        assert asked.heard == before
+        await world.until(lambda: asked.response.rest)
+        assert asked.last_received == before
         watch.writer.write(HEAD[20:])
-        await world.until(lambda: asked.reply.status)
-        assert asked.heard > before
+        await world.until(lambda: asked.response.status)
+        assert asked.last_received > before
 
 
 @played
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -198,7 +198,7 @@
         if how in ("503", "reset"):
             await world.until(lambda: world.node.counters["list_failures"])
         elif how == "nothing new":
-            await world.until(lambda: world.node.discovery.current.begun)
+            await world.until(lambda: world.node.discovery.current.received_line)
         if how == "nothing new" and known is DRAINING:
             await world.until(lambda: world.node.listeners.listener)
             assert await may_be_ready(world)  # it is the list: discovery has said so
