--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -46,7 +46,7 @@
 from bellrack.net.discovery import DiscoveryRequest
 from bellrack.net.node import Node
 from bellrack.net.peer_socket import PeerSocket
-from bellrack.net.servers import ServerLink
+from bellrack.net.servers import ServerConnection
 from bellrack.peers import aggregation, overload
 from bellrack.settings import parse_settings
 
@@ -427,7 +427,7 @@
 class StandingLink:
     """What looks see of a connection to a server."""
 
-    silent = ServerLink.silent
+    silent = ServerConnection.silent
 
     def __init__(self, node: Node):
         self.node, self.client, self.asked = node, SimpleNamespace(blocked=False), deque(maxlen=64)
--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -14,13 +14,13 @@
 from bellrack.net import first_line, limits, lines
 from bellrack.net.invariants import Invariant
 from bellrack.net.pairing import ServerEnd
-from bellrack.net.ring import Link
+from bellrack.net.ring import Connection
 
 MOST_ASKED = 64  # lines whose answers are waited for, by their times
 RECHECK = 0.2  # seconds between looks whether a first line may still come: an end is owed 0.25 s later
 
 
-class Client(Link):
+class ClientConnection(Connection):
     side = "client"
     passed = "lines_to_servers"
 
--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -10,10 +10,10 @@
 
 from bellrack.net import limits, lines, log, metrics
 from bellrack.net.http import CONTINUE, HttpError, Request, answer
-from bellrack.net.ring import Link
+from bellrack.net.ring import Connection
 
 
-class AdminConnection(Link):
+class AdminConnection(Connection):
     """One call of an operator."""
 
     side = "control"
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -14,7 +14,7 @@
 
 from bellrack import discovery_retry
 from bellrack.net import lines, log
-from bellrack.net.servers import Outgoing
+from bellrack.net.servers import OutgoingConnection
 
 SILENCE_SECONDS = 4.5  # seconds without a whole line on a watch that has begun: an empty one comes every 2 s
 CHECK_INTERVAL_SECONDS = 0.25  # seconds between looks for that
@@ -23,7 +23,7 @@
 )
 
 
-class DiscoveryRequest(Outgoing):
+class DiscoveryRequest(OutgoingConnection):
     """One call to discovery: a watch, or a list."""
 
     side = "discovery"
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from bellrack.net import limits, log, sibling, transient
-from bellrack.net.clients import Client
+from bellrack.net.clients import ClientConnection
 from bellrack.net.control import AdminConnection
 
 
@@ -140,7 +140,10 @@
     def accept(self) -> None:
         self.socket.listen(limits.LISTEN_BACKLOG)
         self.listener = Listener(
-            self.node, self.socket, lambda: not self.node.limits.crowded(2), lambda: Client(self.node)
+            self.node,
+            self.socket,
+            lambda: not self.node.limits.crowded(2),
+            lambda: ClientConnection(self.node),
         )
 
     def stop_accepting(self, for_good: bool = False) -> None:
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -16,7 +16,7 @@
 from bellrack.accounting import Accounting
 from bellrack.model import Call, Leg, Result, Server
 from bellrack.net import limits, lines, log, metrics, reload, server_list, startup, transient
-from bellrack.net.clients import Client
+from bellrack.net.clients import ClientConnection
 from bellrack.net.config import Config
 from bellrack.net.control import AdminConnection
 from bellrack.net.discovery import Discovery
@@ -27,7 +27,7 @@
 from bellrack.net.readiness import Readiness
 from bellrack.net.resumed import ResumedConnections
 from bellrack.net.server_watch import ServerWatch
-from bellrack.net.servers import Place, Probe, ServerLink
+from bellrack.net.servers import Place, Probe, ServerConnection
 from bellrack.net.shutdown import Shutdown
 from bellrack.net.turns import TurnLoop
 
@@ -38,7 +38,7 @@
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop):
         TurnLoop.__init__(self, loop, log.Counters())
         self.config, self.names = config, config.names
-        self.clients: dict[Client, None] = {}
+        self.clients: dict[ClientConnection, None] = {}
         self.admin_connections: dict[
             AdminConnection, None
         ] = {}  # operators whose call is not whole, oldest first
@@ -117,7 +117,7 @@
         self.act(call.host_record.answer, line, how)
 
     def connect(self, leg: Leg, until: float) -> None:
-        client: Client = leg.call.host_record
+        client: ClientConnection = leg.call.host_record
         if not leg.call.done:
             client.forget_if_closed()
         if leg.call.done:
@@ -126,7 +126,7 @@
             self.leg_ended(leg, Result(model.MOOT), False)
         else:
             self.counters["legs"] += 1
-            ServerLink(self, leg, client, until)
+            ServerConnection(self, leg, client, until)
 
     def probing(self, server: Server) -> None:
         if server.host_record and self.limits.may_probe():
@@ -141,7 +141,7 @@
 
     # What happens to it.
 
-    def arrive(self, client: Client) -> None:
+    def arrive(self, client: ClientConnection) -> None:
         """A first line that is well formed."""
         request_line = client.request_line
         values, wait = request_line.values, request_line.number("d")
@@ -201,7 +201,7 @@
         if self.shutdown and not self.hot_restart.giver:
             self.act(leg.call.host_record.move, "moved")
 
-    def leg_over(self, link: ServerLink, kind: str) -> None:
+    def leg_over(self, link: ServerConnection, kind: str) -> None:
         leg = link.leg
         self.counters[f"leg_{kind.replace(' ', '_')}"] += 1
         if link.resumes and not leg.established:
--- a/bellrack/net/passing.py
+++ b/bellrack/net/passing.py
@@ -18,9 +18,9 @@
 from bellrack import model
 from bellrack.model import Leg, Result
 from bellrack.net import lines, log
-from bellrack.net.clients import Client
-from bellrack.net.ring import Link
-from bellrack.net.servers import Place, ServerLink
+from bellrack.net.clients import ClientConnection
+from bellrack.net.ring import Connection
+from bellrack.net.servers import Place, ServerConnection
 
 MESSAGE = 65536  # bytes: a line and two full rings, written out, are half of that
 SLICE = 16  # connections that go over in one turn: guards against a pause for all others
@@ -31,12 +31,12 @@
     return socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
 
 
-def taken(link: Link) -> bytes:
+def taken(link: Connection) -> bytes:
     """What has come in and was not yet read."""
     return link.ring.take(link.ring.held)
 
 
-def put_back(link: Link, data: bytes) -> None:
+def put_back(link: Connection, data: bytes) -> None:
     link.ring.space()[: len(data)] = data
     link.ring.added(len(data))
 
@@ -80,7 +80,7 @@
                 left -= self.give(client)
         return False
 
-    def give(self, client: Client) -> bool:
+    def give(self, client: ClientConnection) -> bool:
         links = [client, client.leg] if client.other else [client]
         for link in links:
             going = link.transport is None or link.transport.is_closing() or link.over
@@ -107,7 +107,7 @@
         self.gone(client, links)
         return True
 
-    def standing(self, link: ServerLink) -> dict[str, Any]:
+    def standing(self, link: ServerConnection) -> dict[str, Any]:
         return {
             "line": link.client.request_line.line.decode(),
             "server": link.place.name,
@@ -117,7 +117,7 @@
             "said": link.said,
         }
 
-    def gone(self, client: Client, links: list[Link]) -> None:
+    def gone(self, client: ClientConnection, links: list[Connection]) -> None:
         """Ours no more: our copies of the descriptors are closed, which neither side sees."""
         self.node.counters["handed_over"] += 1
         for link in links:
@@ -161,7 +161,7 @@
             words = json.loads(data)
             if len(fds) != 1 + ("line" in words):
                 raise ValueError(f"{len(fds)} descriptors")
-            client = Client(self.node)
+            client = ClientConnection(self.node)
             if "opened" in words:
                 client.opened = float(words["opened"]) + self.node.hot_restart.clock_ahead
             put_back(client, read(words["in"]))
@@ -177,7 +177,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def standing(self, client: Client, words: dict[str, Any]) -> ServerLink:
+    def standing(self, client: ClientConnection, words: dict[str, Any]) -> ServerConnection:
         """The call and its one leg, as they stood in the other process."""
         node, request_line = self.node, lines.parse_request_line(words["line"].encode())
         name, place = str(words["server"]), lines.address(words["place"])
@@ -193,7 +193,7 @@
         leg = Leg(call, server, float(words["sent"]) + ahead)
         call.legs.append(leg)
         call.host_record, client.call, client.request_line = client, call, request_line
-        link = ServerLink(node, leg, client, node.now, stood=True)
+        link = ServerConnection(node, leg, client, node.now, stood=True)
         link.asked.extend(float(when) + ahead for when in words["asked"])
         client.answered = True
         link.said = str(words["said"])
@@ -207,7 +207,7 @@
         node.resume_leg(leg)
         return link
 
-    async def connect(self, links: list[Link], socks: list[socket.socket]) -> None:
+    async def connect(self, links: list[Connection], socks: list[socket.socket]) -> None:
         try:
             for link, sock in zip(links, socks):
                 sock.setblocking(False)
@@ -216,7 +216,7 @@
             self.node.limits.count_descriptors(-len(socks))  # each connection counts itself
             self.node.queue(self.up, links)
 
-    def up(self, links: list[Link]) -> None:
+    def up(self, links: list[Connection]) -> None:
         client = links[0]
         self.node.counters["taken_over"] += 1
         if client.other and any(link.transport is None for link in links):
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -12,7 +12,7 @@
 from bellrack.model import Leg
 from bellrack.net import limits, lines
 from bellrack.net.resumption import Attempt, Expire, Resumption, StartupWindow, Wait
-from bellrack.net.servers import ServerLink
+from bellrack.net.servers import ServerConnection
 
 
 class ResumedConnections:
@@ -54,7 +54,7 @@
         match resumption.next_action(self.node.now, known, self.descriptors_free()):
             case Attempt(give_up_at):
                 leg = Leg(client.call, server, self.node.now)
-                ServerLink(self.node, leg, client, give_up_at, resumes=True)
+                ServerConnection(self.node, leg, client, give_up_at, resumes=True)
             case Wait(until):
                 self.node.at(until, self.proceed, client, resumption)
             case Expire():
@@ -65,7 +65,7 @@
         self.node.limits.make_room(self.node.now)
         return not self.node.limits.lacks(limits.DESCRIPTORS_PER_ATTEMPT)
 
-    def on_attempt_ended(self, link: ServerLink, kind: str) -> None:
+    def on_attempt_ended(self, link: ServerConnection, kind: str) -> None:
         """An attempt ended before it was up; `kind` is a result of `model`."""
         client = link.client
         resumption = self.pending.get(client)
--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -90,7 +90,7 @@
         return out
 
 
-class Link(asyncio.BufferedProtocol):
+class Connection(asyncio.BufferedProtocol):
     """One end of a connection. What is read waits in its ring until the node's turn calls `ready`."""
 
     side = "link"
@@ -100,7 +100,7 @@
     def __init__(self, node: Any):
         self.node, self.ring, self.number = node, Ring(), next(NUMBERS)
         self.transport: Any = None
-        self.other: Link | None = None  # where whole lines go on to, once there is one
+        self.other: Connection | None = None  # where whole lines go on to, once there is one
         self.queued = self.paused = self.blocked = self.over = False
         self.ended = ""  # how the other side ended: "fin" or "rst"
         self.patience = 0.0  # until when its last lines wait, once it has
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -18,7 +18,7 @@
 from bellrack.model import Leg, Result, Server
 from bellrack.net import lines, transient
 from bellrack.net.pairing import ClientEnd
-from bellrack.net.ring import Link
+from bellrack.net.ring import Connection
 from bellrack.net.start_times import Start
 
 COLD_BUDGET = "cold-budget"  # why an attempt is not written: its server bears no more just now
@@ -33,7 +33,7 @@
     def __init__(self, name: str, address: tuple[str, int]):
         self.name, self.address = name, address
         self.start: Start | None = None  # the last that was listed
-        self.legs: dict[ServerLink, None] = {}  # standing
+        self.legs: dict[ServerConnection, None] = {}  # standing
         self.took: list[float] = []  # by the answers since the last look
         self.late = False  # by those, as last told
         self.used = 0.0  # when it last was listed or stood for anything
@@ -47,7 +47,7 @@
         return min(took or [now - link.asked[0] for link in self.legs if link.asked], default=0.0)
 
 
-class Outgoing(Link):
+class OutgoingConnection(Connection):
     """A connection that we open."""
 
     task: asyncio.Task | None = None  # while it is coming up
@@ -108,7 +108,7 @@
             self.task.cancel()
 
 
-class ServerLink(Outgoing):
+class ServerConnection(OutgoingConnection):
     """One leg."""
 
     side = "server"
@@ -257,7 +257,7 @@
         self.node.leg_over(self, kind)
 
 
-class Probe(Outgoing):
+class Probe(OutgoingConnection):
     """One question for a server's health, or for its load report where probes bring one."""
 
     side = "probe"
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,7 @@
 from bellrack.net import node as host
 from bellrack.net.config import parse_config
 from bellrack.net.node import Node
-from bellrack.net.ring import Link
+from bellrack.net.ring import Connection
 
 
 def settings(**changes) -> Settings:
@@ -360,8 +360,8 @@
     something to do is held back until all have, whatever the pace of the sockets."""
 
     def __init__(self, monkeypatch, node):
-        self.node, self.order, self.held, self.wake = node, [], [], Link.wake
-        monkeypatch.setattr(Link, "wake", lambda link: self.note(link))
+        self.node, self.order, self.held, self.wake = node, [], [], Connection.wake
+        monkeypatch.setattr(Connection, "wake", lambda link: self.note(link))
 
     def of(self, *order):
         """From now on: sides of links, with " end" those that have ended; as tuples what else is queued."""
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -114,7 +114,7 @@
     caps = raw_settings()["caps"] | {"connectTimeoutUs": 3e7}
     kinds = [raw_settings()["trafficTypes"][0] | {"guardTimeUs": 5e7}]
     come_up, waiting = asyncio.Event(), []
-    honest = servers.Outgoing._open
+    honest = servers.OutgoingConnection._open
 
     async def late(link, address, wait):
         if link.side == "server":
@@ -122,7 +122,7 @@
             await come_up.wait()
         await honest(link, address, wait)
 
-    monkeypatch.setattr(servers.Outgoing, "_open", late)
+    monkeypatch.setattr(servers.OutgoingConnection, "_open", late)
     async with Cold(obligations=rules, caps=caps, trafficTypes=kinds) as world:
         clients = []
         for number in range(1, 13):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -22,7 +22,7 @@
 from bellrack.net.log import Counters
 from bellrack.net.readiness import Readiness
 from bellrack.net.server_list import ServerList
-from bellrack.net.servers import ServerLink
+from bellrack.net.servers import ServerConnection
 from bellrack.rng import Rng
 
 A_SECOND, PATIENCE = 10, 2.0  # lists that the service writes; seconds until a call in its queue gets 503
@@ -592,13 +592,13 @@
 
 @played
 async def test_a_connection_that_comes_up_when_its_server_is_doubtful_is_not_written_to(monkeypatch):
-    made = ServerLink.made
+    made = ServerConnection.made
 
     def late(link):
         link.leg.server.doubtful = True
         made(link)
 
-    monkeypatch.setattr(ServerLink, "made", late)
+    monkeypatch.setattr(ServerConnection, "made", late)
     async with World() as world:
         client = await world.call()
         _, _, line = await world.leg()
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -111,14 +111,14 @@
 @ENDS
 @played
 async def test_an_attempt_that_is_late_is_given_up_with_its_client(monkeypatch, how):
-    gate, opened = asyncio.Event(), servers.Outgoing._open
+    gate, opened = asyncio.Event(), servers.OutgoingConnection._open
 
     async def slowly(self, *args):
         if self.side == "server":
             await gate.wait()
         await opened(self, *args)
 
-    monkeypatch.setattr(servers.Outgoing, "_open", slowly)
+    monkeypatch.setattr(servers.OutgoingConnection, "_open", slowly)
     async with World(trafficTypes=PATIENT) as world:
         client = come(world)
         await world.until(lambda: world.node.counters["legs"])
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -151,14 +151,14 @@
 @played
 async def test_a_pause_of_our_own_is_not_a_connect_that_failed(monkeypatch):
     # Guards against 54 connects at a start with little CPU: made and written, then given up for the time-out.
-    opened = servers.Outgoing.open
+    opened = servers.OutgoingConnection.open
 
     def paused(self, *args):
         opened(self, *args)
         if self.side == "server":
             self.node.loop.call_soon(time.sleep, 0.3)  # longer than the connect time-out
 
-    monkeypatch.setattr(servers.Outgoing, "open", paused)
+    monkeypatch.setattr(servers.OutgoingConnection, "open", paused)
     async with World() as world:
         client = await world.call()
         _, server, _ = await world.leg()
@@ -276,14 +276,14 @@
 
 @played
 async def test_a_drain_heard_while_a_leg_connects_keeps_it_from_being_sent(monkeypatch):
-    gate, opened = asyncio.Event(), servers.Outgoing._open
+    gate, opened = asyncio.Event(), servers.OutgoingConnection._open
 
     async def slowly(self, *args):
         if self.side == "server":
             await gate.wait()
         await opened(self, *args)
 
-    monkeypatch.setattr(servers.Outgoing, "_open", slowly)
+    monkeypatch.setattr(servers.OutgoingConnection, "_open", slowly)
     async with World(servers=2) as world:
         client = await world.call()
         await world.until(lambda: world.node.counters["legs"])
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -33,7 +33,7 @@
 
     def __init__(self, monkeypatch, loop):
         self.come_up, self.waiting, self.real = asyncio.Event(), 0, loop.sock_connect
-        monkeypatch.setattr(servers.Outgoing, "_open", self.held(servers.Outgoing._open))
+        monkeypatch.setattr(servers.OutgoingConnection, "_open", self.held(servers.OutgoingConnection._open))
         self.active = False
 
     def held(self, honest):
