--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -27,7 +27,7 @@
 from bellrack.net.readiness import Readiness
 from bellrack.net.resumed import ResumedConnections
 from bellrack.net.server_watch import ServerWatch
-from bellrack.net.servers import Place, Probe, ServerConnection
+from bellrack.net.servers import Endpoint, Probe, ServerConnection
 from bellrack.net.shutdown import Shutdown
 from bellrack.net.turns import TurnLoop
 
@@ -219,9 +219,9 @@
         value = lines.figure(figure)
         if value is None:
             return  # it says nothing of the server
-        place: Place = leg.server.host_record
+        endpoint: Endpoint = leg.server.host_record
         if self.names.reports_delay and not self.names.reports_load:
-            place.told = self.now
+            endpoint.told = self.now
             self.counters["late_notices"] += 1
             self.balancer.on_delay_reported(leg, value / 1000)
         else:
--- a/bellrack/net/passing.py
+++ b/bellrack/net/passing.py
@@ -20,7 +20,7 @@
 from bellrack.net import lines, log
 from bellrack.net.clients import ClientConnection
 from bellrack.net.ring import Connection
-from bellrack.net.servers import Place, ServerConnection
+from bellrack.net.servers import Endpoint, ServerConnection
 
 MESSAGE = 65536  # bytes: a line and two full rings, written out, are half of that
 SLICE = 16  # connections that go over in one turn: guards against a pause for all others
@@ -110,8 +110,8 @@
     def standing(self, link: ServerConnection) -> dict[str, Any]:
         return {
             "line": link.client.request_line.line.decode(),
-            "server": link.place.name,
-            "place": lines.written(link.place.address),
+            "server": link.endpoint.name,
+            "place": lines.written(link.endpoint.address),
             "sent": link.leg.sent,
             "asked": list(link.asked),
             "said": link.said,
@@ -127,7 +127,7 @@
             link.transport.abort()
         if client.other:
             leg = client.leg.leg
-            client.leg.place.legs.pop(client.leg, None)
+            client.leg.endpoint.legs.pop(client.leg, None)
             client.leg = None
             self.node.leg_ended(leg, Result(model.CANCELLED, self.node.now - leg.sent), True)
         elif client.call:
@@ -182,7 +182,7 @@
         node, request_line = self.node, lines.parse_request_line(words["line"].encode())
         name, place = str(words["server"]), lines.address(words["place"])
         server = node.server(lines.mark(name))
-        server.host_record = server.host_record or Place(name, place)
+        server.host_record = server.host_record or Endpoint(name, place)
         call = node.new_call(
             node.names.types.get(request_line.values.get("c", ""), 0),
             0.0,
@@ -203,7 +203,7 @@
         link.other, client.other = client, link
         # In the books before anything can end it: guards against a leg that is taken off before it is put on.
         node.limits.open_ids[request_line.id] = client
-        link.place.legs[link] = None
+        link.endpoint.legs[link] = None
         node.resume_leg(leg)
         return link
 
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -14,7 +14,7 @@
 from bellrack.model import Server
 from bellrack.net import lines, log, start_times
 from bellrack.net.fact_versions import CordonOrder, ListVersions, supersedes
-from bellrack.net.servers import Place
+from bellrack.net.servers import Endpoint
 
 
 class ServerList:
@@ -129,7 +129,7 @@
         if entry.address is None and mark not in self.node.servers:
             return None
         server = self.node.servers.setdefault(mark, Server(mark))
-        server.host_record = server.host_record or Place(entry.name, entry.address)
+        server.host_record = server.host_record or Endpoint(entry.name, entry.address)
         server.host_record.address = entry.address or server.host_record.address
         started = self.started(server.host_record, stamp, newest)
         if server.local_state and (state != server.state or started != server.started_at):
@@ -140,9 +140,9 @@
         machine = self.machine_types.setdefault(entry.machine, len(self.machine_types))
         return mark, state, cell, zone, weight or server.weight, started, machine
 
-    def started(self, place: Place, stamp: float, newest: float) -> float:
+    def started(self, endpoint: Endpoint, stamp: float, newest: float) -> float:
         """When the server last started, on our clock: another stamp is another start."""
-        if place.start is None or place.start.stamp != stamp:
+        if endpoint.start is None or endpoint.start.stamp != stamp:
             # What the list known before lacks has started since that was told, whatever its clock says.
             long_ago = not self.confirmed and not self.loaded
             place.start = start_times.latest_start(stamp, self.node.now, long_ago, newest)
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -7,7 +7,7 @@
 from bellrack import model
 from bellrack.model import Server
 from bellrack.net import log
-from bellrack.net.servers import Place
+from bellrack.net.servers import Endpoint
 
 CHECK_INTERVAL_SECONDS = 1.0  # seconds between notices of late messages, as the decisions expect them
 FORGET_AFTER_SECONDS = (
@@ -48,13 +48,13 @@
             self.node.server_list.forget_order(server.id_hash)
 
     def time_messages(self, server: Server) -> None:
-        node, place = self.node, server.host_record
-        delay = place.look(node.now)
+        node, endpoint = self.node, server.host_record
+        delay = endpoint.look(node.now)
         late = delay > NOTICE * node.settings.shortest_message_aim
-        if node.names.reports_delay and (late or place.late) and node.now - place.told > TOLD_FOR:
-            node.balancer.on_delay_reported(next(iter(place.legs)).leg, delay)
-        place.late = late
+        if node.names.reports_delay and (late or endpoint.late) and node.now - endpoint.told > TOLD_FOR:
+            node.balancer.on_delay_reported(next(iter(endpoint.legs)).leg, delay)
+        endpoint.late = late
 
-    def end_silent(self, place: Place) -> None:
+    def end_silent(self, place: Endpoint) -> None:
         for link in [link for link in place.legs if link.silent()]:
             link.client.move("server-silent", model.RESET)
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -27,7 +27,7 @@
 SAID = 0.5  # seconds from a server's last line to its end of the connection; a client is owed that in one
 
 
-class Place:
+class Endpoint:
     """A server as its host sees it: where it is, what stands there, how long lines take."""
 
     def __init__(self, name: str, address: tuple[str, int]):
@@ -130,7 +130,7 @@
             self.open(leg.server.host_record.address, min(wait, max(0.0, until - node.now)))
 
     @property
-    def place(self) -> Place:
+    def endpoint(self) -> Endpoint:
         return self.leg.server.host_record
 
     def described(self) -> dict[str, Any]:
@@ -201,7 +201,7 @@
         elif kind == "up":
             self.timer.cancel()
             self.other, self.client.other = self.client, self
-            self.place.legs[self] = None
+            self.endpoint.legs[self] = None
             self.client.write_final(line)
             self.node.stands(self.leg, self.resumes)
             self.client.wake()
@@ -220,7 +220,7 @@
         elif line.startswith(b"LOAD "):
             self.node.told(self.leg, rest)
         elif self.asked:
-            self.place.took.append(self.node.now - self.asked.popleft())
+            self.endpoint.took.append(self.node.now - self.asked.popleft())
 
     def lost(self) -> None:
         """The server, or the way to it, has ended the connection, or has said so and not done it."""
@@ -250,9 +250,9 @@
             return
         self.timer.cancel()
         self.drop()
-        self.place.legs.pop(self, None)
+        self.endpoint.legs.pop(self, None)
         attempt = len(self.leg.call.legs)
-        self.finish(reason, how, server=self.place.name, result=kind, attempt=attempt)
+        self.finish(reason, how, server=self.endpoint.name, result=kind, attempt=attempt)
         self.client.leg = None
         self.node.leg_over(self, kind)
 
