--- a/bellrack/net/passing.py
+++ b/bellrack/net/handoff.py
@@ -49,7 +49,7 @@
     return base64.b64decode(text, validate=True)
 
 
-class End:
+class HandoffEnd:
     """One end of the way over."""
 
     def __init__(self, node: Any, sock: socket.socket):
@@ -65,7 +65,7 @@
             self.node.limits.count_descriptors(-1)
 
 
-class Giver(End):
+class HandoffSender(HandoffEnd):
     """The end of the process that goes."""
 
     def give_some(self) -> bool:
@@ -137,7 +137,7 @@
                 client.leg.end(model.CANCELLED, "handed-over")
 
 
-class Taker(End):
+class HandoffReceiver(HandoffEnd):
     """The end of the process that comes."""
 
     def __init__(self, node: Any, sock: socket.socket):
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -1,7 +1,7 @@
 """A hot restart as one process sees it: its sibling, before or after it, and what passes between them.
 
 Owns which of the two listens, and the state that goes over beside the connections. The Unix socket is
-`sibling.py`, the hand-off of connections `passing.py`. Without a sibling nothing here does anything.
+`sibling.py`, the hand-off of connections `handoff.py`. Without a sibling nothing here does anything.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import socket
 from typing import Any
 
-from bellrack.net import lines, log, passing, shared_state, sibling
+from bellrack.net import handoff, lines, log, shared_state, sibling
 from bellrack.net.fact_versions import CordonOrder
 
 WAIT_FOR_TURN = 8.0  # seconds that a third process waits for the first of two to end: 3.7 s, and its start
@@ -21,8 +21,10 @@
     def __init__(self, node: Any):
         self.node = node
         self.sibling: sibling.Sibling | None = None  # our other process, before or after us
-        self.giver: passing.Giver | None = None  # hands connections to it, once it listens in our place
-        self.taker: passing.Taker | None = None  # takes them from it
+        self.handoff_sender: handoff.HandoffSender | None = (
+            None  # hands connections to it, once it listens in our place
+        )
+        self.handoff_receiver: handoff.HandoffReceiver | None = None  # takes them from it
         self.connecting: asyncio.Task | None = None
         self.reopening: asyncio.Task | None = None
         self.clock_ahead = 0.0  # seconds by which our clock is ahead of the predecessor's
@@ -30,7 +32,7 @@
     @property
     def has_successor(self) -> bool:
         """A process came after us and listens in our place."""
-        return self.giver is not None
+        return self.handoff_sender is not None
 
     async def find_predecessor(self) -> sibling.Predecessor | None:
         """Where a process of this balancer serves, its listening socket and what it has learned are ours."""
@@ -62,19 +64,21 @@
         self.connect(predecessor.sock, early=predecessor.rest)
         for message in shared_state.replies(node, told):
             self.publish(**message)
-        self.taker = predecessor.handoff_socket and passing.Taker(node, predecessor.handoff_socket)
+        self.handoff_receiver = predecessor.handoff_socket and handoff.HandoffReceiver(
+            node, predecessor.handoff_socket
+        )
         await self.connecting
 
     def connect(
         self,
         sock: socket.socket,
-        giver: passing.Giver | None = None,
+        handoff_sender: handoff.HandoffSender | None = None,
         early: bytes = b"",
         unsent: bytes = b"",
     ) -> None:
         """The Unix socket to the sibling is up; `early`: bytes of it that are already read; `unsent`: bytes
         that are to go out first."""
-        self.sibling = sibling.Sibling(self.node, giver, early, unsent)
+        self.sibling = sibling.Sibling(self.node, handoff_sender, early, unsent)
         self.connecting = self.node.loop.create_task(
             self.node.loop.create_unix_connection(lambda: self.sibling, sock=sock)
         )
@@ -104,7 +108,9 @@
         node = self.node
         if "held" in said:
             # What is on its way counts too: guards against hundreds that neither holds for an instant.
-            on_the_way = int(said.get("passed", 0)) - self.taker.passed if self.taker else 0
+            on_the_way = (
+                int(said.get("passed", 0)) - self.handoff_receiver.passed if self.handoff_receiver else 0
+            )
             node.limits.sibling_descriptors = int(said["held"]) + max(0, on_the_way)
             node.limits.make_room(node.now)
         if "news" in said and said.get("discovery") == lines.written(node.discovery.address):
@@ -113,8 +119,8 @@
             given = float(said.get("given", node.clock() - node.anchor))
             order = CordonOrder(str(said.get("out") or said["back"]), "out" in said, given)
             node.server_list.on_order(order)
-        if "took" in said and self.sibling and self.sibling.giver:
-            self.giver = self.sibling.giver
+        if "took" in said and self.sibling and self.sibling.handoff_sender:
+            self.handoff_sender = self.sibling.handoff_sender
             node.listeners.stop_accepting()
             node.balancer.slow_start.suspend(True)  # two processes are one balancer: it has the budget now
             log.event("followed")
@@ -124,7 +130,7 @@
         if lost is not self.sibling:
             return
         lost.close()
-        node, followed, self.sibling, self.giver = self.node, self.has_successor, None, None
+        node, followed, self.sibling, self.handoff_sender = self.node, self.has_successor, None, None
         node.limits.sibling_descriptors = 0
         if node.over.is_set():
             return
@@ -140,6 +146,6 @@
             node.changed.set()
 
     def close(self) -> None:
-        for way in (self.sibling, self.taker):
+        for way in (self.sibling, self.handoff_receiver):
             if way:
                 way.close()
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -198,7 +198,7 @@
             leg.call.host_record.counted_as("completed")
             leg.server.last_accepted = max(leg.server.last_accepted, leg.sent)
             self.leg_established(leg)
-        if self.shutdown and not self.hot_restart.giver:
+        if self.shutdown and not self.hot_restart.handoff_sender:
             self.act(leg.call.host_record.move, "moved")
 
     def leg_over(self, link: ServerConnection, kind: str) -> None:
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -36,7 +36,7 @@
             seconds=self.time_limit,
             handed_over=node.hot_restart.has_successor,
         )
-        if node.hot_restart.giver:
+        if node.hot_restart.handoff_sender:
             self.hand_over()
         else:
             self.move_spread(standing)
@@ -85,8 +85,8 @@
 
     def hand_over(self) -> None:
         """What stands goes to the process after us; what comes up later, or is still to be sent, then."""
-        if self.node.hot_restart.giver:
-            self.node.after(0 if self.node.hot_restart.giver.give_some() else LOOK, self.hand_over)
+        if self.node.hot_restart.handoff_sender:
+            self.node.after(0 if self.node.hot_restart.handoff_sender.give_some() else LOOK, self.hand_over)
 
     def empty(self) -> None:
         gone = self.node.now - self.started_at
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -17,7 +17,7 @@
 import struct
 from typing import Any
 
-from bellrack.net import log, passing, transient
+from bellrack.net import handoff, log, transient
 
 PATIENCE = 1.0  # seconds that the one that starts waits for the one that serves
 TELL_EVERY = 0.25  # seconds between figures told to the other
@@ -115,9 +115,17 @@
     """The other process of this balancer, while there is one: a message is a line, one JSON object."""
 
     def __init__(
-        self, node: Any, giver: passing.Giver | None = None, early: bytes = b"", unsent: bytes = b""
+        self,
+        node: Any,
+        handoff_sender: handoff.HandoffSender | None = None,
+        early: bytes = b"",
+        unsent: bytes = b"",
     ):
-        self.node, self.giver, self.rest = node, giver, b""  # the way over, where it came after us
+        self.node, self.handoff_sender, self.rest = (
+            node,
+            handoff_sender,
+            b"",
+        )  # the way over, where it came after us
         self.early = early  # bytes of it that were read with the door
         self.unsaid = unsent  # until the connection is up
         self.transport: Any = None
@@ -155,13 +163,16 @@
     def close(self) -> None:
         if self.transport:
             self.transport.close()
-        if self.giver:
-            self.giver.close()
+        if self.handoff_sender:
+            self.handoff_sender.close()
 
     def held(self) -> None:
         """Descriptors count together, so each knows what the other holds."""
         if not self.transport.is_closing():
-            self.send(held=self.node.limits.descriptors, passed=self.giver.passed if self.giver else 0)
+            self.send(
+                held=self.node.limits.descriptors,
+                passed=self.handoff_sender.passed if self.handoff_sender else 0,
+            )
             self.node.loop.call_later(TELL_EVERY, self.held)
 
 
@@ -204,7 +215,7 @@
             sock.setblocking(False)  # guards against one that connects and reads nothing
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * MAX_MESSAGE_BYTES)
             text = json.dumps(self.node.hot_restart.snapshot()).encode() + b"\n"
-            ours, theirs = passing.pair()
+            ours, theirs = handoff.pair()
             with theirs:
                 fds = [self.node.listeners.socket.fileno(), theirs.fileno()]
                 sent = socket.send_fds(sock, [text], fds)  # what it does not take at once follows
@@ -215,7 +226,7 @@
                     sock.sendall(BUSY)
             sock.close()
             return
-        self.node.hot_restart.connect(sock, passing.Giver(self.node, ours), unsent=text[sent:])
+        self.node.hot_restart.connect(sock, handoff.HandoffSender(self.node, ours), unsent=text[sent:])
 
     def leave(self) -> None:
         """Nothing is left behind, but for the place of a process that came after us."""
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -167,7 +167,7 @@
     ),
     Mutant(
         "stays with the old process",
-        "net/passing.py",
+        "net/handoff.py",
         "if client.call is None or client.other or resumes:",
         "if client.call is None or client.other:",
     ),
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -205,7 +205,7 @@
     ),
     Mutant(
         "a half request has its time anew from each process",
-        (("net/passing.py", '            if "opened" in words:\n', "            if False:\n"),),
+        (("net/handoff.py", '            if "opened" in words:\n', "            if False:\n"),),
         "restart",
         ("half_request",),
     ),
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -13,7 +13,7 @@
 import pytest
 from helpers import Peer, World, played
 
-from bellrack.net import hot_restart, lines, node, passing, ring, sibling
+from bellrack.net import handoff, hot_restart, lines, node, ring, sibling
 from bellrack.net.config import parse_config
 from bellrack.net.limits import Limits
 
@@ -53,8 +53,8 @@
         world.node, serving = await world.start()
         waiting = await world.call()
         await world.until(lambda: old.hot_restart.has_successor and old.listeners.listener is None)
-        old.hot_restart.giver.close()
-        old.hot_restart.giver = None  # as with a second process that takes no connections over
+        old.hot_restart.handoff_sender.close()
+        old.hot_restart.handoff_sender = None  # as with a second process that takes no connections over
         assert old.can_serve() is False and world.node.can_serve()
         assert (await world.leg())[2].startswith("OPEN 0000000000000002") and waiting
         old.leave()
@@ -135,7 +135,7 @@
         await world.until(lambda: old.hot_restart.has_successor)
         old.leave()
         await world.until(lambda: old.shutdown)
-        assert not old.hot_restart.giver.give(link) and sent
+        assert not old.hot_restart.handoff_sender.give(link) and sent
         server.say("last")
         got = [told async for told in until_last(client)]
         assert set(got) == {line[:-2].decode()} and len(got) % 50 == 0
@@ -148,12 +148,12 @@
 @played
 async def test_what_another_version_hands_over_in_its_own_form_is_left(folder):
     async with World(control=True) as world:
-        ours, theirs = passing.pair()
-        taker = passing.Taker(world.node, theirs)
+        ours, theirs = handoff.pair()
+        handoff_receiver = handoff.HandoffReceiver(world.node, theirs)
         for words in (b"no json", b"[]", b"{}", b'{"in": "%%"}', b'{"in": ""}', b'{"line": "OPEN"}'):
             ours.send(words)
         await asyncio.sleep(0.02)
-        assert not world.node.clients and not world.node.counters["faults"] and not taker.tasks
+        assert not world.node.clients and not world.node.counters["faults"] and not handoff_receiver.tasks
         ours.close()
         await world.until(lambda: theirs.fileno() < 0)
 
@@ -270,15 +270,15 @@
             "said": "",
         }
         sides = [socket.socketpair() for _ in range(2)]
-        ours, theirs = passing.pair()
-        taker, up = passing.Taker(world.node, theirs), passing.Taker.up
+        ours, theirs = handoff.pair()
+        handoff_receiver, up = handoff.HandoffReceiver(world.node, theirs), handoff.HandoffReceiver.up
         late = []
-        monkeypatch.setattr(taker, "up", late.append)  # long after the server has ended it
+        monkeypatch.setattr(handoff_receiver, "up", late.append)  # long after the server has ended it
         socket.send_fds(ours, [json.dumps(words).encode()], [near.fileno() for near, _ in sides])
         await world.until(lambda: late)
         sides[1][1].close()
         await world.until(lambda: world.node.counters["ended_server"])
-        up(taker, *late)
+        up(handoff_receiver, *late)
         await asyncio.sleep(0.02)
         assert world.node.balancer.open_legs == 0 and not world.node.counters["faults"]
         for sock in (ours, sides[0][0], sides[0][1], sides[1][0]):
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -181,7 +181,7 @@
 class Channel:
     """One direction between the two processes: messages come in order, some time later."""
 
-    giver = None
+    handoff_sender = None
 
     def __init__(self):
         self.messages = []
