--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -149,8 +149,8 @@
 
 
 def rows(count: int, port: int = 9000, state: str = model.READY, zones: int = 10) -> list[dict[str, Any]]:
-    """Entries of a list, as `lines.told` writes them."""
-    return lines.told(
+    """Entries of a list, as `lines.list_message` writes them."""
+    return lines.list_message(
         (
             f"server-{n:06d}",
             ("127.0.0.1", port),
@@ -214,7 +214,7 @@
     def log(self, text: str) -> None: ...
 
     def fleet(self, count: int, zones: int) -> list[Server]:
-        servers = [Server(lines.mark(f"server-{n:06d}"), n % zones, weight=1000.0) for n in range(count)]
+        servers = [Server(lines.id_hash(f"server-{n:06d}"), n % zones, weight=1000.0) for n in range(count)]
         self.balancer.on_servers_listed(servers)
         return servers
 
@@ -534,7 +534,7 @@
 
     def __init__(self, balancers: int, seed: int = 3):
         self.chance, self.now = random.Random(seed), BEGUN
-        self.servers = [lines.mark(f"server-{n:06d}") for n in range(round(PER_BALANCER * balancers))]
+        self.servers = [lines.id_hash(f"server-{n:06d}") for n in range(round(PER_BALANCER * balancers))]
         self.listed = dict.fromkeys((mark & aggregation.SHORT_ID_MASK for mark in self.servers), True)
         self.out: deque[tuple[int, int | None, bytes]] = deque()
         self.all = [
--- a/bellrack/lab/scale/standins.py
+++ b/bellrack/lab/scale/standins.py
@@ -162,7 +162,7 @@
         discovery = await loop.create_server(lambda: Discovery(text), "127.0.0.1", 0)
         self.listeners = [server, discovery]
         self.config = os.path.join(self.folder.name, "config.json")
-        place = lines.written(discovery.sockets[0].getsockname())
+        place = lines.format_address(discovery.sockets[0].getsockname())
         Path(self.config).write_text(
             json.dumps(
                 {
--- a/bellrack/lab/scale/tier.py
+++ b/bellrack/lab/scale/tier.py
@@ -99,7 +99,7 @@
             return
         ready = self.desk.ready(self.zone(number))
         chosen = draw.some(ready, min(connections.servers, len(ready)))
-        node.own = [lines.mark(self.desk.name(n)) for n in chosen]
+        node.own = [lines.id_hash(self.desk.name(n)) for n in chosen]
         node.queue(node.will_hold, node.own)
         for mark in node.own:
             for _ in range(max(1, round(connections.each * draw.skewed(0.5)))):
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -51,7 +51,7 @@
         self.logged: list[tuple[float, str, str]] = []
         self.jitter, self.down_since = self.chance["net"], {}
         self.machines = self.make_machines()
-        self.marks = {machine: lines.mark(machine.name) for machine in self.machines}
+        self.marks = {machine: lines.id_hash(machine.name) for machine in self.machines}
         self.by_name = {machine.name: machine for machine in self.machines}
         self.ledger, self.store = Ledger(scenario, self.machines), SessionStore(scenario.store)
         self.roster, self.front, self.legs = Roster(self), Front(self), self.legs_form(self)
--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -43,7 +43,7 @@
             return {"id": self.request_line.id}
         peer = self.transport and self.transport.get_extra_info("peername")
         lasted = self.node.clock() - self.opened if self.opened is not None else 0.0
-        return {"peer": lines.written(peer) if peer else "none", "lasted": lasted}
+        return {"peer": lines.format_address(peer) if peer else "none", "lasted": lasted}
 
     def made(self) -> None:
         self.node.clients[self] = None
--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -84,7 +84,7 @@
     name = request.body.decode("utf-8", "replace").strip()
     if not node.server_list.cordon(name, out):
         return 404, "no such server\n"
-    node.hot_restart.publish_order(node.server_list.orders[lines.mark(name)])
+    node.hot_restart.publish_order(node.server_list.orders[lines.id_hash(name)])
     log.event("by_hand", server=name, out=out)
     return 200, "out\n" if out else "back\n"
 
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -32,9 +32,9 @@
     def __init__(self, node: Any, address: tuple[str, int], watch: bool):
         super().__init__(node)
         self.address, self.watch = address, watch
-        self.response, self.body, self.request_sent = lines.Answer(), b"", False
+        self.response, self.body, self.request_sent = lines.HttpResponseReader(), b"", False
         self.started_at = self.last_received = self.request_sent_at = node.now
-        self.objects, self.received_line = lines.Objects(), False
+        self.objects, self.received_line = lines.JsonObjectReader(), False
         self.open(address, discovery_retry.CONNECT_TIMEOUT_SECONDS)
         if not watch:
             self.lasts(
@@ -62,7 +62,7 @@
             self.request_sent, self.request_sent_at = True, self.node.now
             query = f"?watch=1&after={self.node.server_list.version}" if self.watch else ""
             self.write(
-                f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: {lines.written(self.address)}\r\n"
+                f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: {lines.format_address(self.address)}\r\n"
                 f"Accept: application/json\r\n\r\n".encode()
             )
         begun = self.response.status
--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -111,7 +111,7 @@
         return {
             "line": link.client.request_line.line.decode(),
             "server": link.endpoint.name,
-            "place": lines.written(link.endpoint.address),
+            "place": lines.format_address(link.endpoint.address),
             "sent": link.leg.sent,
             "asked": list(link.asked),
             "said": link.said,
@@ -181,7 +181,7 @@
         """The call and its one leg, as they stood in the other process."""
         node, request_line = self.node, lines.parse_request_line(words["line"].encode())
         name, place = str(words["server"]), lines.address(words["place"])
-        server = node.server(lines.mark(name))
+        server = node.server(lines.id_hash(name))
         server.host_record = server.host_record or Endpoint(name, place)
         call = node.new_call(
             node.names.types.get(request_line.values.get("c", ""), 0),
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -101,7 +101,7 @@
         if self.sibling:
             discovery = self.node.discovery
             address = discovery.address if of_present else discovery.previous.address
-            self.publish(news=lines.retold(news), discovery=lines.written(address))
+            self.publish(news=lines.update_message(news), discovery=lines.format_address(address))
 
     def on_message(self, said: dict[str, Any]) -> None:
         """Of the sibling."""
@@ -113,7 +113,7 @@
             )
             node.limits.sibling_descriptors = int(said["held"]) + max(0, on_the_way)
             node.limits.make_room(node.now)
-        if "news" in said and said.get("discovery") == lines.written(node.discovery.address):
+        if "news" in said and said.get("discovery") == lines.format_address(node.discovery.address):
             node.server_list.on_sibling_news(lines.listing(said["news"]))
         if "out" in said or "back" in said:
             given = float(said.get("given", node.clock() - node.anchor))
--- a/bellrack/net/lines.py
+++ b/bellrack/net/lines.py
@@ -57,7 +57,7 @@
         raise LineError(f"bad-{name}")
 
 
-def mark(name: str) -> int:
+def id_hash(name: str) -> int:
     """The same number for a server at every balancer and start; the interpreter's own hash is not."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
@@ -130,7 +130,7 @@
         raise LineError(f"bad-list: {error!r}") from None
 
 
-def told(rows: Iterable[tuple], version: int = 0, whole: bool = True) -> dict[str, Any]:
+def list_message(rows: Iterable[tuple], version: int = 0, whole: bool = True) -> dict[str, Any]:
     """A list, or changes of one, in the form that `listing` reads, from rows of what an entry has."""
     states = {state: word for word, state in STATES.items()}
     return {
@@ -139,7 +139,7 @@
         "instances": [
             {
                 "instanceId": name,
-                "hostPort": written(place) if place else "",
+                "hostPort": format_address(place) if place else "",
                 "zone": zone,
                 "lifecycle": states[state],
                 "cell": cell,
@@ -152,7 +152,7 @@
     }
 
 
-def retold(news: Listing) -> dict[str, Any]:
+def update_message(news: Listing) -> dict[str, Any]:
     """News of discovery in the form in which they came."""
     rows = (
         (
@@ -167,7 +167,7 @@
         )
         for e in news.entries
     )
-    return told(rows, news.version, news.whole)
+    return list_message(rows, news.version, news.whole)
 
 
 def entry(item: Any) -> Entry:
@@ -184,14 +184,14 @@
         (
             state,
             int(item.get("cell", 0)),
-            figure(item.get("weight", 1.0)) or None,
+            parse_number(item.get("weight", 1.0)) or None,
             since if math.isfinite(since) else 0.0,
         ),
         str(item.get("machineType", "")),
     )
 
 
-def figure(told: Any) -> float | None:
+def parse_number(told: Any) -> float | None:
     """A number, nought or more and finite; None for whatever else a line or a list may hold."""
     try:
         number = float(told)
@@ -202,7 +202,7 @@
 
 def report(line: bytes, count: int) -> tuple[float, ...] | None:
     """The values of a load report, `PONG` before them or not; nothing if one is missing or no figure."""
-    values = tuple(map(figure, line.removeprefix(b"PONG").split()))
+    values = tuple(map(parse_number, line.removeprefix(b"PONG").split()))
     return values if len(values) == count and None not in values else None
 
 
@@ -213,11 +213,11 @@
     return host, int(port)
 
 
-def written(place: tuple[str, int]) -> str:
+def format_address(place: tuple[str, int]) -> str:
     return f"{place[0]}:{place[1]}"
 
 
-class Answer:
+class HttpResponseReader:
     """An HTTP/1.1 answer as it comes in: `feed` returns what the bytes add to the body."""
 
     def __init__(self) -> None:
@@ -297,7 +297,7 @@
         return True
 
 
-class Objects:
+class JsonObjectReader:
     """JSON objects as they come in by lines, each on one line or indented over several."""
 
     def __init__(self) -> None:
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -216,7 +216,7 @@
 
         Measured: the latter come once a second on one connection a server while over a third of the shortest
         aim and once when back under, while lines are answered within 3 ms all the time."""
-        value = lines.figure(figure)
+        value = lines.parse_number(figure)
         if value is None:
             return  # it says nothing of the server
         endpoint: Endpoint = leg.server.host_record
@@ -272,7 +272,7 @@
         log.event(
             "serving",
             name=self.config.name,
-            listen=lines.written(self.address),
+            listen=lines.format_address(self.address),
             servers=len(self.servers),
             weights="live" if self.settings.live else "nominal",
             report=",".join(self.settings.report) or "none",
--- a/bellrack/net/reload.py
+++ b/bellrack/net/reload.py
@@ -30,7 +30,7 @@
     waits = [name for name in NEEDS_RESTART if getattr(config, name) != getattr(node.config, name)]
     log.event(
         "reload",
-        discovery=lines.written(config.discovery),
+        discovery=lines.format_address(config.discovery),
         sockets=config.sockets,
         types=",".join(config.names.types),
         attempts=config.settings.max_legs,
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -38,7 +38,7 @@
     def admit(self, client: Any, client_waits: float | None) -> None:
         """A first line with `at=` has come. `client_waits`: for how many seconds, as it says."""
         self.window.on_resumed(self.node.now)
-        resumption = Resumption(self.node.now, lines.mark(client.request_line.id), client_waits)
+        resumption = Resumption(self.node.now, lines.id_hash(client.request_line.id), client_waits)
         self.pending[client] = resumption
         self.node.counters["resumed"] += 1
         self.proceed(client, resumption)
@@ -49,7 +49,7 @@
         client.forget_if_closed()
         if client.call.done:
             return
-        server = self.node.servers.get(lines.mark(client.request_line.values["at"]))
+        server = self.node.servers.get(lines.id_hash(client.request_line.values["at"]))
         known = server is not None and server.host_record is not None
         match resumption.next_action(self.node.now, known, self.descriptors_free()):
             case Attempt(give_up_at):
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -62,7 +62,7 @@
         """What the watch of our other process brought. Our own still brings all since our version."""
         if news.version > self.version:
             self.merge_newer(news)
-            self.versions.on_sibling(news.version, news.whole, [lines.mark(e.name) for e in news.entries])
+            self.versions.on_sibling(news.version, news.whole, [lines.id_hash(e.name) for e in news.entries])
 
     def on_predecessor_list(self, news: lines.Listing, theirs: ListVersions) -> None:
         """The whole list of the process before us, at the same address; `theirs`: how recent it is."""
@@ -102,7 +102,7 @@
         def takes(mark: int) -> bool:
             return self.versions.accepts(mark, theirs.version_of(mark))
 
-        entries = [entry for entry in news.entries if takes(lines.mark(entry.name))]
+        entries = [entry for entry in news.entries if takes(lines.id_hash(entry.name))]
         kept = {mark for mark in self.node.servers if not takes(mark)} if news.whole else ()
         self.merge(lines.Listing(news.version, news.whole, entries), kept)
 
@@ -125,7 +125,7 @@
         newest stamp of a start among the entries that came with it."""
         state, cell, weight, stamp = entry.row
         self.node.counters["bad_weights"] += weight is None
-        mark = lines.mark(entry.name)
+        mark = lines.id_hash(entry.name)
         if entry.address is None and mark not in self.node.servers:
             return None
         server = self.node.servers.setdefault(mark, Server(mark))
@@ -151,10 +151,10 @@
     def to_message(self) -> dict[str, Any]:
         """The list in hand, in the form that discovery sends a whole one."""
         listed = [s for s in self.node.servers.values() if s.host_record and s.state != model.GONE]
-        return lines.told(self.entry_rows(listed))
+        return lines.list_message(self.entry_rows(listed))
 
     def entry_rows(self, servers: Iterable[Server]) -> Iterator[tuple]:
-        """What the entry of each has, as `lines.told` writes it."""
+        """What the entry of each has, as `lines.list_message` writes it."""
         zones = {index: name for name, index in self.node.names.zones.items()}
         machines = {index: name for name, index in self.machine_types.items()}
         for server in servers:
@@ -180,7 +180,7 @@
             ]
             servers = [s for s in map(self.node.servers.get, marks) if s and s.host_record]
             if servers:
-                yield lines.told(self.entry_rows(servers), version, whole=False)
+                yield lines.list_message(self.entry_rows(servers), version, whole=False)
 
     def forget_order(self, mark: int) -> None:
         """Of a server that is forgotten: guards against a record for each one that was ever put back."""
@@ -209,7 +209,7 @@
 
     def cordon(self, name: str, out: bool) -> bool:
         """Take a server out by hand, or put it back; no if none of that name is or was listed."""
-        mark = lines.mark(name)
+        mark = lines.id_hash(name)
         server = self.node.servers.get(mark)
         listed = server is not None and server.state != model.GONE and server.host_record is not None
         if mark not in self.cordoned and not listed:
@@ -219,7 +219,7 @@
 
     def on_order(self, order: CordonOrder) -> None:
         """What operators ordered here, or at our other process, of a server that need not be listed yet."""
-        mark = lines.mark(order.name)
+        mark = lines.id_hash(order.name)
         held = self.orders.get(mark)
         if held and not supersedes(order.version, held.version):
             return
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -33,7 +33,7 @@
         "version": sibling.VERSION,
         "list": node.server_list.to_message(),
         "list_versions": {
-            "discovery": lines.written(node.discovery.address),
+            "discovery": lines.format_address(node.discovery.address),
             "complete": versions.complete,
             "later": {str(mark): version for mark, version in versions.newer.items()},
         },
@@ -62,7 +62,7 @@
     def list_versions(self, discovery: tuple[str, int]) -> ListVersions | None:
         """Of its list; None if they are of another discovery address, or not told."""
         told = self.told.get("list_versions")
-        if told is None or told["discovery"] != lines.written(discovery):
+        if told is None or told["discovery"] != lines.format_address(discovery):
             return None
         later = {int(mark): int(version) for mark, version in told["later"].items()}
         return ListVersions(int(told["complete"]), newer=later)
@@ -108,7 +108,7 @@
     that is taken for warm."""
     learned = dict(predecessor.told.get("learned", {}))
     entries = lines.listing(predecessor.told.get("list")).entries
-    stamps = {str(lines.mark(entry.name)): entry.row[3] for entry in entries}
+    stamps = {str(lines.id_hash(entry.name)): entry.row[3] for entry in entries}
     learned["servers"] = {
         mark: values
         for mark, values in learned.get("servers", {}).items()
@@ -138,7 +138,7 @@
     theirs = predecessor.list_versions(node.discovery.address)
     if theirs is not None:
         for news in node.server_list.news_after(theirs):
-            yield {"news": news, "discovery": lines.written(node.discovery.address)}
+            yield {"news": news, "discovery": lines.format_address(node.discovery.address)}
 
 
 def order_replies(node: Any, predecessor: Predecessor) -> Iterator[dict[str, Any]]:
--- a/bellrack/net/startup.py
+++ b/bellrack/net/startup.py
@@ -15,7 +15,7 @@
 
     `alone`: no other process listens for it, so it does for resumed connections once their clients come."""
     if not node.readiness.has_known_list:
-        log.event("no-list", waits=lines.written(node.discovery.address))
+        log.event("no-list", waits=lines.format_address(node.discovery.address))
     listen_at = node.begun + resumption.LISTEN_AFTER if alone else math.inf
     while not node.shutdown and not node.readiness.may_open(now := node.clock()):
         if now >= listen_at:
@@ -32,4 +32,4 @@
     """Resumed connections are admitted from now on; whoever else comes is turned away."""
     node.takes_requests = False
     await transient.retry(lambda: node.listeners.open(None))
-    log.event("listening", address=lines.written(node.listeners.socket.getsockname()), ready=False)
+    log.event("listening", address=lines.format_address(node.listeners.socket.getsockname()), ready=False)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -134,7 +134,7 @@
     for count in (600, 3000):
         expected = roles.unspoken_by_formula(count)
         assert abs(roles.unspoken(count) - expected) < 5 * math.sqrt(expected)
-    names = [lines.mark(f"server-{n:06d}") & aggregation.SHORT_ID_MASK for n in range(3000)]
+    names = [lines.id_hash(f"server-{n:06d}") & aggregation.SHORT_ID_MASK for n in range(3000)]
     assert roles.unspoken(3000) == sum(names.count(name) > 1 for name in names)
 
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -54,7 +54,7 @@
     host.discovery.confirmed(host.now)
     host.now += 1.0
     tell(host, 2, entry("s-0", true + 6.0 + step))
-    stand = host.servers[lines.mark("s-0")].local_state
+    stand = host.servers[lines.id_hash("s-0")].local_state
     assert stand.warm_at - host.now == pytest.approx(RAMP, abs=1e-6)
 
 
@@ -64,7 +64,7 @@
     host, stamp = host_at(monkeypatch), time.time() + step
     tell(host, 1, entry("s-0", 0), entry("s-1", 0), reset=True)
     tell(host, 2, entry("s-0", stamp))
-    stand = host.servers[lines.mark("s-0")].local_state
+    stand = host.servers[lines.id_hash("s-0")].local_state
     warm_at, stand.tokens_used = stand.warm_at, 41
     for generation in (3, 4):
         host.now += 3.0
@@ -77,10 +77,10 @@
 async def test_who_starts_with_a_clock_that_is_off_takes_no_cold_server_for_warm(monkeypatch, step):
     host, true = host_at(monkeypatch, offset=step), time.time()
     tell(host, 7, entry("s-0", true - 1.0), entry("s-1", true - 4.0), entry("s-2", 0), reset=True)
-    cold = [host.servers[lines.mark(name)].local_state.warm_at - host.now for name in ("s-0", "s-1")]
+    cold = [host.servers[lines.id_hash(name)].local_state.warm_at - host.now for name in ("s-0", "s-1")]
     assert cold[0] >= RAMP - 1.1 and cold[1] >= RAMP - 4.1
     assert max(cold) <= RAMP
-    assert host.servers[lines.mark("s-2")].local_state.warm_at <= host.now
+    assert host.servers[lines.id_hash("s-2")].local_state.warm_at <= host.now
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -91,7 +91,7 @@
     known = [entry("s-0", 0), entry("s-1", 0), entry("s-2", true - 2.0)]
     host.server_list.load_known_list(lines.listing({"generation": 5, "reset": True, "instances": known}))
     tell(host, 7, entry("s-0", true - 1.0 + step), *known[1:], reset=True)
-    s_0, s_1 = (host.servers[lines.mark(name)].local_state.warm_at - host.now for name in ("s-0", "s-1"))
+    s_0, s_1 = (host.servers[lines.id_hash(name)].local_state.warm_at - host.now for name in ("s-0", "s-1"))
     assert s_0 == pytest.approx(RAMP, abs=1e-6) and s_1 <= 0
 
 
@@ -104,7 +104,7 @@
         lines.listing({"generation": 5, "reset": True, "instances": [entry("s-1", true - 500.0)]})
     )
     tell(host, 7, entry("s-0", true - 1.0 + step), entry("s-1", true - 500.0), reset=True)
-    assert host.servers[lines.mark("s-0")].local_state.warm_at >= host.now + RAMP - 1.1
+    assert host.servers[lines.id_hash("s-0")].local_state.warm_at >= host.now + RAMP - 1.1
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("answer", [CHUNKED, SIZED])
 @pytest.mark.parametrize("step", [1, 2, 3, 7, 1000])
 def test_an_answer_comes_out_the_same_in_any_pieces(answer, step):
-    reply = lines.Answer()
+    reply = lines.HttpResponseReader()
     body = b"".join(reply.feed(answer[at : at + step]) for at in range(0, len(answer), step))
     assert (reply.status, reply.done, body) == (200, True, b"".join(BODY))
 
@@ -60,7 +60,7 @@
 )
 def test_what_is_not_an_answer_is_refused(answer):
     with pytest.raises(lines.LineError):
-        lines.Answer().feed(answer)
+        lines.HttpResponseReader().feed(answer)
 
 
 @pytest.mark.parametrize(
@@ -114,7 +114,7 @@
 
 
 def test_marks_are_the_same_at_every_start():
-    assert lines.mark("s-5be2a07c") == 0x850D21AD14919D0C
+    assert lines.id_hash("s-5be2a07c") == 0x850D21AD14919D0C
 
 
 def test_a_log_line_is_key_value_pairs_on_one_line():
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -125,7 +125,7 @@
         for _ in range(40):
             world.node.queue(world.node.balancer.on_timer, "rebalance")
         await world.until(lambda: not (world.node.events or world.node.actions))
-        assert len(world.node.servers[lines.mark("s-1")].local_state.established_legs) == 10
+        assert len(world.node.servers[lines.id_hash("s-1")].local_state.established_legs) == 10
         assert not world.node.counters["moved"]
         if begins == "request":
             await in_service(world)
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -110,7 +110,7 @@
     ):
         second.server_list.confirmed = True
         tell(second, 60, world.entries[0] | {"startedAtMs": STARTED})
-        mark = lines.mark("s-0")
+        mark = lines.id_hash("s-0")
         await take_over()
         assert second.servers[mark].local_state.warm_at > second.clock()
         await world.until(lambda: world.node.servers[mark].local_state.warm_at > world.node.clock())
@@ -123,7 +123,7 @@
         drained = world.entries[0] | {"lifecycle": "terminating"}
         message = {"news": {"generation": 60, "reset": False, "instances": [drained]}}
         world.node.hot_restart.on_message(
-            message | {"discovery": lines.written(world.node.discovery.address)}
+            message | {"discovery": lines.format_address(world.node.discovery.address)}
         )
         assert states(world.node)["s-0"] == model.DRAINING
         tell(world.node, 50, *world.entries, whole=whole)
@@ -139,7 +139,7 @@
         told |= {"orders": [["s-1", True, 5.0]], "list": {"odd": 1}, "learned": 3, "started": "early"}
         second = Node(parse_config(world.raw), world.node.loop)
         shared_state.adopt(second, told | {"anchor": "none"})
-        assert second.server_list.cordoned == {lines.mark("s-1"): "s-1"}
+        assert second.server_list.cordoned == {lines.id_hash("s-1"): "s-1"}
 
 
 @played
@@ -156,7 +156,7 @@
             second.server_list.confirmed = confirmed
             shared_state.adopt(second, told)
             assert states(second)["s-0"] == state
-            assert second.server_list.cordoned == {lines.mark("s-1"): "s-1"}
+            assert second.server_list.cordoned == {lines.id_hash("s-1"): "s-1"}
             assert list(shared_state.replies(second, told)) == []
 
 
@@ -231,7 +231,7 @@
     def order(self, node, server, out):
         if node.server_list.cordon(f"s-{server}", out):
             self.ordered[f"s-{server}"] = out
-            node.hot_restart.publish_order(node.server_list.orders[lines.mark(f"s-{server}")])
+            node.hot_restart.publish_order(node.server_list.orders[lines.id_hash(f"s-{server}")])
 
     def news(self, kind, process):
         """The next version comes to the process, as a change or as a whole list."""
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -160,7 +160,7 @@
         assert (await world.ask("/_servers/detach", "s-1"))[0] == 200
         async with world.beside() as new:
             await world.until(lambda: world.node.hot_restart.has_successor)
-            assert new.servers[lines.mark("s-1")].cordoned
+            assert new.servers[lines.id_hash("s-1")].cordoned
 
 
 @pytest.mark.parametrize("error", [errno.ETIMEDOUT, errno.EHOSTUNREACH])
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -29,7 +29,7 @@
         first.leave()
         await asyncio.wait_for(world.serving, 5)
         await world.until(lambda: second.hot_restart.has_successor)
-        assert third.servers[lines.mark("s-1")].cordoned and third.can_serve()
+        assert third.servers[lines.id_hash("s-1")].cordoned and third.can_serve()
         second.leave()
         await asyncio.wait_for(serving_second, 5)
         world.node, world.serving = third, serving
@@ -134,9 +134,9 @@
         turn.set()
         await world.until(lambda: first.hot_restart.has_successor)
         try:
-            assert second.servers[lines.mark("s-1")].cordoned
+            assert second.servers[lines.id_hash("s-1")].cordoned
             assert second.hot_restart.snapshot()["out"] == ["s-1"]  # for the process after it
-            await world.until(lambda: first.servers[lines.mark("s-1")].cordoned)
+            await world.until(lambda: first.servers[lines.id_hash("s-1")].cordoned)
         finally:
             second.over.set()
             await serving
@@ -156,7 +156,7 @@
         instances = [drained, world.entries[2]] if whole else [drained, gone]
         news = {"generation": 60, "reset": whole, "instances": instances}
         told.queue(told.server_list.on_list, lines.listing(news))
-        marks = [lines.mark(entry["instanceId"]) for entry in world.entries]
+        marks = [lines.id_hash(entry["instanceId"]) for entry in world.entries]
         await world.until(lambda: other.servers[marks[0]].state == model.DRAINING)
         assert other.servers[marks[1]].state == model.GONE and other.servers[marks[2]].usable
         assert other.server_list.version == 41  # its own watch still brings all since then
@@ -166,7 +166,9 @@
             "reset": False,
             "instances": [world.entries[0] | {"lifecycle": "in_service"}],
         }
-        other.hot_restart.on_message({"news": old, "discovery": lines.written(other.discovery.address)})
+        other.hot_restart.on_message(
+            {"news": old, "discovery": lines.format_address(other.discovery.address)}
+        )
         assert other.servers[marks[0]].state == model.DRAINING  # newer is known
         elsewhere = old | {"generation": 90}
         other.hot_restart.on_message({"news": elsewhere, "discovery": "127.0.0.1:9"})
@@ -200,7 +202,7 @@
         async with world.beside() as second:
             await world.until(lambda: first.hot_restart.has_successor)
             assert len(second.servers) >= 3200
-            assert second.servers[lines.mark("server-00000007")].cordoned
+            assert second.servers[lines.id_hash("server-00000007")].cordoned
 
 
 RAMP, WINDOW, FACTOR = 60.0, 30.0, 0.8
@@ -244,7 +246,9 @@
                 "instances": [
                     {
                         "instanceId": "s-0",
-                        "hostPort": lines.written(next(iter(host.servers.values())).host_record.address),
+                        "hostPort": lines.format_address(
+                            next(iter(host.servers.values())).host_record.address
+                        ),
                         "zone": "a",
                         "cell": 0,
                         "machineType": "m",
