--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -132,7 +132,7 @@
         lost.close()
         node, followed, self.sibling, self.handoff_sender = self.node, self.has_successor, None, None
         node.limits.sibling_descriptors = 0
-        if node.over.is_set():
+        if node.finished.is_set():
             return
         if followed:
             # Also while we end ourselves: who waits in the listener has nobody else.
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -51,7 +51,7 @@
         # Where lists are pushed, what the discovery has counts as told from our first moment on.
         self.readiness, self.changed = Readiness(self.begun, LISTED, config.settings.asks), asyncio.Event()
         self.shutdown: Shutdown | None = None
-        self.over = asyncio.Event()
+        self.finished = asyncio.Event()
         self.discovery = Discovery(self, config.discovery)
         self.server_list = server_list.ServerList(self)
         self.server_watch = ServerWatch(self)
@@ -243,7 +243,7 @@
         await startup.wait_until_ready(self, alone=predecessor is None)
         if not self.shutdown:  # guards against a door that is opened only to be closed on who comes
             await self.take_requests(predecessor.listening_socket if predecessor else None)
-        await self.over.wait()
+        await self.finished.wait()
         self.invariants.check_exit(self.clients)
         self.listeners.close()
         self.hot_restart.close()
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -96,6 +96,6 @@
         # a line, who is not told by our answer yet, and who waits in the door.
         alone = gone >= STAY and not self.node.clients and not self.node.listeners.accept_last()
         if alone or gone >= self.time_limit - MARGIN:
-            self.node.over.set()
+            self.node.finished.set()
         else:
             self.node.after(LOOK, self.empty)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -265,7 +265,7 @@
         return node, serving
 
     async def __aexit__(self, *error):
-        self.node.over.set()
+        self.node.finished.set()
         await asyncio.wait_for(self.serving, 5)
         for one in self.listeners:
             one.close()
@@ -275,7 +275,7 @@
         """A second process that ends when the test has seen enough of it."""
         node, serving = await self.start()
         yield node
-        node.over.set()
+        node.finished.set()
         await serving
 
     async def first_ends(self, serving):
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -132,5 +132,5 @@
             with contextlib.suppress(ConnectionError):
                 server.end("fin")
             await world.first_ends(world.serving)
-            world.serving = asyncio.ensure_future(new.over.wait())
+            world.serving = asyncio.ensure_future(new.finished.wait())
             world.node = new
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -175,7 +175,7 @@
         ending.cancel()
         world.node = first
         for node, serving in others:
-            node.over.set()
+            node.finished.set()
             await serving
     warm = 0.2 + 0.8 * (AGE / RAMP)
     allowed = FACTOR * choice.ASSUMED_CONNECTIONS_PER_CAPACITY * warm * WINDOW / RAMP
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -290,7 +290,7 @@
     async with World() as world:
         begun = []
         world.node.after(0.0, begun.append, "by a timer")
-        world.node.over.set()
+        world.node.finished.set()
         await world.serving
         world.node.queue(begun.append, "by an event")
         ended = world.node.loop.time() + 0.05
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -201,7 +201,7 @@
         assert (
             not server.cordoned and server.local_state.warm_at > new.now
         )  # restarted meanwhile, as far as we know
-        new.over.set()
+        new.finished.set()
         await serving
 
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -153,7 +153,7 @@
         try:
             yield world
         finally:
-            world.node.over.set()
+            world.node.finished.set()
             world.node.queue(world.node.leave)
             await asyncio.wait_for(world.serving, 5)
             listener.close()
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -555,7 +555,7 @@
         front = await connected(address)
         front.say("PING")
         assert await front.line() == "PONG"
-        second.over.set()
+        second.finished.set()
         await serving
 
 
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -41,7 +41,7 @@
         yield second, take_over
     finally:
         turn.set()
-        second.over.set()
+        second.finished.set()
         await serving
 
 
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -99,7 +99,7 @@
         second, serving = await world.start(**extra)
         assert made.left == [0]
         await world.until(second.can_serve)
-        second.over.set()
+        second.finished.set()
         await serving
 
 
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -89,7 +89,7 @@
         _, server, _ = await world.leg()
         server.say("UP 1")
         assert await client.line() == "UP 1"
-        first.over.set()
+        first.finished.set()
         await world.first_ends(serving)
         world.node = second
 
@@ -138,7 +138,7 @@
             assert second.hot_restart.snapshot()["out"] == ["s-1"]  # for the process after it
             await world.until(lambda: first.servers[lines.id_hash("s-1")].cordoned)
         finally:
-            second.over.set()
+            second.finished.set()
             await serving
 
 
@@ -283,7 +283,7 @@
         ended = []
         for _ in range(2 if how.startswith("two") else 1):
             if how == "kill":
-                world.node.over.set()
+                world.node.finished.set()
                 await world.serving
                 world.raw["known"] = listed
             former = world.serving
