--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -242,7 +242,7 @@
         self.carry(theirs, self.comes_up, ours, theirs)
 
     def comes_up(self, ours: Stream, theirs: Stream) -> None:
-        if ours.protocol.over or not ours.protocol.node.alive:
+        if ours.protocol.closed or not ours.protocol.node.alive:
             return
         theirs.protocol.connection_made(theirs)
         ours.protocol.connection_made(ours)
--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -73,7 +73,7 @@
             self.turned_away("no-first-line")
 
     def finish(self, reason: str, how: str = "fin", **figures: Any) -> None:
-        if not self.over:
+        if not self.closed:
             self.node.resumed.discard(self)
             self.node.invariants.check_close(self)
         if self.call and self.call.refusal:
@@ -81,22 +81,22 @@
         super().finish(reason, how, **figures)
 
     def spared(self) -> None:
-        if not self.over:
+        if not self.closed:
             self.turned_away(how="now")
         super().spared()
 
     def ready(self) -> None:
         if self.call is None and not self.node.limits.make_room(self.node.now, 2):
             self.crowded_out()
-        while not self.over and self.call is None and (line := self.ring.line()):
+        while not self.closed and self.call is None and (line := self.ring.line()):
             self.first(line)
-        if self.over:
+        if self.closed:
             return
-        if self.call is None and self.ring.held and not self.ended:
+        if self.call is None and self.ring.held and not self.remote_end:
             self.node.limits.on_partial_line(self, self.node.now)
-        if self.other:
+        if self.paired:
             self.pass_on()
-        if self.call and not self.other and self.ring.held:
+        if self.call and not self.paired and self.ring.held:
             # Guards against hundreds of commands at once: whoever waits for UP as agreed says nothing before.
             self.refuse("not-awaited")
         elif self.ring.stuck:
@@ -148,16 +148,16 @@
         self.finish(reason, how)
 
     def passing(self, line: bytes) -> None:
-        if len(self.other.asked) < MOST_ASKED:  # the oldest tells for how long the server has been silent
-            self.other.asked.append(self.node.now)
+        if len(self.paired.asked) < MOST_ASKED:  # the oldest tells for how long the server has been silent
+            self.paired.asked.append(self.node.now)
         self.node.resumed.window.on_client_line()
 
     def refuse(self, code: str) -> None:
         """Malformed: one failing answer and the end."""
         self.node.counters["malformed"] += 1
-        if self.call and not self.call.done and not self.other:
+        if self.call and not self.call.done and not self.paired:
             self.counted_as("failed")
-        if self.other:
+        if self.paired:
             self.write(b"SYNTAX\r\n")  # it has had its answer, and spoilt its connection since
             self.finish(code)
         else:
@@ -170,7 +170,7 @@
 
     def write_final(self, line: bytes) -> None:
         """The one answer to its first line."""
-        if self.over:
+        if self.closed:
             return  # its end is out already, with an answer before it
         if self.answered:
             self.node.invariants.violated(Invariant.ANSWERED_TWICE, self.request_id, line=line.strip())
@@ -179,7 +179,7 @@
 
     def move(self, reason: str, kind: str = model.CANCELLED) -> None:
         """Send it away between two lines; it comes again through the front."""
-        if self.over or not self.other:
+        if self.closed or not self.paired:
             return
         self.node.counters["moved"] += 1
         self.write(b"MOVE\r\n")
@@ -188,8 +188,8 @@
 
     def gone(self) -> None:
         """The client has ended the connection."""
-        self.finish("front" if self.pings and not self.call else f"client-{self.ended}", self.ended)
-        self.forgotten(model.COMPLETED if self.other and self.ended == "fin" else model.CANCELLED)
+        self.finish("front" if self.pings and not self.call else f"client-{self.remote_end}", self.remote_end)
+        self.forgotten(model.COMPLETED if self.paired and self.remote_end == "fin" else model.CANCELLED)
 
     def forget_if_closed(self) -> None:
         """Guards against something sent for a client whose end only the kernel knows yet."""
@@ -198,8 +198,8 @@
 
     def forgotten(self, kind: str) -> None:
         """Nothing is owed any more; what is out for it ends."""
-        if self.call and not self.call.done and not self.other:
+        if self.call and not self.call.done and not self.paired:
             self.call.done = True
             self.node.balancer.on_client_left(self.call)
         if self.leg:
-            self.leg.end(kind, "client-gone", self.ended or "fin")
+            self.leg.end(kind, "client-gone", self.remote_end or "fin")
--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -43,8 +43,8 @@
                 self.called()
             elif self.request.waits and not waited:
                 self.write(CONTINUE)
-            elif self.ended:
-                self.finish(f"caller-{self.ended}", self.ended)
+            elif self.remote_end:
+                self.finish(f"caller-{self.remote_end}", self.remote_end)
         except HttpError as error:
             self.reply(error.status, f"{error}\n", f"status-{error.status}")
 
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -67,7 +67,7 @@
             )
         begun = self.response.status
         try:
-            while self.ring.held and not self.over:
+            while self.ring.held and not self.closed:
                 self.body += self.response.feed(self.ring.take(self.ring.held))
                 if len(self.body) > lines.MOST:
                     raise lines.LineError("too-long")
@@ -80,7 +80,7 @@
                 self.process_changes()
             elif (
                 self.response.done
-                or self.ended == "fin"
+                or self.remote_end == "fin"
                 and self.response.left is None
                 and self.response.status
             ):
@@ -90,12 +90,12 @@
                     self.node.discovery.confirmed(self.started_at)
         except lines.LineError as error:
             self.fail(str(error).partition(":")[0])
-        if self.ended or self.response.done:
-            self.fail(f"list-{self.ended or 'done'}")
+        if self.remote_end or self.response.done:
+            self.fail(f"list-{self.remote_end or 'done'}")
 
     def process_changes(self) -> None:
         discovery = self.node.discovery
-        while b"\n" in self.body and not self.over:
+        while b"\n" in self.body and not self.closed:
             line, end, self.body = self.body.partition(b"\n")
             if news := self.objects.feed(line + end):
                 news = lines.listing(news)
@@ -113,7 +113,7 @@
                     discovery.confirmed(self.node.now)
 
     def fail(self, reason: str) -> None:
-        if not self.over:
+        if not self.closed:
             self.stop(reason)
             self.node.discovery.failed(self)
 
--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -74,23 +74,23 @@
         for client in list(self.node.clients):
             # One that is to be resumed and sends more before it is up is malformed: it is answered here.
             resumes = client in self.node.resumed.pending and not client.ring.held
-            if client.call is None or client.other or resumes:
+            if client.call is None or client.paired or resumes:
                 if not left:
                     return True
                 left -= self.give(client)
         return False
 
     def give(self, client: ClientConnection) -> bool:
-        links = [client, client.leg] if client.other else [client]
+        links = [client, client.leg] if client.paired else [client]
         for link in links:
-            going = link.transport is None or link.transport.is_closing() or link.over
-            if going or link.ended or link.transport.get_write_buffer_size():
+            going = link.transport is None or link.transport.is_closing() or link.closed
+            if going or link.remote_end or link.transport.get_write_buffer_size():
                 return False  # it ends by itself, or may go when what it was sent is out
         for link in links:
             link.transport.pause_reading()
         unread = {link: taken(link) for link in links}
         words = {"in": written(unread[client]), "opened": client.opened}
-        if client.other:
+        if client.paired:
             words |= self.standing(client.leg) | {"back": written(unread[client.leg])}
         elif client.call:  # a resumed connection that is not up yet: it goes over as if unread
             words["in"] = written(client.request_line.line)
@@ -121,11 +121,11 @@
         """Ours no more: our copies of the descriptors are closed, which neither side sees."""
         self.node.counters["handed_over"] += 1
         for link in links:
-            link.over = True
+            link.closed = True
             link.lasts(None)
             self.node.log_end(link, "handed-over", {})
             link.transport.abort()
-        if client.other:
+        if client.paired:
             leg = client.leg.leg
             client.leg.endpoint.legs.pop(client.leg, None)
             client.leg = None
@@ -200,7 +200,7 @@
         put_back(link, read(words["back"]))
         # Neither takes a line until both are up: guards against one that goes nowhere.
         client.blocked = link.blocked = True
-        link.other, client.other = client, link
+        link.paired, client.paired = client, link
         # In the books before anything can end it: guards against a leg that is taken off before it is put on.
         node.limits.open_ids[request_line.id] = client
         link.endpoint.legs[link] = None
@@ -219,7 +219,7 @@
     def up(self, links: list[Connection]) -> None:
         client = links[0]
         self.node.counters["taken_over"] += 1
-        if client.other and any(link.transport is None for link in links):
+        if client.paired and any(link.transport is None for link in links):
             client.move("not-taken-over", model.RESET)
         for link in links:
             link.blocked = False
--- a/bellrack/net/invariants.py
+++ b/bellrack/net/invariants.py
@@ -67,15 +67,15 @@
 
     def check_close(self, client: Any) -> None:
         """A client's connection ends by our will."""
-        if client.call and not client.answered and not client.ended:
+        if client.call and not client.answered and not client.remote_end:
             self.violated(Invariant.CLOSED_UNANSWERED, client.request_id)
 
     def check_exit(self, clients: Any) -> None:
         """The process ends now: nobody that it has taken in may be left without an answer, or up."""
         for client in list(clients):
-            if client.over or client.call is None or client.remote_closed():
+            if client.closed or client.call is None or client.remote_closed():
                 continue
-            if client.other:
+            if client.paired:
                 self.violated(Invariant.EXIT_STANDING, client.request_id)
             elif not client.answered:
                 self.violated(Invariant.EXIT_UNANSWERED, client.request_id)
--- a/bellrack/net/metrics.py
+++ b/bellrack/net/metrics.py
@@ -23,7 +23,7 @@
     figures = {f"{what}.{name}": counted[f"{what}.{name}"] for name in names for what in BY_TYPE}
     figures |= {name: counted[name] for name in PLAIN}
     listed = [server for server in node.servers.values() if server.state != model.GONE]
-    figures["pending"] = sum(client.call is not None and not client.over for client in node.clients)
+    figures["pending"] = sum(client.call is not None and not client.closed for client in node.clients)
     figures["members"] = len(listed)
     figures["members_unavailable"] = sum(map(node.balancer.avoids, listed))
     return figures | {name: counted[name] for name in sorted(counted) if name not in figures}
--- a/bellrack/net/pairing.py
+++ b/bellrack/net/pairing.py
@@ -13,8 +13,8 @@
 
     request_line: RequestLine  # its first line
     leg: ServerEnd | None  # the attempt that is out, or stands
-    over: bool
-    ended: str  # how the client ended it; empty while it has not
+    closed: bool
+    remote_end: str  # how the client ended it; empty while it has not
     blocked: bool  # it takes nothing at present
     answered: bool  # its final answer is written
 
--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -100,9 +100,9 @@
     def __init__(self, node: Any):
         self.node, self.ring, self.number = node, Ring(), next(NUMBERS)
         self.transport: Any = None
-        self.other: Connection | None = None  # where whole lines go on to, once there is one
-        self.queued = self.paused = self.blocked = self.over = False
-        self.ended = ""  # how the other side ended: "fin" or "rst"
+        self.paired: Connection | None = None  # where whole lines go on to, once there is one
+        self.queued = self.paused = self.blocked = self.closed = False
+        self.remote_end = ""  # how the other side ended: "fin" or "rst"
         self.patience = 0.0  # until when its last lines wait, once it has
         self.counted = False  # among the descriptors
         self.dropped = 0  # bytes that came after our end
@@ -128,10 +128,10 @@
             self.node.limits.count_descriptors(1 if on else -1)
 
     def get_buffer(self, hint: int) -> memoryview:
-        return SCRATCH if self.over else self.ring.space()
+        return SCRATCH if self.closed else self.ring.space()
 
     def buffer_updated(self, count: int) -> None:
-        if self.over:
+        if self.closed:
             # Guards against a client that goes on sending, 60 MB if it likes, when its answer is out.
             self.dropped += count
             if self.dropped > DROPPED:
@@ -144,15 +144,15 @@
         self.wake()
 
     def eof_received(self) -> bool:
-        self.ended = self.ended or "fin"
+        self.remote_end = self.remote_end or "fin"
         self.wake()
-        return not self.over  # after our own end there is nothing left to wait for
+        return not self.closed  # after our own end there is nothing left to wait for
 
     def connection_lost(self, error: Exception | None) -> None:
         self.count(False)
         self.node.limits.untrack(self)
         self.lasts(None)
-        self.ended = self.ended or ("rst" if error else "fin")
+        self.remote_end = self.remote_end or ("rst" if error else "fin")
         self.wake()
 
     def pause_writing(self) -> None:
@@ -160,13 +160,13 @@
 
     def resume_writing(self) -> None:
         self.blocked = False
-        if self.other:
-            self.other.wake()
+        if self.paired:
+            self.paired.wake()
 
     def remote_closed(self) -> bool:
         """Has the other side ended or reset, as far as the kernel knows by now? Guards against an end that a
         long turn, a pause in reading or bytes still unread hide."""
-        if self.ended or self.over:
+        if self.remote_end or self.closed:
             return True
         if self.transport is None or (sock := self.transport.get_extra_info("socket")) is None:
             return False
@@ -177,7 +177,7 @@
         return bool(poll.poll(0))
 
     def wake(self) -> None:
-        if not self.queued and not self.over:
+        if not self.queued and not self.closed:
             self.queued = True
             self.node.queue(self.turn, first=self.leads)
 
@@ -185,9 +185,9 @@
 
     def turn(self) -> None:
         self.queued = False
-        if not self.over:
+        if not self.closed:
             self.ready()
-        if self.paused and not self.ring.full and not self.over:
+        if self.paused and not self.ring.full and not self.closed:
             self.paused = False
             self.transport.resume_reading()
 
@@ -198,12 +198,12 @@
     def pass_on(self) -> None:
         """Whole lines go on to the other end, unchanged, while it has room."""
         out = []
-        while not self.other.blocked and (line := self.ring.line()):
+        while not self.paired.blocked and (line := self.ring.line()):
             out.append(line)
             self.passing(line)
         if out:
             self.node.counters[self.passed] += len(out)
-            self.other.write(b"".join(out))
+            self.paired.write(b"".join(out))
 
     def passing(self, line: bytes) -> None:
         """What a line tells on its way."""
@@ -212,22 +212,22 @@
         """It has ended, and what it sent has gone on or waited long enough.
 
         Guards against a pair kept up by a side that takes nothing."""
-        if not self.ended or not (self.other and self.other.blocked):
-            return bool(self.ended)
+        if not self.remote_end or not (self.paired and self.paired.blocked):
+            return bool(self.remote_end)
         if not self.patience:
             self.patience = self.node.now + HELD
             self.node.after(HELD, self.wake)
         return self.node.now >= self.patience
 
     def write(self, data: bytes) -> None:
-        if not self.over and self.transport and not self.transport.is_closing():
+        if not self.closed and self.transport and not self.transport.is_closing():
             self.transport.write(data)
 
     def finish(self, reason: str, how: str = "fin", **figures: Any) -> None:
         """End it: after what was written, or at once with a reset. Leaves the connection's log line."""
-        if self.over:
+        if self.closed:
             return
-        self.over = True
+        self.closed = True
         self.node.log_end(self, reason, figures)
         if self.transport is None:
             return
@@ -236,7 +236,7 @@
             if sock is not None and sock.fileno() >= 0:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
             self.transport.abort()
-        elif self.ended or self.transport.is_closing() or how == "now":
+        elif self.remote_end or self.transport.is_closing() or how == "now":
             self.transport.close()
         else:
             # Guards against a close with bytes still unread, which resets and takes our last line with it;
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -66,7 +66,7 @@
             sock.getpeername()
             await self.node.loop.create_connection(lambda: self, sock=sock)
         except OSError as error:
-            self.ended = "refused" if isinstance(error, ConnectionRefusedError) else "unreached"
+            self.remote_end = "refused" if isinstance(error, ConnectionRefusedError) else "unreached"
             self.local_failure = transient.is_local(error)
             self.wake()
         finally:
@@ -98,7 +98,7 @@
             await asyncio.sleep(transient.RETRY_INTERVAL_SECONDS)
 
     def made(self) -> None:
-        if self.over:  # given up while it came up
+        if self.closed:  # given up while it came up
             self.transport.abort()
         self.wake()
 
@@ -137,16 +137,16 @@
         return {"id": self.request_id}
 
     def ready(self) -> None:
-        if self.client.ended and not self.leg.established:
+        if self.client.remote_end and not self.leg.established:
             # Guards against a line sent, or an answer counted, for a client whose end came in the same batch.
             self.client.turn()
-        if not self.over and not self.written:
+        if not self.closed and not self.written:
             self.client.forget_if_closed()
-        if not self.over and not self.written and not self.ended:
+        if not self.closed and not self.written and not self.remote_end:
             self.speak()
-        while not self.over and not self.leg.established and (line := self.ring.line()):
+        while not self.closed and not self.leg.established and (line := self.ring.line()):
             self.answered(line)
-        if self.over:
+        if self.closed:
             return
         if self.leg.established:
             self.pass_on()
@@ -191,7 +191,7 @@
 
     def answered_already(self) -> bool:
         """Is the client's answer out, or decided on in this batch and about to go out?"""
-        return self.client.over or self.leg.call.done
+        return self.client.closed or self.leg.call.done
 
     def answered(self, line: bytes) -> None:
         kind, _ = lines.answer(line)
@@ -200,7 +200,7 @@
             self.end(model.CANCELLED, "client-answered")
         elif kind == "up":
             self.timer.cancel()
-            self.other, self.client.other = self.client, self
+            self.paired, self.client.paired = self.client, self
             self.endpoint.legs[self] = None
             self.client.write_final(line)
             self.node.stands(self.leg, self.resumes)
@@ -224,16 +224,18 @@
 
     def lost(self) -> None:
         """The server, or the way to it, has ended the connection, or has said so and not done it."""
-        if self.over:
+        if self.closed:
             return
         if self.leg.established:
             # Guards against a reset that takes along the last line: who has said so has ended in order.
-            self.client.finish(f"server-{self.said or self.ended}", "fin" if self.said else self.ended)
-            self.end(self.said or model.RESET, self.said or self.ended)
+            self.client.finish(
+                f"server-{self.said or self.remote_end}", "fin" if self.said else self.remote_end
+            )
+            self.end(self.said or model.RESET, self.said or self.remote_end)
         elif not self.written:
-            self.end(model.MOOT if self.local_failure else model.NO_CONN, self.ended)
+            self.end(model.MOOT if self.local_failure else model.NO_CONN, self.remote_end)
         else:
-            self.end(model.RESET, self.ended)
+            self.end(model.RESET, self.remote_end)
 
     def late(self) -> None:
         if not self.leg.established:
@@ -246,7 +248,7 @@
 
     def end(self, kind: str, reason: str, how: str = "fin") -> None:
         """The leg's one result; the connection to the server ends with it."""
-        if self.over:
+        if self.closed:
             return
         self.timer.cancel()
         self.drop()
@@ -271,7 +273,7 @@
         self.open(server.host_record.address, PROBE_WAIT)
 
     def ready(self) -> None:
-        if not self.asked and not self.ended:
+        if not self.asked and not self.remote_end:
             self.asked = True
             self.write(b"STATS\r\n" if self.fields else b"PING\r\n")
         line = (self.ring.line() or b"").strip()
@@ -284,11 +286,11 @@
         elif line:
             self.node.counters["bad_reports"] += bool(self.fields)
             self.over_with(model.ERROR)
-        elif self.ended:
+        elif self.remote_end:
             self.over_with(model.RESET if self.asked else model.NO_CONN)
 
     def over_with(self, kind: str, report: tuple[float, ...] = ()) -> None:
-        if not self.over:
+        if not self.closed:
             self.drop()
             self.node.limits.probes_in_flight -= 1
             self.node.counters[f"probe_{kind.replace(' ', '_')}"] += 1
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -29,7 +29,7 @@
     def __init__(self, node: Any):
         self.node, self.started_at = node, node.now
         self.time_limit = min(LONGEST, max(node.names.default_timeouts)) + GRACE
-        standing = [client for client in node.clients if client.other]
+        standing = [client for client in node.clients if client.paired]
         log.event(
             "leaving",
             standing=len(standing),
@@ -80,7 +80,7 @@
         guards against a request that crosses the end of the process. Nobody comes in any more."""
         self.node.listeners.accept_last()
         for client in list(self.node.clients):
-            if client.call is None and not client.over:
+            if client.call is None and not client.closed:
                 client.turned_away("leaving")
 
     def hand_over(self) -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -368,7 +368,7 @@
         self.order = list(order)
 
     def note(self, link):
-        part = link.side + " end" * (link.ended != "" and f"{link.side} end" in self.order)
+        part = link.side + " end" * (link.remote_end != "" and f"{link.side} end" in self.order)
         if part not in self.order:
             self.wake(link)
             return
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -168,8 +168,8 @@
     Mutant(
         "stays with the old process",
         "net/handoff.py",
-        "if client.call is None or client.other or resumes:",
-        "if client.call is None or client.other:",
+        "if client.call is None or client.paired or resumes:",
+        "if client.call is None or client.paired:",
     ),
     Mutant(
         "hot restart opens the window",
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -110,7 +110,7 @@
         question.feed(roles.chunk(roles.listing(300, "draining", whole=False, generation=2)))
         assert node.server_list.version == 2 and node.counters["list_lines"] == 2
         assert sum(server.state == "draining" for server in node.servers.values()) == 1
-        assert not question.over and not node.counters["list_failures"]
+        assert not question.closed and not node.counters["list_failures"]
 
 
 def test_the_played_entries_are_what_the_program_itself_writes():
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -75,7 +75,7 @@
             server.writer.write((b"x" * 1000 + b"\r\n") * 3)
             await asyncio.sleep(0.001)
         server.end("fin")
-        await world.until(lambda: link.over)  # it waited as long as it may
+        await world.until(lambda: link.closed)  # it waited as long as it may
         client.writer.transport.resume_reading()
         told = [await client.line()]
         while told[-1] not in ("fin", "rst"):
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -202,7 +202,7 @@
         def work(number):  # each takes 10 ms
             nonlocal late
             late += 0.01
-            seen.append((number, link.ended))
+            seen.append((number, link.remote_end))
             if not number:
                 leave_now(world, client, "fin")
                 host.queue(lambda: told.append(len(seen)), first=True)
--- a/tests/test_idle_close.py
+++ b/tests/test_idle_close.py
@@ -18,7 +18,7 @@
         if first:
             assert await client.line() == "PONG"
         ordinary, _ = await world.standing()  # the run has begun
-        await world.until(lambda: any(one.over for one in world.node.clients))
+        await world.until(lambda: any(one.closed for one in world.node.clients))
         client.say(LINE)  # our end is on its way, or out already
         assert (await client.line()).split()[0] == "BUSY"
         assert world.arrived.empty() and ordinary
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -93,7 +93,7 @@
                 server.say("BYE")
                 server.end("fin")
             elif end == "moved":
-                world.node.queue(next(one for one in world.node.clients if one.other).move, "test")
+                world.node.queue(next(one for one in world.node.clients if one.paired).move, "test")
             await asyncio.sleep(0.02)
             server.end("fin")
             client.end("fin")
@@ -514,7 +514,7 @@
         client.writer.transport.pause_reading()
         link = next(iter(world.node.clients))
         server.writer.write((b"x" * 1000 + b"\r\n") * 20000)
-        await world.until(lambda: link.blocked and link.other.paused)
+        await world.until(lambda: link.blocked and link.paired.paused)
         assert link.transport.get_write_buffer_size() < 40000
         client.writer.transport.resume_reading()
         for _ in range(20000):
@@ -529,13 +529,13 @@
         pair[side].writer.transport.pause_reading()
         pair[side].writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client = next(iter(world.node.clients))
-        for link in (client, client.other):  # full before the side counts as silent
+        for link in (client, client.paired):  # full before the side counts as silent
             link.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        while not (client.blocked or client.other.blocked):  # and no ring full, which would hide the end
+        while not (client.blocked or client.paired.blocked):  # and no ring full, which would hide the end
             pair[1 - side].writer.write((b"x" * 1000 + b"\r\n") * 3)
             await asyncio.sleep(0.001)
         pair[1 - side].end("rst")
-        await world.until(lambda: client.over and not world.node.balancer.open_legs, 0.9)
+        await world.until(lambda: client.closed and not world.node.balancer.open_legs, 0.9)
 
 
 @played
