--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -22,7 +22,7 @@
 
 class ClientConnection(Connection):
     side = "client"
-    passed = "lines_to_servers"
+    forwarded_counter = "lines_to_servers"
 
     def __init__(self, node: Any):
         super().__init__(node)
@@ -37,7 +37,7 @@
     def request_id(self) -> str:
         return self.request_line.id if self.call else ""
 
-    def described(self) -> dict[str, Any]:
+    def log_fields(self) -> dict[str, Any]:
         """By its request, or by where it came from and for how long (seconds) it was there."""
         if self.call:
             return {"id": self.request_line.id}
@@ -51,7 +51,7 @@
         self.opened = now if self.opened is None else self.opened
         if self.call is None:
             self.node.limits.evictable[self] = now
-            self.lasts(max(0.0, self.opened + limits.FIRST_LINE_SECONDS - now), self.stale)
+            self.expire_after(max(0.0, self.opened + limits.FIRST_LINE_SECONDS - now), self.on_expired)
         self.wake()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -60,14 +60,14 @@
         if self.call and self.node.limits.open_ids.get(self.request_line.id) is self:
             self.node.limits.on_call_ended(self.request_line.id)
 
-    def stale(self) -> None:
+    def on_expired(self) -> None:
         """Guards against connections that say nothing, or never end their line, and stay; and, by an answer,
         against the end of a line that came in with our end."""
         # A process that ends serves nobody who writes late.
         may_precede_run = self.node.resumed.may_precede_run() and not self.node.shutdown
         if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):
             # Guards against BUSY to a resumed connection whose client is slow to write.
-            self.lasts(RECHECK, self.stale)
+            self.expire_after(RECHECK, self.on_expired)
         elif self.call is None:
             # After PING too: a request may be on its way, and its end without an answer would lose it.
             self.turned_away("no-first-line")
@@ -80,10 +80,10 @@
             figures["why"] = self.call.refusal
         super().finish(reason, how, **figures)
 
-    def spared(self) -> None:
+    def evict(self) -> None:
         if not self.closed:
             self.turned_away(how="now")
-        super().spared()
+        super().evict()
 
     def ready(self) -> None:
         if self.call is None and not self.node.limits.make_room(self.node.now, 2):
@@ -147,7 +147,7 @@
         self.write_final(lines.busy(self.node.settings.max_open_wait))
         self.finish(reason, how)
 
-    def passing(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         if len(self.paired.asked) < MOST_ASKED:  # the oldest tells for how long the server has been silent
             self.paired.asked.append(self.node.now)
         self.node.resumed.window.on_client_line()
--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -17,7 +17,7 @@
     """One call of an operator."""
 
     side = "control"
-    leads = True  # guards against answers that wait behind a rush of clients
+    has_priority = True  # guards against answers that wait behind a rush of clients
 
     def made(self) -> None:
         self.request, admin_connections = Request(), self.node.admin_connections
@@ -25,14 +25,14 @@
         if len(admin_connections) > self.node.limits.max_admin_connections:
             # Guards against callers that hold connections with no whole call: the oldest of them goes.
             next(iter(admin_connections)).reply(503, "too many callers\n", "many-callers")
-        self.lasts(limits.CALL, self.stale)
+        self.expire_after(limits.CALL, self.on_expired)
         self.wake()
 
     def connection_lost(self, error: Exception | None) -> None:
         super().connection_lost(error)
         self.node.admin_connections.pop(self, None)
 
-    def stale(self) -> None:
+    def on_expired(self) -> None:
         self.reply(408, "no whole call came\n", "no-whole-call")
 
     def ready(self) -> None:
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -27,7 +27,7 @@
     """One call to discovery: a watch, or a list."""
 
     side = "discovery"
-    leads = True  # list changes go first in a batch
+    has_priority = True  # list changes go first in a batch
 
     def __init__(self, node: Any, address: tuple[str, int], watch: bool):
         super().__init__(node)
@@ -37,7 +37,7 @@
         self.objects, self.received_line = lines.JsonObjectReader(), False
         self.open(address, discovery_retry.CONNECT_TIMEOUT_SECONDS)
         if not watch:
-            self.lasts(
+            self.expire_after(
                 SILENCE_SECONDS, self.fail, "list-silent"
             )  # a watch is looked after for as long as it lasts
 
--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -122,7 +122,7 @@
         self.node.counters["handed_over"] += 1
         for link in links:
             link.closed = True
-            link.lasts(None)
+            link.expire_after(None)
             self.node.log_end(link, "handed-over", {})
             link.transport.abort()
         if client.paired:
--- a/bellrack/net/limits.py
+++ b/bellrack/net/limits.py
@@ -121,7 +121,7 @@
                 link, since = next(iter(waiting.items()))
                 if now - since < spared_for:
                     break
-                link.spared()
+                link.evict()
         return not self.crowded(part)
 
     @property
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -63,7 +63,7 @@
     def log_end(self, link: Any, reason: str, figures: dict) -> None:
         self.counters[f"ended_{link.side}"] += 1
         log.event(
-            "ended", side=link.side, reason=reason, connection=link.number, **link.described(), **figures
+            "ended", side=link.side, reason=reason, connection=link.number, **link.log_fields(), **figures
         )
 
     # What the balancer may do: each is carried out when the module has had the whole batch.
@@ -174,7 +174,7 @@
         call.host_record, client.call = client, call
         self.limits.open_ids[request_line.id] = client
         self.limits.untrack(client)
-        client.lasts(None)
+        client.expire_after(None)
         if resumes:
             self.resumed.admit(client, wait if "d" in values else None)
             return
--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -94,8 +94,8 @@
     """One end of a connection. What is read waits in its ring until the node's turn calls `ready`."""
 
     side = "link"
-    passed = ""  # the counter of the lines that go on to the other end
-    leads = False  # its turn comes before the others' of the batch
+    forwarded_counter = ""  # the counter of the lines that go on to the other end
+    has_priority = False  # its turn comes before the others' of the batch
 
     def __init__(self, node: Any):
         self.node, self.ring, self.number = node, Ring(), next(NUMBERS)
@@ -103,10 +103,10 @@
         self.paired: Connection | None = None  # where whole lines go on to, once there is one
         self.queued = self.paused = self.blocked = self.closed = False
         self.remote_end = ""  # how the other side ended: "fin" or "rst"
-        self.patience = 0.0  # until when its last lines wait, once it has
+        self.flush_deadline = 0.0  # until when its last lines wait, once it has
         self.counted = False  # among the descriptors
         self.dropped = 0  # bytes that came after our end
-        self.limit: asyncio.TimerHandle | None = None  # until when it may last as it is
+        self.expiry: asyncio.TimerHandle | None = None  # until when it may last as it is
 
     # Callbacks: they only note and queue.
 
@@ -151,7 +151,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.count(False)
         self.node.limits.untrack(self)
-        self.lasts(None)
+        self.expire_after(None)
         self.remote_end = self.remote_end or ("rst" if error else "fin")
         self.wake()
 
@@ -179,11 +179,11 @@
     def wake(self) -> None:
         if not self.queued and not self.closed:
             self.queued = True
-            self.node.queue(self.turn, first=self.leads)
+            self.node.queue(self.process, first=self.has_priority)
 
     # In the node's turn.
 
-    def turn(self) -> None:
+    def process(self) -> None:
         self.queued = False
         if not self.closed:
             self.ready()
@@ -200,12 +200,12 @@
         out = []
         while not self.paired.blocked and (line := self.ring.line()):
             out.append(line)
-            self.passing(line)
+            self.on_line(line)
         if out:
-            self.node.counters[self.passed] += len(out)
+            self.node.counters[self.forwarded_counter] += len(out)
             self.paired.write(b"".join(out))
 
-    def passing(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         """What a line tells on its way."""
 
     def done(self) -> bool:
@@ -214,10 +214,10 @@
         Guards against a pair kept up by a side that takes nothing."""
         if not self.remote_end or not (self.paired and self.paired.blocked):
             return bool(self.remote_end)
-        if not self.patience:
-            self.patience = self.node.now + HELD
+        if not self.flush_deadline:
+            self.flush_deadline = self.node.now + HELD
             self.node.after(HELD, self.wake)
-        return self.node.now >= self.patience
+        return self.node.now >= self.flush_deadline
 
     def write(self, data: bytes) -> None:
         if not self.closed and self.transport and not self.transport.is_closing():
@@ -246,20 +246,20 @@
             if self.paused:
                 self.transport.resume_reading()
             # Guards against whole lines that are lost with a side that is slow, and one that takes nothing.
-            self.lasts(HELD if self.blocked else LINGER, self.transport.abort)
+            self.expire_after(HELD if self.blocked else LINGER, self.transport.abort)
             self.node.limits.evictable.setdefault(self, self.node.now)
 
-    def described(self) -> dict[str, Any]:
+    def log_fields(self) -> dict[str, Any]:
         """What its log line tells of it beside its number."""
         return {}
 
-    def lasts(self, wait: float | None, then: Any = None, *values: Any) -> None:
+    def expire_after(self, wait: float | None, then: Any = None, *values: Any) -> None:
         """At most so long as it is now."""
-        if self.limit:
-            self.limit.cancel()
-        self.limit = self.node.after(wait, then, *values) if wait is not None else None
+        if self.expiry:
+            self.expiry.cancel()
+        self.expiry = self.node.after(wait, then, *values) if wait is not None else None
 
-    def spared(self) -> None:
+    def evict(self) -> None:
         """Its descriptor is needed and nothing is owed to it: guards against ends that wait long."""
         self.node.limits.untrack(self)
         if self.transport:
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -112,7 +112,7 @@
     """One leg."""
 
     side = "server"
-    passed = "lines_to_clients"
+    forwarded_counter = "lines_to_clients"
 
     def __init__(
         self, node: Any, leg: Leg, client: ClientEnd, until: float, resumes: bool = False, stood: bool = False
@@ -133,13 +133,13 @@
     def endpoint(self) -> Endpoint:
         return self.leg.server.host_record
 
-    def described(self) -> dict[str, Any]:
+    def log_fields(self) -> dict[str, Any]:
         return {"id": self.request_id}
 
     def ready(self) -> None:
         if self.client.remote_end and not self.leg.established:
             # Guards against a line sent, or an answer counted, for a client whose end came in the same batch.
-            self.client.turn()
+            self.client.process()
         if not self.closed and not self.written:
             self.client.forget_if_closed()
         if not self.closed and not self.written and not self.remote_end:
@@ -211,7 +211,7 @@
                 self.client.counted_as("failed")  # it was never up
             self.end(kind or model.ERROR, f"answer-{kind or 'unknown'}")
 
-    def passing(self, line: bytes) -> None:
+    def on_line(self, line: bytes) -> None:
         kind, rest = lines.answer(line)
         if kind in (model.COMPLETED, model.CANCELLED):
             # Guards against a server that hangs between its last line and the end that its client waits for.
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -769,7 +769,7 @@
     room, gone = limits.Limits(100), []
 
     class Waiting:
-        def spared(self):
+        def evict(self):
             gone.append(self)
             room.untrack(self)
             room.count_descriptors(-1)
