--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -28,7 +28,7 @@
         super().__init__(node)
         self.call: Call | None = None
         self.request_line: lines.RequestLine
-        self.leg: ServerEnd | None = None  # the leg that is out or stands
+        self.server_connection: ServerEnd | None = None  # the leg that is out or stands
         self.pings = 0
         self.answered = False  # its final answer is written
         self.opened: float | None = None  # when the machine accepted it, on the node's clock
@@ -70,7 +70,7 @@
             self.expire_after(RECHECK, self.on_expired)
         elif self.call is None:
             # After PING too: a request may be on its way, and its end without an answer would lose it.
-            self.turned_away("no-first-line")
+            self.reject_unread("no-first-line")
 
     def finish(self, reason: str, how: str = "fin", **figures: Any) -> None:
         if not self.closed:
@@ -82,12 +82,12 @@
 
     def evict(self) -> None:
         if not self.closed:
-            self.turned_away(how="now")
+            self.reject_unread(how="now")
         super().evict()
 
     def ready(self) -> None:
         if self.call is None and not self.node.limits.make_room(self.node.now, 2):
-            self.crowded_out()
+            self.refuse_for_descriptors()
         while not self.closed and self.call is None and (line := self.ring.line()):
             self.first(line)
         if self.closed:
@@ -102,9 +102,9 @@
         elif self.ring.stuck:
             self.refuse("line-too-long")
         elif self.done():
-            self.gone()
+            self.on_remote_end()
 
-    def crowded_out(self) -> None:
+    def refuse_for_descriptors(self) -> None:
         """Before accepting fails: whatever it wants, it is told; but a resumed connection waits for room."""
         expected = self.node.resumed.window.admits(self.node.now) and lines.names_server(self.ring.peek())
         if not expected and not self.node.resumed.expects_more():
@@ -140,9 +140,9 @@
 
     def busy(self) -> None:
         self.node.counters["crowded"] += 1
-        self.turned_away()
+        self.reject_unread()
 
-    def turned_away(self, reason: str = "no-descriptors", how: str = "fin") -> None:
+    def reject_unread(self, reason: str = "no-descriptors", how: str = "fin") -> None:
         """Nothing has been sent for it, so trying again is harmless."""
         self.write_final(lines.busy(self.node.settings.max_open_wait))
         self.finish(reason, how)
@@ -162,7 +162,7 @@
             self.finish(code)
         else:
             self.answer(b"SYNTAX\r\n", code)
-        self.forgotten(model.CANCELLED)
+        self.abandon(model.CANCELLED)
 
     def answer(self, line: bytes, reason: str) -> None:
         self.write_final(line)
@@ -184,22 +184,22 @@
         self.node.counters["moved"] += 1
         self.write(b"MOVE\r\n")
         self.finish(reason)
-        self.leg.end(kind, reason)
+        self.server_connection.end(kind, reason)
 
-    def gone(self) -> None:
+    def on_remote_end(self) -> None:
         """The client has ended the connection."""
         self.finish("front" if self.pings and not self.call else f"client-{self.remote_end}", self.remote_end)
-        self.forgotten(model.COMPLETED if self.paired and self.remote_end == "fin" else model.CANCELLED)
+        self.abandon(model.COMPLETED if self.paired and self.remote_end == "fin" else model.CANCELLED)
 
     def forget_if_closed(self) -> None:
         """Guards against something sent for a client whose end only the kernel knows yet."""
         if self.remote_closed():
-            self.forgotten(model.CANCELLED)
+            self.abandon(model.CANCELLED)
 
-    def forgotten(self, kind: str) -> None:
+    def abandon(self, kind: str) -> None:
         """Nothing is owed any more; what is out for it ends."""
         if self.call and not self.call.done and not self.paired:
             self.call.done = True
             self.node.balancer.on_client_left(self.call)
-        if self.leg:
-            self.leg.end(kind, "client-gone", self.remote_end or "fin")
+        if self.server_connection:
+            self.server_connection.end(kind, "client-gone", self.remote_end or "fin")
--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -81,7 +81,7 @@
         return False
 
     def give(self, client: ClientConnection) -> bool:
-        links = [client, client.leg] if client.paired else [client]
+        links = [client, client.server_connection] if client.paired else [client]
         for link in links:
             going = link.transport is None or link.transport.is_closing() or link.closed
             if going or link.remote_end or link.transport.get_write_buffer_size():
@@ -91,7 +91,9 @@
         unread = {link: taken(link) for link in links}
         words = {"in": written(unread[client]), "opened": client.opened}
         if client.paired:
-            words |= self.standing(client.leg) | {"back": written(unread[client.leg])}
+            words |= self.standing(client.server_connection) | {
+                "back": written(unread[client.server_connection])
+            }
         elif client.call:  # a resumed connection that is not up yet: it goes over as if unread
             words["in"] = written(client.request_line.line)
         fds = [link.transport.get_extra_info("socket").fileno() for link in links]
@@ -126,15 +128,15 @@
             self.node.log_end(link, "handed-over", {})
             link.transport.abort()
         if client.paired:
-            leg = client.leg.leg
-            client.leg.endpoint.legs.pop(client.leg, None)
-            client.leg = None
+            leg = client.server_connection.leg
+            client.server_connection.endpoint.legs.pop(client.server_connection, None)
+            client.server_connection = None
             self.node.leg_ended(leg, Result(model.CANCELLED, self.node.now - leg.sent), True)
         elif client.call:
             client.call.done = True
             self.node.resumed.discard(client)
-            if client.leg:
-                client.leg.end(model.CANCELLED, "handed-over")
+            if client.server_connection:
+                client.server_connection.end(model.CANCELLED, "handed-over")
 
 
 class HandoffReceiver(HandoffEnd):
--- a/bellrack/net/pairing.py
+++ b/bellrack/net/pairing.py
@@ -12,7 +12,7 @@
     """A client's connection, as the connection to its server knows it."""
 
     request_line: RequestLine  # its first line
-    leg: ServerEnd | None  # the attempt that is out, or stands
+    server_connection: ServerEnd | None  # the attempt that is out, or stands
     closed: bool
     remote_end: str  # how the client ended it; empty while it has not
     blocked: bool  # it takes nothing at present
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -89,7 +89,7 @@
     def answer_all(self) -> None:
         """The process ends: trying again is harmless where no server can have heard of it."""
         for client, resumption in list(self.pending.items()):
-            if resumption.may_have_run or client.leg and client.leg.written:
+            if resumption.may_have_run or client.server_connection and client.server_connection.written:
                 self.node.release(client.call)
             else:
                 self.node.reject(client.call)
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -122,7 +122,7 @@
         self.asked: deque[float] = deque()  # when the client's lines still unanswered went on
         self.written = stood  # in another process before: it is up and needs no connecting
         self.said = ""  # how the server said that the connection ends
-        leg.host_record = client.leg = self
+        leg.host_record = client.server_connection = self
         self.timer = node.at(until, self.late)
         if not stood:
             # A resumed connection has no other server: it waits for the kernel to repeat the handshake.
@@ -255,7 +255,7 @@
         self.endpoint.legs.pop(self, None)
         attempt = len(self.leg.call.legs)
         self.finish(reason, how, server=self.endpoint.name, result=kind, attempt=attempt)
-        self.client.leg = None
+        self.client.server_connection = None
         self.node.leg_over(self, kind)
 
 
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -81,7 +81,7 @@
         self.node.listeners.accept_last()
         for client in list(self.node.clients):
             if client.call is None and not client.closed:
-                client.turned_away("leaving")
+                client.reject_unread("leaving")
 
     def hand_over(self) -> None:
         """What stands goes to the process after us; what comes up later, or is still to be sent, then."""
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -162,7 +162,7 @@
     Mutant(
         "always BUSY at the end",
         "net/resumed.py",
-        "if resumption.may_have_run or client.leg and client.leg.written:",
+        "if resumption.may_have_run or client.server_connection and client.server_connection.written:",
         "if False:",
     ),
     Mutant(
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -85,7 +85,7 @@
         (
             (
                 "net/clients.py",
-                "        if self.remote_closed():\n            self.forgotten(model.CANCELLED)\n",
+                "        if self.remote_closed():\n            self.abandon(model.CANCELLED)\n",
                 "        return\n",
             ),
             NOT_PREVENTED,
