--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -134,7 +134,7 @@
                     self.counted_as("rejected")
                 self.busy()
             else:
-                self.node.arrive(self)
+                self.node.on_request_line(self)
         except lines.LineError as error:
             self.refuse(str(error))
 
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -136,7 +136,7 @@
         self.hedged: Any = None  # the call beside one that says nothing
         self.previous: Any = None  # of the address before, until the new one has told its list
         self.hedge_at = math.inf  # when the next goes out beside the standing one
-        self.list_age = discovery_retry.ListAge(node.begun)
+        self.list_age = discovery_retry.ListAge(node.started_at)
         self.doubtful = self.aging = False  # the list is doubtful; it is on the way there
 
     def watch(self, on: bool = True) -> None:
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -31,7 +31,7 @@
 from bellrack.net.shutdown import Shutdown
 from bellrack.net.turns import TurnLoop
 
-LISTED = 2.0  # seconds after the start for which we wait for a word of discovery if we know a list
+KNOWN_LIST_WAIT = 2.0  # seconds after the start for which we wait for a word of discovery if we know a list
 
 
 class Node(TurnLoop, Accounting):
@@ -44,12 +44,15 @@
         ] = {}  # operators whose call is not whole, oldest first
         self.peers: PeerSocket | None = None
         self.limits = limits.Limits(config.sockets)
-        self.begun = self.clock()
-        self.resumed = ResumedConnections(self, self.begun, limits.FIRST_LINE_SECONDS)
+        self.started_at = self.clock()
+        self.resumed = ResumedConnections(self, self.started_at, limits.FIRST_LINE_SECONDS)
         self.limits.expects_resumed = self.resumed.expects_more
         self.takes_requests = True  # but where it listens before it is ready
         # Where lists are pushed, what the discovery has counts as told from our first moment on.
-        self.readiness, self.changed = Readiness(self.begun, LISTED, config.settings.asks), asyncio.Event()
+        self.readiness, self.changed = (
+            Readiness(self.started_at, KNOWN_LIST_WAIT, config.settings.asks),
+            asyncio.Event(),
+        )
         self.shutdown: Shutdown | None = None
         self.finished = asyncio.Event()
         self.discovery = Discovery(self, config.discovery)
@@ -141,7 +144,7 @@
 
     # What happens to it.
 
-    def arrive(self, client: ClientConnection) -> None:
+    def on_request_line(self, client: ClientConnection) -> None:
         """A first line that is well formed."""
         request_line = client.request_line
         values, wait = request_line.values, request_line.number("d")
@@ -188,7 +191,7 @@
                 self.invariants.violated(Invariant.SERVED_UNREADY, request_line.id)
             self.balancer.on_call(call)
 
-    def stands(self, leg: Leg, resumes: bool) -> None:
+    def on_connection_established(self, leg: Leg, resumes: bool) -> None:
         self.counters["stood"] += 1
         if resumes:
             self.resumed.on_established(leg.call.host_record)
@@ -201,7 +204,7 @@
         if self.shutdown and not self.hot_restart.handoff_sender:
             self.act(leg.call.host_record.move, "moved")
 
-    def leg_over(self, link: ServerConnection, kind: str) -> None:
+    def on_leg_over(self, link: ServerConnection, kind: str) -> None:
         leg = link.leg
         self.counters[f"leg_{kind.replace(' ', '_')}"] += 1
         if link.resumes and not leg.established:
@@ -211,7 +214,7 @@
         if kind == model.COMPLETED:
             link.client.finish("completed")
 
-    def told(self, leg: Leg, figure: str) -> None:
+    def on_load_line(self, leg: Leg, figure: str) -> None:
         """A LOAD line: where delays are told and no loads, the milliseconds a message takes; else a load.
 
         Measured: the latter come once a second on one connection a server while over a third of the shortest
@@ -247,18 +250,18 @@
         self.invariants.check_exit(self.clients)
         self.listeners.close()
         self.hot_restart.close()
-        self.show()
+        self.log_counters()
         self.stop()
 
     def handle_signals(self) -> None:
         for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.queue, self.leave)
+            self.loop.add_signal_handler(number, self.queue, self.begin_shutdown)
         self.loop.add_signal_handler(signal.SIGHUP, self.queue, reload.reload, self)
-        self.loop.add_signal_handler(signal.SIGUSR1, self.queue, self.show)
+        self.loop.add_signal_handler(signal.SIGUSR1, self.queue, self.log_counters)
         if start_signals.claim(signal.SIGHUP):
             self.queue(reload.reload, self)
         if start_signals.claim(signal.SIGUSR1):
-            self.queue(self.show)
+            self.queue(self.log_counters)
 
     async def take_requests(self, listening: socket.socket | None) -> None:
         """Be ready; `listening`: the socket of the process that served before."""
@@ -284,11 +287,11 @@
         listening = self.takes_requests and self.listeners.listener is not None
         return listening and self.readiness.has_usable_list(self.clock()) and not self.shutdown
 
-    def show(self) -> None:
+    def log_counters(self) -> None:
         """What operators are told at their door, as one line."""
         log.event("counters", **metrics.collect(self), longest_turn_us=int(1e6 * self.longest_turn))
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Asked to end: move what stands, spread over the time there is, and go once empty."""
         self.shutdown = self.shutdown or Shutdown(self)
         self.changed.set()
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -203,7 +203,7 @@
             self.paired, self.client.paired = self.client, self
             self.endpoint.legs[self] = None
             self.client.write_final(line)
-            self.node.stands(self.leg, self.resumes)
+            self.node.on_connection_established(self.leg, self.resumes)
             self.client.wake()
         else:
             if kind == model.COMPLETED:
@@ -218,7 +218,7 @@
             self.said = kind
             self.node.after(SAID, self.lost)
         elif line.startswith(b"LOAD "):
-            self.node.told(self.leg, rest)
+            self.node.on_load_line(self.leg, rest)
         elif self.asked:
             self.endpoint.took.append(self.node.now - self.asked.popleft())
 
@@ -256,7 +256,7 @@
         attempt = len(self.leg.call.legs)
         self.finish(reason, how, server=self.endpoint.name, result=kind, attempt=attempt)
         self.client.server_connection = None
-        self.node.leg_over(self, kind)
+        self.node.on_leg_over(self, kind)
 
 
 class Probe(OutgoingConnection):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -256,7 +256,7 @@
 
     async def start(self, **changes):
         """A process that serves, beside those that do already."""
-        with mock.patch.object(host, "LISTED", self.patience):
+        with mock.patch.object(host, "KNOWN_LIST_WAIT", self.patience):
             node = Node(parse_config(self.raw | changes), asyncio.get_running_loop())
         serving = asyncio.create_task(node.serve())
         while not hasattr(node, "address"):
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -174,13 +174,13 @@
     Mutant(
         "hot restart opens the window",
         "net/hot_restart.py",
-        'node.resumed.window.started = min(node.begun, float(told.get("started", node.begun)))',
+        'node.resumed.window.started = min(node.started_at, float(told.get("started", node.started_at)))',
         "pass",
     ),
     Mutant(
         "does not listen unready",
         "net/startup.py",
-        "listen_at = node.begun + resumption.LISTEN_AFTER if alone else math.inf",
+        "listen_at = node.started_at + resumption.LISTEN_AFTER if alone else math.inf",
         "listen_at = math.inf",
     ),
     Mutant(
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -117,15 +117,15 @@
         link.asked.append(old.clock())  # a line of the client that is still unanswered
         first, second = old.servers.values()
         first.local_state.unhealthy_until, second.local_state.warm_at = old.clock() + 60, old.clock() + 8
-        old.resumed.window.started = old.begun - 11.0
+        old.resumed.window.started = old.started_at - 11.0
         real = time.time
         monkeypatch.setattr(turns.time, "time", lambda: real() + step)
         async with world.beside() as new:
             known = [new.servers[one.id_hash].local_state for one in (first, second)]
             assert 50 < known[0].unhealthy_until - new.clock() <= 60
             assert 5 < known[1].warm_at - new.clock() <= 8
-            assert 10.5 < new.begun - new.resumed.window.started < 12
-            old.leave()
+            assert 10.5 < new.started_at - new.resumed.window.started < 12
+            old.begin_shutdown()
             await world.until(lambda: new.counters["taken_over"])
             taken = next(iter(next(s for s in new.servers.values() if s.host_record.legs).host_record.legs))
             assert 0 <= new.clock() - taken.asked[0] < 5 and 0 <= new.clock() - taken.leg.sent < 5
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -84,7 +84,7 @@
         told = await world.figures()
         assert (told["completed.chat"], told["failed.chat"], told["upstream_requests"]) == (1, 1, 2)
         assert told["pending"] == 1
-        world.node.leave()
+        world.node.begin_shutdown()
         refused = await world.call()
         assert (await refused.line()).startswith("BUSY")
         told = await world.figures()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -185,7 +185,7 @@
         slow, silent = await world.dial(), await world.dial()
         slow.writer.write(b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch")
         await world.until(lambda: [one.ring.held for one in world.node.clients if one.ring.held] == [43])
-        world.node.queue(world.node.leave)
+        world.node.queue(world.node.begin_shutdown)
         await world.until(
             lambda: world.node.shutdown and world.node.clock() - world.node.shutdown.started_at > 0.3
         )
@@ -208,7 +208,7 @@
             for number in range(5):
                 waiting.append(socket.create_connection(world.node.address))
                 waiting[-1].sendall(b"OPEN %016x 7f3a9c21e0b4d655 c=chat,t=acme,d=2000\r\n" % (number + 1))
-            world.node.leave()  # nothing has been accepted since the loop last looked
+            world.node.begin_shutdown()  # nothing has been accepted since the loop last looked
 
         world.node.queue(come_and_leave)
         await world.until(lambda: len(waiting) == 5)
@@ -229,7 +229,7 @@
         door = mock.Mock(wraps=world.node.listeners.socket)
         door.accept.side_effect = OSError(error, "no")
         monkeypatch.setattr(world.node.listeners.listener, "sockets", [door])
-        world.node.queue(world.node.leave)
+        world.node.queue(world.node.begin_shutdown)
         await asyncio.wait_for(world.serving, 2)
         assert door.accept.called and not world.node.counters["faults"]
 
@@ -243,7 +243,7 @@
     async with World(effect=effect) as world:
         client = await world.call("c=chat,t=acme,d=30000")  # longer than there is time
         await world.leg()
-        world.node.queue(world.node.leave)
+        world.node.queue(world.node.begin_shutdown)
         assert [await client.line(), await client.line()] == [told, "fin"]
         client.end("fin")
         await asyncio.wait_for(world.serving, 2)
@@ -273,7 +273,7 @@
         client = await world.dial()
         client.writer.write(words)
         await world.until(lambda: len(world.node.clients) == 2)
-        world.node.queue(world.node.leave)
+        world.node.queue(world.node.begin_shutdown)
         if words.startswith(b"P"):
             assert await client.line() == "PONG"
         assert [await client.line(), await client.line()] == ["BUSY 1500", "fin"]
--- a/tests/test_first_line.py
+++ b/tests/test_first_line.py
@@ -121,7 +121,7 @@
         client = await world.dial()
         client.writer.write(data)
         await world.until(lambda: world.node.clients)
-        world.node.leave()
+        world.node.begin_shutdown()
         assert await client.line() == "BUSY 1500"
         leaving = world.node.shutdown
         assert (
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -40,7 +40,7 @@
 @pytest.fixture
 def folder(tmp_path, monkeypatch):
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    monkeypatch.setattr(node, "LISTED", 0.05)
+    monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 0.05)
     yield tmp_path
     while BOUND:
         BOUND.pop().close()
@@ -57,7 +57,7 @@
         old.hot_restart.handoff_sender = None  # as with a second process that takes no connections over
         assert old.can_serve() is False and world.node.can_serve()
         assert (await world.leg())[2].startswith("OPEN 0000000000000002") and waiting
-        old.leave()
+        old.begin_shutdown()
         assert [await client.line(), await client.line()] == ["MOVE", "fin"]
         again, _ = await world.standing()
         await world.first_ends(serving)
@@ -75,7 +75,7 @@
         await world.until(lambda: old.clients)
         world.node, serving = await world.start()
         await world.until(lambda: old.hot_restart.has_successor)
-        old.leave()
+        old.begin_shutdown()
         silent.say("OPEN 0000000000000007 7f3a9c21e0b4d655 c=chat,t=acme,d=2000")
         _, server, line = await world.leg()
         server.say("UP 1")
@@ -97,7 +97,7 @@
         await asyncio.sleep(0.02)
         world.node, serving = await world.start()
         await world.until(lambda: old.hot_restart.has_successor)
-        old.leave()
+        old.begin_shutdown()
         for client, _ in pairs:
             client.say("second half")
         for number, (_, server) in enumerate(pairs):
@@ -133,7 +133,7 @@
         sent = server.writer.transport.get_write_buffer_size()
         world.node, serving = await world.start()
         await world.until(lambda: old.hot_restart.has_successor)
-        old.leave()
+        old.begin_shutdown()
         await world.until(lambda: old.shutdown)
         assert not old.hot_restart.handoff_sender.give(link) and sent
         server.say("last")
@@ -234,13 +234,13 @@
 @played
 async def test_who_ends_before_the_second_has_the_door_moves_its_clients(folder, monkeypatch):
     # Guards against connections given to a process that may never get ready.
-    monkeypatch.setattr(node, "LISTED", 60.0)
+    monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 60.0)
     async with World(control=True, listen=free()) as world:
         old, (client, _) = world.node, await world.standing()
         world.node = node.Node(parse_config(world.raw), old.loop)
         serving = asyncio.create_task(world.node.serve())
         await world.until(lambda: old.hot_restart.sibling and old.hot_restart.sibling.transport)
-        old.leave()
+        old.begin_shutdown()
         assert await client.line() == "MOVE" and not old.counters["handed_over"]
         await world.first_ends(serving)
         world.node.server_list.on_unchanged()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -544,7 +544,7 @@
         pairs = [await world.standing() for _ in range(4)]
         waiting = await world.call()
         _, server, _ = await world.leg()
-        world.node.queue(world.node.leave)
+        world.node.queue(world.node.begin_shutdown)
         late = await world.call()
         assert await late.line() == "BUSY"
         server.say("UP 9")
@@ -645,7 +645,7 @@
         assert await old.line() in ("fin", "rst") and not world.node.counters["list_failures"]
         client.say("M 1")
         assert await server.line() == "M 1"
-        world.node.queue(world.node.leave)
+        world.node.queue(world.node.begin_shutdown)
         os.kill(os.getpid(), signal.SIGHUP)
         assert await client.line() == "MOVE"
         new.end("rst")
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -142,7 +142,7 @@
         "settings": raw_settings(discovery=mode),
     } | changes
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(node, "LISTED", patience)
+        patch.setattr(node, "KNOWN_LIST_WAIT", patience)
         patch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.02)
         patch.delenv("TMPDIR", raising=False)
         world = World()
@@ -154,7 +154,7 @@
             yield world
         finally:
             world.node.finished.set()
-            world.node.queue(world.node.leave)
+            world.node.queue(world.node.begin_shutdown)
             await asyncio.wait_for(world.serving, 5)
             listener.close()
 
@@ -248,7 +248,7 @@
 async def test_asked_to_end_without_a_list_it_ends_in_order(monkeypatch):
     monkeypatch.setattr(discovery, "SILENCE_SECONDS", 60.0)  # nothing else ends its wait
     async with starting(0.02, known=EMPTY) as world:
-        world.node.queue(world.node.leave)
+        world.node.queue(world.node.begin_shutdown)
         await asyncio.wait_for(world.serving, 10)
         assert world.node.listeners.socket is None and not world.node.counters["list_failures"]
 
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -456,7 +456,7 @@
         if sent:
             await world.leg()
         await world.until(lambda: world.node.resumed.pending)
-        world.node.queue(world.node.leave)
+        world.node.queue(world.node.begin_shutdown)
         assert [await client.line(), await client.line()] == [told, "fin"]
         await asyncio.wait_for(world.serving, 5)
 
@@ -467,7 +467,7 @@
         client = await world.call(AT)
         _, server, _ = await world.leg()
         monkeypatch.setattr(Shutdown, "move_rest", lambda shutdown: None)
-        world.node.leave()
+        world.node.begin_shutdown()
         server.say("UP 0")
         assert [await client.line(), await client.line()] == ["UP 0", "MOVE"]  # and not only at the end
 
@@ -498,7 +498,7 @@
 async def test_a_hot_restart_takes_over_those_that_are_not_up(tmp_path, monkeypatch, sent):
     # Before, they stayed with the process that goes and were told BUSY; the id counted as another client's.
     monkeypatch.setenv("TMPDIR", str(tmp_path))
-    monkeypatch.setattr(node, "LISTED", 0.05)
+    monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 0.05)
     with contextlib.closing(bound_socket()) as address:
         async with World(servers=1, control=True, listen=written(address)) as world:
             old = world.node
@@ -510,7 +510,7 @@
             world.node, serving = await world.start()
             await world.until(lambda: old.hot_restart.has_successor)
             assert world.node.resumed.window.started == pytest.approx(old.resumed.window.started, abs=1.0)
-            old.leave()
+            old.begin_shutdown()
             if sent:
                 assert await before.line() in ("fin", "rst")
             else:
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -48,7 +48,7 @@
                 waiting.append(socket.create_connection(world.node.address))
                 waiting[-1].sendall(b"OPEN %016x 7f3a9c21e0b4d655 c=chat,t=acme,d=2000\r\n" % (number + 1))
             monkeypatch.setattr(world.node.listeners.listener, "sockets", [door])
-            world.node.leave()
+            world.node.begin_shutdown()
 
         world.node.queue(come_and_leave)
         await world.until(lambda: len(waiting) == 5)
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -26,11 +26,11 @@
         third = node.Node(parse_config(world.raw), first.loop)
         serving = asyncio.create_task(third.serve())
         await world.until(lambda: second.counters["successors_refused"] or hasattr(third, "address"))
-        first.leave()
+        first.begin_shutdown()
         await asyncio.wait_for(world.serving, 5)
         await world.until(lambda: second.hot_restart.has_successor)
         assert third.servers[lines.id_hash("s-1")].cordoned and third.can_serve()
-        second.leave()
+        second.begin_shutdown()
         await asyncio.wait_for(serving_second, 5)
         world.node, world.serving = third, serving
 
@@ -44,8 +44,8 @@
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
         first.hot_restart.handoff_sender.give_some = lambda: False  # its connections end here
-        first.leave()
-        second.leave()
+        first.begin_shutdown()
+        second.begin_shutdown()
         await asyncio.wait_for(serving, 5)  # the successor is gone, the predecessor not yet
         assert not world.serving.done()
         sock = socket.create_connection(second.address)
@@ -64,8 +64,8 @@
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
         monkeypatch.setattr(shutdown.Shutdown, "move_rest", lambda self: None)  # that look is already over
-        second.leave()
-        first.leave()
+        second.begin_shutdown()
+        first.begin_shutdown()
         assert await client.line() == "MOVE"
         client.end("fin")
         await world.first_ends(serving)
@@ -73,7 +73,7 @@
 
 @played
 async def test_who_waits_is_answered_at_once_when_the_predecessor_is_killed(folder, monkeypatch):  # noqa: F811
-    monkeypatch.setattr(node, "LISTED", 60.0)
+    monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 60.0)
     async with World(control=True, listen=free()) as world:
         first = world.node
         second = node.Node(parse_config(world.raw), first.loop)
@@ -108,7 +108,7 @@
         await world.until(lambda: first.loop.time() > begun + 0.7)
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
-        first.leave()
+        first.begin_shutdown()
         assert (await client.line()).startswith("BUSY") and first.loop.time() < begun + 1.4
         assert second.counters["taken_over"]
         await world.first_ends(serving)
