--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -129,7 +129,7 @@
 class Modelling(Accounting):
     """A balancer with the program's own Discovery and decisions, on the clock of its world."""
 
-    begun = 100.0
+    started_at = 100.0
 
     def __init__(self, world, number, peers):
         self.world, self.service, self.counters = world, world.service, Counters()
