--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -25,7 +25,7 @@
         if len(admin_connections) > self.node.limits.max_admin_connections:
             # Guards against callers that hold connections with no whole call: the oldest of them goes.
             next(iter(admin_connections)).reply(503, "too many callers\n", "many-callers")
-        self.expire_after(limits.CALL, self.on_expired)
+        self.expire_after(limits.ADMIN_REQUEST_SECONDS, self.on_expired)
         self.wake()
 
     def connection_lost(self, error: Exception | None) -> None:
--- a/bellrack/net/limits.py
+++ b/bellrack/net/limits.py
@@ -34,11 +34,13 @@
     2  # descriptors free for an attempt: it counts twice for the instant at which it comes up
 )
 MAX_PROBES = 32  # that are out at once: more are not sent, and what they were for goes on without
-PROBES_PART = 12  # of the reserve, one in so many is for probes when there is nothing but the reserve
-CONTROL = 6  # descriptors beside: two watches and a fetch of the list, three of a hand-off
-AT_START = 8  # descriptors of a process that starts: the standard ones and those of the loop
-CALLERS = 32  # operators' calls that are under way at once
-CALL = 6.0  # seconds from connecting in which an operator's call must be whole
+PROBE_RESERVE_DIVISOR = (
+    12  # of the reserve, one in so many is for probes when there is nothing but the reserve
+)
+CONTROL_DESCRIPTORS = 6  # descriptors beside: two watches and a fetch of the list, three of a hand-off
+DESCRIPTORS_AT_START = 8  # descriptors of a process that starts: the standard ones and those of the loop
+MAX_ADMIN_CONNECTIONS = 32  # operators' calls that are under way at once
+ADMIN_REQUEST_SECONDS = 6.0  # seconds from connecting in which an operator's call must be whole
 
 
 def open_descriptors() -> int:
@@ -46,7 +48,7 @@
     try:
         return len(os.listdir("/proc/self/fd")) - 1  # but the one that it is read by
     except OSError:
-        return AT_START
+        return DESCRIPTORS_AT_START
 
 
 class Limits:
@@ -74,7 +76,7 @@
     def may_probe(self) -> bool:
         """May one more probe go out? A few have their part of the reserve."""
         return (
-            self.probes_in_flight < (self.reserve // PROBES_PART if self.crowded() else MAX_PROBES)
+            self.probes_in_flight < (self.reserve // PROBE_RESERVE_DIVISOR if self.crowded() else MAX_PROBES)
             and not self.exhausted()
         )
 
@@ -127,4 +129,10 @@
     @property
     def max_admin_connections(self) -> int:
         """Operators' calls that may be under way: what is left of the half of the reserve for control."""
-        return max(1, min(CALLERS, self.reserve // 2 - self.reserve // PROBES_PART - CONTROL))
+        return max(
+            1,
+            min(
+                MAX_ADMIN_CONNECTIONS,
+                self.reserve // 2 - self.reserve // PROBE_RESERVE_DIVISOR - CONTROL_DESCRIPTORS,
+            ),
+        )
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -109,7 +109,7 @@
     async def open_admin(self) -> None:
         if place := self.node.config.control:
             self.node.limits.count_descriptors(1)
-            sock = socket.create_server(place, backlog=limits.CALLERS)
+            sock = socket.create_server(place, backlog=limits.MAX_ADMIN_CONNECTIONS)
             self.admin = Listener(
                 self.node, sock, lambda: not self.node.limits.exhausted(), lambda: AdminConnection(self.node)
             )
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -145,8 +145,8 @@
         if endpoint.start is None or endpoint.start.stamp != stamp:
             # What the list known before lacks has started since that was told, whatever its clock says.
             long_ago = not self.confirmed and not self.loaded
-            place.start = start_times.latest_start(stamp, self.node.now, long_ago, newest)
-        return place.start.time
+            endpoint.start = start_times.latest_start(stamp, self.node.now, long_ago, newest)
+        return endpoint.start.time
 
     def to_message(self) -> dict[str, Any]:
         """The list in hand, in the form that discovery sends a whole one."""
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -13,8 +13,10 @@
 FORGET_AFTER_SECONDS = (
     60.0  # seconds after which a server that is gone and holds nothing of ours is forgotten
 )
-TOLD_FOR = 1.5  # seconds for which a server's own word on its messages stands before what we timed
-NOTICE = 1 / 3  # of the shortest message aim: lines slower than this are told of
+REPORT_PRECEDENCE_SECONDS = (
+    1.5  # seconds for which a server's own word on its messages stands before what we timed
+)
+LATE_NOTICE_SHARE = 1 / 3  # of the shortest message aim: lines slower than this are told of
 
 
 class ServerWatch:
@@ -50,8 +52,12 @@
     def time_messages(self, server: Server) -> None:
         node, endpoint = self.node, server.host_record
         delay = endpoint.look(node.now)
-        late = delay > NOTICE * node.settings.shortest_message_aim
-        if node.names.reports_delay and (late or endpoint.late) and node.now - endpoint.told > TOLD_FOR:
+        late = delay > LATE_NOTICE_SHARE * node.settings.shortest_message_aim
+        if (
+            node.names.reports_delay
+            and (late or endpoint.late)
+            and node.now - endpoint.told > REPORT_PRECEDENCE_SECONDS
+        ):
             node.balancer.on_delay_reported(next(iter(endpoint.legs)).leg, delay)
         endpoint.late = late
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -96,7 +96,7 @@
 
 @played
 async def test_holders_of_the_door_keep_nobody_out(monkeypatch):
-    monkeypatch.setattr(limits, "CALLERS", 4)
+    monkeypatch.setattr(limits, "MAX_ADMIN_CONNECTIONS", 4)
     async with World(control=True) as world:
         held = [Peer(*await asyncio.open_connection(*world.desk())) for _ in range(9)]
         for peer in held[::2]:
@@ -109,7 +109,7 @@
 
 @played
 async def test_a_call_that_never_becomes_whole_is_ended(monkeypatch):
-    monkeypatch.setattr(limits, "CALL", 0.05)
+    monkeypatch.setattr(limits, "ADMIN_REQUEST_SECONDS", 0.05)
     async with World(control=True) as world:
         peer = Peer(*await asyncio.open_connection(*world.desk()))
         peer.writer.write(b"GET /_vars HT")
