--- a/bellrack/peers/__init__.py
+++ b/bellrack/peers/__init__.py
@@ -1,4 +1,5 @@
-"""What balancers of a tier know of each other, from datagrams alone.
+"""What the balancers of a tier know of each other and of the servers, learned from datagrams alone.
 
-I/O-free: bytes and times go in, bytes and changes come out. No decision needs any of it.
+The modules do no I/O: they take bytes and times, and return bytes and changes. No decision about a call
+depends on them.
 """
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -1,14 +1,17 @@
-"""What is known of servers beyond own connections: how full all balancers together have made each, where
-groups stand, and which are late by what set-ups and resets show.
-
-Owns the reading of that evidence and its way to the aggregator and back (`aggregation`). Never decides what
-becomes of a call: it tells the decisions how late a server is, as a share of the shortest message aim, and
-answers what they ask. No clock, no socket; without messages between balancers it finds nothing late.
-
-A set-up waits at its server behind what is piled up there, so what it takes over the usual is how late
-messages are. The usual is taken over all servers just now, the session store's part in it: where all are slow
-alike, none is late. The work of set-ups differs widely, so one alone counts half; the aggregator hears of
-all.
+"""Detects overloaded servers from the set-ups and resets of all balancers, and estimates the load of each
+server.
+
+A set-up, the exchange that establishes a connection, queues behind the messages that wait at its server. Its
+duration above the baseline therefore shows how late the server's messages are. The baseline is taken over all
+recent set-ups and includes the session store's delay: if all servers are equally slow, none counts as
+overloaded. The work of set-ups differs widely, so a single one counts half, and the aggregator receives those
+of all balancers.
+
+`OverloadDetector` evaluates this evidence and exchanges it with the other balancers (`aggregation`, or
+`gossip` in a large tier). It passes lateness to the decisions as a share of the shortest message aim, and
+answers where groups are placed and how many connections all balancers hold at each server. It makes no
+decision about a call, and has no clock and no socket. Without datagrams from other balancers only resets
+count (see `on_reset`).
 """
 
 from __future__ import annotations
@@ -21,58 +24,72 @@
 from bellrack.peers import aggregation, gossip
 from bellrack.rng import Rng
 
-RECENT, RECENT_FOR = 24, 4.0  # set-ups, and seconds, from which the usual is taken,
-USUAL = 0.4  # as this share of them from below,
-FEWEST = 4  # if there are so many; else half the shortest message aim
-SEEN_FOR = 4.0  # seconds for which one sign is averaged with the next
-LATE = 0.5  # of the shortest message aim: from here on it is told
-DROPPED = 0.9  # what a reset counts as
-WAITS = 0.65  # of what messages are late by, what a set-up waits over the usual; with 1 zone days fell
-ALONE = 1.5  # the same for who is not the aggregator and has seen only own set-ups
-REPUBLISH_SECONDS = 2.0  # seconds until it is told again, unless it has doubled
-NOTICED_FOR = 30.0  # seconds since a server's own notice for which such are waited for
-LEAST_KNOWN = 0.5  # share of the servers asked about of which sums have to be known
+# Lateness is measured as a share of the shortest message aim.
+RECENT_SETUPS = 24  # number of set-ups from which the baseline is taken
+RECENT_SETUP_SECONDS = 4.0  # older set-ups no longer count for the baseline
+BASELINE_QUANTILE = 0.4
+MIN_BASELINE_SETUPS = 4  # with fewer, the baseline is half the shortest message aim
+SIGN_MEMORY_SECONDS = 4.0  # a sign is averaged with the server's previous one unless that is older
+OVERLOAD_LATENESS = 0.5  # a server counts as overloaded from here on
+RESET_LATENESS = 0.9  # a reset counts as this lateness
+# The delay of a set-up over the baseline at a server whose lateness is 1, as a share of the shortest message aim.
+# With 1, runs with zone outages failed.
+SETUP_WAIT_SHARE = 0.65
+OWN_SIGN_LATENESS = 1.5  # as OVERLOAD_LATENESS, for a balancer that sees only its own set-ups
+REPUBLISH_SECONDS = 2.0  # until an overload is published again; at once if its lateness has doubled
+SERVER_NOTICE_SECONDS = 30.0  # other evidence is not used for so long after a server's own notice
+MIN_KNOWN_SHARE = 0.5  # the load is unknown if it is known for less than this share of the servers
 
 
 class OverloadDetector:
-    """One balancer's part. `on_overload(server, delay)` hears what is found."""
+    """One balancer's detector.
+
+    `send(peer, data)` is called with each datagram for a peer, or for all if `peer` is None, and
+    `on_overload(server, lateness)` for each server found overloaded. A tier of more than `max_aggregated`
+    balancers, by default `gossip.MAX_AGGREGATED_BALANCERS`, uses gossip in place of an aggregator.
+    """
 
     def __init__(
         self,
         settings: Settings,
-        tell: Callable[[int | None, bytes], None],
+        send: Callable[[int | None, bytes], None],
         on_overload: Callable[[Server, float], None],
-        large: int | None = None,
+        max_aggregated: int | None = None,
     ):
         self.settings, self.on_overload = settings, on_overload
         own, peers = settings.number, settings.peers
-        self.exchange: aggregation.Aggregation | gossip.Gossip = aggregation.Aggregation(own, peers, tell)
-        if peers > (gossip.LARGE if large is None else large):
+        self.exchange: aggregation.Aggregation | gossip.Gossip = aggregation.Aggregation(own, peers, send)
+        if peers > (gossip.MAX_AGGREGATED_BALANCERS if max_aggregated is None else max_aggregated):
             self.exchange = gossip.Gossip(
-                own, peers, tell, Rng(own).uniform, WAITS * settings.shortest_message_aim
+                own, peers, send, Rng(own).uniform, SETUP_WAIT_SHARE * settings.shortest_message_aim
             )
-        self.filled: tuple[float, dict[Server, float]] = -math.inf, {}
-        self.servers: dict[int, Server | None] = {}  # by short mark; None where two share it
-        self.took: deque[tuple[float, float]] = deque(maxlen=RECENT)  # set-ups: when, how long
-        self.lateness: dict[int, tuple[float, float]] = {}  # by mark: how late lately, and when last seen
-        self.published: dict[int, tuple[float, float]] = {}  # the same as last told
-        self.last_server_notice = -math.inf  # when a server last said itself how late its messages are
-        self.verdicts = 0  # times that a server was found late by other signs than its own word
+        self.cached_load: tuple[float, dict[Server, float]] = -math.inf, {}  # when computed, and the result
+        self.servers: dict[int, Server | None] = {}  # by short id; None if two servers share it
+        self.setups: deque[tuple[float, float]] = deque(maxlen=RECENT_SETUPS)  # time and duration
+        self.lateness: dict[
+            int, tuple[float, float]
+        ] = {}  # by id hash: recent lateness, time of the last sign
+        self.published: dict[int, tuple[float, float]] = {}  # by id hash: lateness last published, and when
+        self.last_server_notice = -math.inf  # when a server last reported late messages itself
+        self.verdicts = 0  # times that a server was found overloaded without its own report
 
     def on_servers_listed(self, fleet: Iterable[Server]) -> None:
-        """The servers that may be spoken of. Guards against evidence taken for another server's."""
+        """Sets the servers that records may refer to.
+
+        A short id of two servers refers to neither: otherwise one would be judged by the other's evidence.
+        """
         self.servers = {}
         for server in fleet:
-            short = server.id_hash & self.exchange.id_bits
-            self.servers[short] = None if short in self.servers else server
+            short_id = server.id_hash & self.exchange.id_mask
+            self.servers[short_id] = None if short_id in self.servers else server
         self.exchange.on_servers_listed(self.servers, self.settings.zone)
-        self.filled = -math.inf, {}
+        self.cached_load = -math.inf, {}
         known = {server.id_hash for server in self.servers.values() if server}
-        self.lateness = {mark: seen for mark, seen in self.lateness.items() if mark in known}
-        self.published = {mark: seen for mark, seen in self.published.items() if mark in known}
+        self.lateness = {id_hash: sign for id_hash, sign in self.lateness.items() if id_hash in known}
+        self.published = {id_hash: sign for id_hash, sign in self.published.items() if id_hash in known}
 
     def has_broadcasts(self, now: float) -> bool:
-        """Somebody publishes what all balancers know, and servers do not say themselves how they fare."""
+        """Whether data of all balancers arrives and is used: not if servers report their load themselves."""
         return (
             self.settings.may_publish
             and self.exchange.has_broadcasts(now)
@@ -80,96 +97,126 @@
         )
 
     def servers_report_load(self, now: float) -> bool:
-        """Servers send notices of late messages, or report their load: evidence that goes before this."""
-        return bool(self.settings.report) or now - self.last_server_notice <= NOTICED_FOR
+        """Whether servers report load, or have sent notices of late messages recently.
+
+        Their own reports take precedence over the evidence collected here.
+        """
+        return bool(self.settings.report) or now - self.last_server_notice <= SERVER_NOTICE_SECONDS
 
     def nobody_reports_load(self, now: float) -> bool:
-        """Neither servers nor other balancers say that messages are late: a reset tells first."""
+        """Whether neither servers nor other balancers report late messages.
+
+        A reset is then the first sign of overload.
+        """
         return self.settings.peers_unseen and not self.servers_report_load(now)
 
     def holds_group(self, server: Server, group: int, now: float) -> bool:
-        """Is this group known to stand there?"""
+        """Whether the group is known to be placed at the server."""
         return self.has_broadcasts(now) and self.exchange.holds_group(server.id_hash, group, now)
 
     def baseline(self, now: float) -> float:
-        """What a set-up takes just now at a server that is not late, in seconds."""
-        told = self.exchange
-        if told.published_baseline is not None and told.aggregator != told.own and told.has_broadcasts(now):
-            return told.published_baseline
-        took = sorted(took for when, took in self.took if now - when < RECENT_FOR)
-        return took[int(USUAL * len(took))] if len(took) >= FEWEST else self.settings.shortest_message_aim / 2
-
-    def on_established(self, server: Server, took: float, now: float) -> None:
-        """A set-up of ours took so long."""
+        """The current duration of a set-up at a server that is not late, in seconds."""
+        exchange = self.exchange
+        if (
+            exchange.published_baseline is not None
+            and exchange.aggregator != exchange.own
+            and exchange.has_broadcasts(now)
+        ):
+            return exchange.published_baseline
+        durations = sorted(duration for when, duration in self.setups if now - when < RECENT_SETUP_SECONDS)
+        return (
+            durations[int(BASELINE_QUANTILE * len(durations))]
+            if len(durations) >= MIN_BASELINE_SETUPS
+            else self.settings.shortest_message_aim / 2
+        )
+
+    def on_established(self, server: Server, duration: float, now: float) -> None:
+        """Takes the duration of an own set-up, in seconds."""
         if self.settings.may_publish:
-            self.exchange.report(aggregation.SETUP_TIME, server.id_hash, took * 1000)
-        self.set_up(server, took, now)
+            self.exchange.report(aggregation.SETUP_TIME, server.id_hash, duration * 1000)
+        self.add_setup(server, duration, now)
 
-    def set_up(self, server: Server, took: float, now: float) -> None:
-        late = (took - self.baseline(now)) / (WAITS * self.settings.shortest_message_aim)
-        self.took.append((now, took))
-        self.on_sign(server, max(0.0, late), now)
+    def add_setup(self, server: Server, duration: float, now: float) -> None:
+        """Takes the duration of a set-up, an own one or one reported to the aggregator, in seconds."""
+        lateness = (duration - self.baseline(now)) / (SETUP_WAIT_SHARE * self.settings.shortest_message_aim)
+        self.setups.append((now, duration))
+        self.on_sign(server, max(0.0, lateness), now)
 
     def on_reset(self, server: Server, now: float) -> None:
-        """It reset what stood. What one balancer meets is the decisions' own; here, that several do."""
+        """Takes the reset of an established connection as a sign of overload.
+
+        The decisions evaluate the balancer's own resets; here the resets that several balancers see are
+        combined.
+        """
         if self.has_broadcasts(now):
-            self.exchange.report(aggregation.LATENESS, server.id_hash, DROPPED)
-            self.on_sign(server, DROPPED, now)
+            self.exchange.report(aggregation.LATENESS, server.id_hash, RESET_LATENESS)
+            self.on_sign(server, RESET_LATENESS, now)
         elif self.nobody_reports_load(now):
             self.verdicts += 1
-            self.on_overload(server, DROPPED)
+            self.on_overload(server, RESET_LATENESS)
 
-    def on_sign(self, server: Server, late: float, now: float) -> None:
-        before, when = self.lateness.get(server.id_hash, (0.0, -math.inf))
-        late = (late + (before if now - when < SEEN_FOR else 0.0)) / 2
-        self.lateness[server.id_hash] = late, now
+    def on_sign(self, server: Server, lateness: float, now: float) -> None:
+        """Averages the lateness with the server's last sign, and reports the server if it is overloaded.
+
+        The aggregator also publishes the overload.
+        """
+        previous, when = self.lateness.get(server.id_hash, (0.0, -math.inf))
+        lateness = (lateness + (previous if now - when < SIGN_MEMORY_SECONDS else 0.0)) / 2
+        self.lateness[server.id_hash] = lateness, now
         aggregator = self.exchange.aggregator == self.exchange.own
-        if late < (LATE if aggregator else ALONE):
+        if lateness < (OVERLOAD_LATENESS if aggregator else OWN_SIGN_LATENESS):
             return
-        before, when = self.published.get(server.id_hash, (0.0, -math.inf))
-        if aggregator and (now - when > REPUBLISH_SECONDS or late > 2 * before):
-            self.published[server.id_hash] = late, now
-            self.exchange.relay_overload(server.id_hash, late)
-        self.report_overload(server, late, now)
-
-    def report_overload(self, server: Server, late: float, now: float) -> None:
-        # Guards against few balancers that take the chance of a set-up or two for a server's state.
+        previous, when = self.published.get(server.id_hash, (0.0, -math.inf))
+        if aggregator and (now - when > REPUBLISH_SECONDS or lateness > 2 * previous):
+            self.published[server.id_hash] = lateness, now
+            self.exchange.relay_overload(server.id_hash, lateness)
+        self.report_overload(server, lateness, now)
+
+    def report_overload(self, server: Server, lateness: float, now: float) -> None:
+        """Reports an overloaded server to the decisions, if data of all balancers arrives."""
+        # Otherwise a small number of balancers would judge a server by the chance of one or two set-ups.
         if self.has_broadcasts(now):
             self.verdicts += 1
-            self.on_overload(server, late)
+            self.on_overload(server, lateness)
 
     def on_datagram(self, peer: int, data: bytes, now: float) -> None:
-        """A datagram; what is none of ours says nothing."""
-        for kind, mark, value in self.exchange.on_datagram(now, peer, data, self.servers):
-            server = self.servers[mark]
+        """Takes a datagram of another balancer; one of another format is ignored."""
+        for kind, short_id, value in self.exchange.on_datagram(now, peer, data, self.servers):
+            server = self.servers[short_id]
             if kind == aggregation.SETUP_TIME:
-                self.set_up(server, value / 1000, now)
+                self.add_setup(server, value / 1000, now)
             elif self.exchange.aggregator == self.exchange.own:
                 self.on_sign(server, value, now)
             else:
                 self.report_overload(server, value, now)
 
     def on_period(self, now: float) -> None:
-        """A few times a second: say what is due; nothing where servers say more themselves."""
+        """Sends the datagrams that are due. Called a few times a second.
+
+        Nothing is sent while servers report their load themselves.
+        """
         if self.servers_report_load(now):
             return
         self.exchange.on_period(now, self.baseline(now))
 
     def fleet_load(self, servers: list[Server], now: float) -> dict[Server, float]:
-        """What all balancers hold of each; nothing if that is not known of most. Where it is not known of one
-        it is taken to be as full as the others."""
+        """The connections that all balancers together hold at each server.
+
+        The result is empty if the number is known for too few servers. A server with an unknown number gets
+        the others' mean load for its capacity.
+        """
         if not self.has_broadcasts(now):
             return {}
-        if now < self.filled[0] + self.exchange.refresh:
-            return self.filled[1]
-        known = {
+        if now < self.cached_load[0] + self.exchange.cache_seconds:
+            return self.cached_load[1]
+        totals = {
             server: self.exchange.total(server.id_hash, now)
             for server in servers
             if self.exchange.covers(server.id_hash)
         }
-        told = {server: total for server, total in known.items() if total is not None}
-        if not told or len(told) < LEAST_KNOWN * len(known):
+        known = {server: total for server, total in totals.items() if total is not None}
+        if not known or len(known) < MIN_KNOWN_SHARE * len(totals):
             return {}
-        mean = sum(told.values()) / sum(server.capacity for server in told)
-        self.filled = now, {server: told.get(server, mean * server.capacity) for server in servers}
-        return self.filled[1]
+        mean = sum(known.values()) / sum(server.capacity for server in known)
+        self.cached_load = now, {server: known.get(server, mean * server.capacity) for server in servers}
+        return self.cached_load[1]
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -28,7 +28,7 @@
 class Deaf(Gossip):
     """One that counts no votes: in a zone of hundreds it is enough that some do, all the traffic is there."""
 
-    def vote(self, one, peer, share, now): ...
+    def add_vote(self, short_id, peer, share, now): ...
 
 
 class Zone:
@@ -38,7 +38,9 @@
     def __init__(self, members=40, zones=10, near=50, each=80, loss=0.0, votes=None, seed=3):
         self.random, self.now, self.loss, self.zones = random.Random(seed), 1000.0, loss, zones
         self.peers, self.numbers = members * zones, range(0, members * zones, zones)
-        marks = self.random.sample(range(1 << 24), near + gossip.MOST)  # of the other zones' only those told
+        marks = self.random.sample(
+            range(1 << 24), near + gossip.MAX_RECORDS
+        )  # of the other zones' only those told
         self.listed = {mark: model.Server(mark, zone=int(at >= near)) for at, mark in enumerate(marks)}
         self.near = [server for server in self.listed.values() if server.zone == 0]
         weights = [math.exp(self.random.gauss(0, 0.4)) for _ in self.near]
@@ -108,7 +110,7 @@
         for peer in zone.random.sample(
             [one for one in zone.numbers if one != number], gossip.FEW_SAMPLED_PEERS
         ):
-            node.sampled_peers[peer] = zone.now, zone.nodes[peer].held_near
+            node.sampled_peers[peer] = zone.now, zone.nodes[peer].held_in_zone
     zone.run(LARGE_FOR)
     return zone
 
@@ -133,8 +135,8 @@
     for number in large.numbers:
         node = large.nodes[number]
         assert len(node.sampled_peers) <= gossip.SAMPLED_PEERS and len(node.held) <= 600
-        assert not node.news and not node.signs
-        assert all(len(votes) <= gossip.VOTES for votes in node.votes.values()) and len(node.votes) <= 600
+        assert not node.own_lateness and not node.peer_lateness
+        assert all(len(votes) <= gossip.MAX_VOTES for votes in node.votes.values()) and len(node.votes) <= 600
 
 
 def test_one_that_has_just_started_and_holds_nothing_knows_within_a_minute():
@@ -162,7 +164,7 @@
     for server in zone.near[:5]:  # one side's connections there go, and that side knows
         for number in before:
             zone.nodes[number].set_held(server.id_hash, 0, 0, 0)
-    zone.run(gossip.VOTE_STANDS + 5)
+    zone.run(gossip.VOTE_TTL_SECONDS + 5)
     told = [
         [zone.nodes[number].total(server.id_hash, zone.now) for number in side]
         for server in zone.near[:5]
@@ -175,7 +177,7 @@
         for mark, count in held.items():
             zone.nodes[number].set_held(mark, count, 0, 0)
     zone.cut = lambda sender, receiver: False
-    zone.run(gossip.VOTE_STANDS + 30)
+    zone.run(gossip.VOTE_TTL_SECONDS + 30)
     assert zone.fair(zone.numbers)
 
 
@@ -185,7 +187,7 @@
     zone.run(60)
     assert zone.nodes[0].has_broadcasts(zone.now)
     zone.cut = lambda sender, receiver: 0 in (sender, receiver)
-    zone.run(gossip.HEARS_FOR + 1)
+    zone.run(gossip.SILENCE_SECONDS + 1)
     assert not zone.nodes[0].has_broadcasts(zone.now) and zone.nodes[10].has_broadcasts(zone.now)
 
 
@@ -249,7 +251,7 @@
     node, listed, _ = pair()
     for peer in range(1, 7):
         node.on_datagram(10.0, peer, poll([60000] + [30] * 9, held=300), listed)
-    assert node.total(1, 10.0) == node.typical(10.0) * 300
+    assert node.total(1, 10.0) == node.typical_held(10.0) * 300
 
 
 def test_a_vote_from_before_a_servers_restart_counts_no_more():
@@ -267,7 +269,7 @@
     node, listed, _ = pair()
     for peer in range(1, 100):
         node.on_datagram(10.0, peer, poll([30] * 10), listed)
-    assert len(node.sampled_peers) == gossip.HEARD
+    assert len(node.sampled_peers) == gossip.MAX_DATAGRAMS_PER_PERIOD
 
 
 def test_mates_are_few_the_longest_unheard_goes_and_the_dead_are_forgotten():
@@ -276,7 +278,7 @@
         node.on_datagram(10.0 + peer, peer, poll([30] * 10), listed)
         node.on_period(10.0 + peer, 0.02)
     assert sorted(node.sampled_peers) == list(range(100 - gossip.SAMPLED_PEERS, 100))
-    assert {len(votes) for votes in node.votes.values()} == {gossip.VOTES}
+    assert {len(votes) for votes in node.votes.values()} == {gossip.MAX_VOTES}
     assert [peer for peer, _ in out] == list(range(1, 100))  # who is new is answered at once
     for second in range(200):
         node.on_period(111.0 + second, 0.02)
@@ -294,10 +296,10 @@
 
 def test_each_server_of_the_zone_is_polled_in_its_turn():
     node, _, out = pair()
-    node.on_servers_listed({mark: model.Server(mark) for mark in range(1, 4 * gossip.MOST + 1)}, 0)
+    node.on_servers_listed({mark: model.Server(mark) for mark in range(1, 4 * gossip.MAX_RECORDS + 1)}, 0)
     for turn in range(4):
         node.on_period(10.0 + turn, 0.02)
-    assert sorted(one for _, data in out for one, _ in gossip.unpack(data)[2]) == list(node.near)
+    assert sorted(one for _, data in out for one, _ in gossip.unpack(data)[2]) == list(node.zone_servers)
 
 
 def test_an_old_datagram_that_comes_again_is_one_vote_that_the_next_replaces():
@@ -311,14 +313,16 @@
         node.on_datagram(40.0, peer, poll([30] * 10), listed)
         node.on_datagram(40.0, 3, old, listed)
     assert node.total(1, 40.0) < 1.1 * node.total(2, 40.0)
-    assert node.total(1, 40.0 + gossip.VOTE_STANDS + 1) == node.typical(200.0) * 300 / 10  # own alone
+    assert (
+        node.total(1, 40.0 + gossip.VOTE_TTL_SECONDS + 1) == node.typical_held(200.0) * 300 / 10
+    )  # own alone
 
 
 def test_a_region_on_its_own_goes_on():
     zone = Zone(loss=0.3)
     zone.run(60)
     zone.cut = lambda sender, receiver: bool(sender % zone.zones)  # nothing comes from outside any more
-    zone.run(gossip.VOTE_STANDS + 20)
+    zone.run(gossip.VOTE_TTL_SECONDS + 20)
     assert all(node.has_broadcasts(zone.now) for node in zone.nodes.values()) and zone.fair(zone.numbers)
 
 
@@ -327,13 +331,13 @@
     late = poll([30] * 10, [(4, 9.0)])
     assert not [news for _ in range(9) for news in node.on_datagram(10.0, 1, late, listed)]
     ((kind, mark, value),) = node.on_datagram(11.0, 2, late, listed)
-    assert (kind, mark) == (aggregation.LATENESS, 4) and value <= gossip.WORST
+    assert (kind, mark) == (aggregation.LATENESS, 4) and value <= gossip.MAX_LATENESS
     assert not node.on_datagram(20.0, 1, late, listed)  # the other is long ago
     for peer in (2, 3):
         assert not node.on_datagram(
             20.0, peer, poll([30] * 10, [(99, 9.0)]), listed
         )  # no list names that server
-    assert set(node.signs) == {4}
+    assert set(node.peer_lateness) == {4}
     node.on_period(20.5, 0.02)
     assert gossip.unpack(out[-1][1])[1] == []  # it is not told on: an echo would never end
 
@@ -346,11 +350,11 @@
     node.report(aggregation.SETUP_TIME, 3, 85)  # by a whole aim
     for mark in range(1, 11):
         node.report(aggregation.LATENESS, mark, 0.9)
-    assert len(node.news) == gossip.MOST_LATE
+    assert len(node.own_lateness) == gossip.MAX_LATENESS_RECORDS
     for turn in range(2, 8):
         node.on_period(10.0 + turn, 0.02)
     told = [len(gossip.unpack(data)[1]) for _, data in out]
-    assert told == [0] * 2 + [gossip.MOST_LATE] * gossip.REPEATS + [0] * 2
+    assert told == [0] * 2 + [gossip.MAX_LATENESS_RECORDS] * gossip.LATENESS_REPEATS + [0] * 2
 
 
 @given(some.binary(max_size=300))
@@ -362,12 +366,12 @@
     assert all(total is None or total >= 0 for total in [node.total(mark, 11.0) for mark in listed])
 
 
-@given(some.lists(some.tuples(some.integers(0, gossip.ID), some.floats(0, 5e4)), max_size=62))
+@given(some.lists(some.tuples(some.integers(0, gossip.ID_MASK), some.floats(0, 5e4)), max_size=62))
 def test_records_come_back_within_a_step_and_without_bias(records):
     held, late, polled = gossip.unpack(gossip.pack(7, [], records, random.Random(2).random))
     assert held == 7 and not late and [one for one, _ in polled] == [one for one, _ in records]
     assert all(abs(got[1] - sent[1]) <= 0.045 * (1 + sent[1]) for got, sent in zip(polled, records))
-    mean = statistics.mean(gossip.SCALE[gossip.rounded(10.3, at / 1000)] for at in range(1000))
+    mean = statistics.mean(gossip.SCALE[gossip.quantize(10.3, at / 1000)] for at in range(1000))
     assert abs(mean - 10.3) < 0.01
 
 
@@ -435,7 +439,11 @@
 
 @pytest.mark.parametrize(
     "peers, kind",
-    [(3, aggregation.Aggregation), (gossip.LARGE, aggregation.Aggregation), (gossip.LARGE + 1, Gossip)],
+    [
+        (3, aggregation.Aggregation),
+        (gossip.MAX_AGGREGATED_BALANCERS, aggregation.Aggregation),
+        (gossip.MAX_AGGREGATED_BALANCERS + 1, Gossip),
+    ],
 )
 def test_the_size_of_the_tier_chooses_and_up_to_256_nothing_is_changed(peers, kind):
     out = []
@@ -470,7 +478,7 @@
 
 def told(bench, fleet, counts, late=()):
     for peer in range(1, 6):
-        polled = [(server.id_hash & gossip.ID, count) for server, count in zip(fleet, counts)]
+        polled = [(server.id_hash & gossip.ID_MASK, count) for server, count in zip(fleet, counts)]
         bench.balancer.on_datagram(
             peer, gossip.pack(sum(counts), list(late), polled, random.Random(peer).random)
         )
@@ -500,7 +508,7 @@
 def test_a_lateness_told_by_mates_shuts_the_server_for_one_that_saw_nothing_of_it():
     bench, fleet = balancer()
     for _ in range(20):
-        told(bench, fleet, [30] * 10, [(fleet[4].id_hash & gossip.ID, 1.2)])
+        told(bench, fleet, [30] * 10, [(fleet[4].id_hash & gossip.ID_MASK, 1.2)])
         bench.call()
         bench.now += 0.5
         bench.balancer.overload.on_period(bench.now)
@@ -524,7 +532,7 @@
             settings(peers=12, number=own, may_publish=True),
             told(own),
             lambda server, late, own=own: found.append((own, server)),
-            large=0,
+            max_aggregated=0,
         )
         one.on_servers_listed(fleet)
         for server in fleet:
@@ -593,24 +601,26 @@
             self.now += TICK
             for node in self.nodes.values():
                 for mark in self.listed:
-                    self.shares[mark].append((self.now, node.held.get(mark, 0) / node.held_near))
+                    self.shares[mark].append((self.now, node.held.get(mark, 0) / node.held_in_zone))
                 node.on_period(self.now, 0.02)
             due = [one for one in self.waiting if one[0] <= self.now]
             self.waiting = [one for one in self.waiting if one[0] > self.now]
             for _, sender, receiver, data in self.random.sample(due, len(due)):
                 assert not self.nodes[receiver].on_datagram(self.now, sender, data, self.listed)
         for mark, shares in self.shares.items():
-            self.shares[mark] = [one for one in shares if self.now - one[0] <= gossip.VOTE_STANDS + 6]
+            self.shares[mark] = [one for one in shares if self.now - one[0] <= gossip.VOTE_TTL_SECONDS + 6]
 
     @invariant()
     def among_the_honest(self):
         for node in getattr(self, "nodes", {}).values():
-            assert len(node.sampled_peers) <= 7 and len(node.signs) <= 8 and not node.news
+            assert len(node.sampled_peers) <= 7 and len(node.peer_lateness) <= 8 and not node.own_lateness
             for mark in self.listed:
-                shares = [share for _, share in self.shares[mark]] + [node.held.get(mark, 0) / node.held_near]
-                share = node.total(mark, self.now) / node.typical(self.now) / node.peers
+                shares = [share for _, share in self.shares[mark]] + [
+                    node.held.get(mark, 0) / node.held_in_zone
+                ]
+                share = node.total(mark, self.now) / node.typical_held(self.now) / node.peers
                 assert 0.93 * min(shares) <= share <= 1.07 * max(shares)
-                assert len(node.votes.get(mark, {})) <= gossip.VOTES
+                assert len(node.votes.get(mark, {})) <= gossip.MAX_VOTES
 
 
 TestHarm = Harm.TestCase
--- a/tests/test_gossip_live.py
+++ b/tests/test_gossip_live.py
@@ -23,17 +23,19 @@
 from bellrack.net import node
 from bellrack.net.config import read_config
 from bellrack.peers import gossip
-gossip.LARGE, gossip.EACH, gossip.HEARS_FOR, choice.PUBLISH_INTERVAL_SECONDS = 2, 0.09, 2.0, 0.1
+gossip.MAX_AGGREGATED_BALANCERS = 2
+gossip.SEND_INTERVAL_SECONDS, gossip.SILENCE_SECONDS = 0.09, 2.0
+choice.PUBLISH_INTERVAL_SECONDS = 0.1
 held, listed, turn = json.loads(sys.argv[2]), gossip.Gossip.on_servers_listed, gossip.Gossip.on_period
 def filled(self, servers, zone):
     listed(self, servers, zone)
-    for mark, count in zip(sorted(self.near), held):
+    for mark, count in zip(sorted(self.zone_servers), held):
         self.set_held(mark, count, 0, 0)
 def told(self, now, usual):
     turn(self, now, usual)
     print(json.dumps({"now": now, "hears": self.has_broadcasts(now), "heard": {
         peer: when for peer, (when, _) in self.sampled_peers.items()},
-        "totals": [self.total(mark, now) for mark in sorted(self.near)]}), flush=True)
+        "totals": [self.total(mark, now) for mark in sorted(self.zone_servers)]}), flush=True)
 gossip.Gossip.on_servers_listed, gossip.Gossip.on_period = filled, told
 node.run(read_config(sys.argv[1]))
 """
