--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -32,8 +32,8 @@
 SIGN_MEMORY_SECONDS = 4.0  # a sign is averaged with the server's previous one unless that is older
 OVERLOAD_LATENESS = 0.5  # a server counts as overloaded from here on
 RESET_LATENESS = 0.9  # a reset counts as this lateness
-# The delay of a set-up over the baseline at a server whose lateness is 1, as a share of the shortest message aim.
-# With 1, runs with zone outages failed.
+# The delay of a set-up over the baseline at a server whose lateness is 1, as a share of the shortest message
+# aim. With 1 in place of 0.65, runs with zone outages failed.
 SETUP_WAIT_SHARE = 0.65
 OWN_SIGN_LATENESS = 1.5  # as OVERLOAD_LATENESS, for a balancer that sees only its own set-ups
 REPUBLISH_SECONDS = 2.0  # until an overload is published again; at once if its lateness has doubled
--- a/bellrack/peers/wire.py
+++ b/bellrack/peers/wire.py
@@ -1,9 +1,9 @@
-"""The datagrams between balancers: bytes <-> plain values, version 1.
+"""Packs and unpacks the datagrams of the membership protocol, version 1.
 
-Owns the packing. It keeps no state and believes nothing: what the values mean is membership's to judge. All
-numbers are big-endian; a datagram is at most 256 bytes, whatever the size of the tier.
+The module keeps no state and does not interpret the values; `membership` does. All numbers are big-endian. A
+datagram has at most 256 bytes, whatever the size of the tier.
 
-    head:    version u8, kind u8, sender u16, start_id u32, incarnation u32, sequence u32, target u16,
+    header:  version u8, kind u8, sender u16, start_id u32, incarnation u32, sequence u32, target u16,
              count u8
     update:  member u16, status u8, start_id u32, incarnation u32      (count times)
 """
@@ -14,30 +14,34 @@
 from dataclasses import dataclass, field
 
 VERSION = 1
-MOST = 256  # bytes of a datagram
-PING, ACK, INDIRECT_PROBE, LEAVE = 1, 2, 3, 4  # a question; its answer; "ping the target for me"; "I go"
+MAX_BYTES = 256  # of a datagram
+# Kinds of datagrams: a probe; its answer; a request to the receiver to ping the target; the sender leaves.
+PING, ACK, INDIRECT_PROBE, LEAVE = 1, 2, 3, 4
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
-NOBODY = 0xFFFF  # as target: nobody but the receiver
-HEAD, UPDATE = struct.Struct(">BBHIIIHB"), struct.Struct(">HBII")
-MAX_UPDATES = (MOST - HEAD.size) // UPDATE.size  # that a datagram has room for
+NOBODY = 0xFFFF  # as the target: the receiver itself
+HEADER = struct.Struct(">BBHIIIHB")
+UPDATE = struct.Struct(">HBII")
+MAX_UPDATES = (MAX_BYTES - HEADER.size) // UPDATE.size  # in a datagram
 
 
 class DatagramError(ValueError):
-    """Bytes that are no datagram of ours; the text is a reason code."""
+    """Raised for bytes that are no valid datagram; the text is a reason code."""
 
 
 @dataclass(frozen=True)
 class MemberUpdate:
-    """What is said of one member of the tier."""
+    """The status of one member, as a datagram reports it."""
 
     member: int
     status: int
-    start_id: int  # drawn anew at each start of a process
+    start_id: int  # drawn at random at each start of a process
     incarnation: int
 
 
 @dataclass(frozen=True)
 class Datagram:
+    """One datagram. `kind`, `target` and the status of updates are the constants of this module."""
+
     kind: int
     sender: int
     start_id: int
@@ -48,10 +52,10 @@
 
 
 def pack(message: Datagram) -> bytes:
-    """Raises ValueError for more updates than there is room for."""
+    """Packs a datagram. Raises ValueError if it has more than MAX_UPDATES updates."""
     if len(message.updates) > MAX_UPDATES:
         raise ValueError(f"{len(message.updates)} updates, {MAX_UPDATES} at most")
-    head = HEAD.pack(
+    header = HEADER.pack(
         VERSION,
         message.kind,
         message.sender,
@@ -61,25 +65,26 @@
         message.target,
         len(message.updates),
     )
-    return head + b"".join(
-        UPDATE.pack(r.member, r.status, r.start_id, r.incarnation) for r in message.updates
+    return header + b"".join(
+        UPDATE.pack(update.member, update.status, update.start_id, update.incarnation)
+        for update in message.updates
     )
 
 
 def unpack(data: bytes) -> Datagram:
-    """Strict, as it comes from a network. Raises DatagramError with a reason code."""
-    if len(data) > MOST:
+    """Unpacks a datagram from the network. Raises DatagramError if any field or the length is invalid."""
+    if len(data) > MAX_BYTES:
         raise DatagramError("too-long")
-    if len(data) < HEAD.size:
+    if len(data) < HEADER.size:
         raise DatagramError("too-short")
-    version, kind, sender, start_id, incarnation, sequence, target, count = HEAD.unpack_from(data)
+    version, kind, sender, start_id, incarnation, sequence, target, count = HEADER.unpack_from(data)
     if version != VERSION:
         raise DatagramError("other-version")
     if kind not in (PING, ACK, INDIRECT_PROBE, LEAVE):
         raise DatagramError("unknown-kind")
-    if len(data) != HEAD.size + count * UPDATE.size:
+    if len(data) != HEADER.size + count * UPDATE.size:
         raise DatagramError("wrong-length")
-    updates = tuple(MemberUpdate(*values) for values in UPDATE.iter_unpack(data[HEAD.size :]))
+    updates = tuple(MemberUpdate(*values) for values in UPDATE.iter_unpack(data[HEADER.size :]))
     if any(update.status > LEFT for update in updates):
         raise DatagramError("unknown-status")
     return Datagram(kind, sender, start_id, incarnation, sequence, target, updates)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -13,7 +13,7 @@
     ALIVE,
     DEAD,
     LEFT,
-    MOST,
+    MAX_BYTES,
     PING,
     Datagram,
     DatagramError,
@@ -106,7 +106,7 @@
     before = list(tier.sent)
     tier.run(60)
     assert max(now - then for now, then in zip(tier.sent, before)) <= 60 * 6
-    assert tier.largest <= MOST
+    assert tier.largest <= MAX_BYTES
 
 
 def test_a_dead_balancer_is_found_by_all_and_one_that_leaves_is_suspected_by_none():
@@ -209,7 +209,7 @@
     tier.sent[0] = 0
     for sequence in range(1000):
         tier.nodes[0].on_datagram(tier.agenda.now, 1, Datagram(PING, 1, tier.nodes[1].start_id, 1, sequence))
-    assert tier.sent[0] <= membership.ANSWERS
+    assert tier.sent[0] <= membership.MAX_ANSWERS
 
 
 def test_who_speaks_for_another_is_not_heard():
@@ -233,7 +233,7 @@
 
 @given(messages)
 def test_what_is_packed_is_what_is_unpacked(message):
-    assert unpack(pack(message)) == message and len(pack(message)) <= MOST
+    assert unpack(pack(message)) == message and len(pack(message)) <= MAX_BYTES
 
 
 @settings(max_examples=300)
