--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""What balancers tell one another of servers: records, aggregator, and what set-ups and resets show."""
+"""Exchange between balancers through an aggregator: records, totals, placements, and overload detection."""
 
 import random
 
@@ -11,48 +11,52 @@
 from bellrack.peers.overload import OverloadDetector
 from tests.helpers import Bench, settings
 
-AIM = 0.1  # of the settings
+AIM = 0.1  # seconds, the shortest message aim of the settings
 
 
 class Tier:
-    """Some balancers' detectors before one fleet, with datagrams that may be lost."""
+    """The detectors of some balancers with one fleet; each datagram is lost with probability `loss`.
+
+    `reported` lists each report of an overloaded server: balancer, server, lateness. Balancers in `isolated`
+    exchange no datagrams.
+    """
 
     def __init__(self, count=6, servers=8, loss=0.0, **rules):
-        self.now, self.late, self.chance, self.loss = 100.0, [], random.Random(5), loss
-        self.fleet = [model.Server(mark * 77 + 5) for mark in range(servers)]
-        self.cut: set[int] = set()
+        self.now, self.reported, self.random, self.loss = 100.0, [], random.Random(5), loss
+        self.fleet = [model.Server(number * 77 + 5) for number in range(servers)]
+        self.isolated: set[int] = set()
         self.detectors = []
         for number in range(count):
             detector = OverloadDetector(
                 settings(peers=count, number=number, may_publish=True, **rules),
-                self.tell(number),
-                lambda server, delay, by=number: self.late.append((by, server, delay)),
+                self.sender(number),
+                lambda server, lateness, by=number: self.reported.append((by, server, lateness)),
             )
             detector.on_servers_listed(self.fleet)
             self.detectors.append(detector)
 
-    def tell(self, own):
-        def told(peer, data):
+    def sender(self, own):
+        def send(peer, data):
             assert len(data) <= 256
             for other in range(len(self.detectors)) if peer is None else [peer]:
-                if other != own and not {own, other} & self.cut and self.chance.random() >= self.loss:
+                if other != own and not {own, other} & self.isolated and self.random.random() >= self.loss:
                     self.detectors[other].on_datagram(own, data, self.now)
 
-        return told
+        return send
 
     def run(self, seconds):
         for _ in range(round(seconds * 4)):
             self.now += 0.25
             for number, detector in enumerate(self.detectors):
-                if number not in self.cut:
+                if number not in self.isolated:
                     detector.on_period(self.now)
 
-    def set_ups(self, took, times=12):
-        """Each balancer in turn sets up at each server, by what it takes there."""
-        for turn in range(times):
-            for place, server in enumerate(self.fleet):
-                self.detectors[(turn + place) % len(self.detectors)].on_established(
-                    server, took(server), self.now
+    def set_up(self, duration, rounds=12):
+        """Lets the balancers in turn set up connections at each server, in `duration(server)` seconds."""
+        for round_number in range(rounds):
+            for index, server in enumerate(self.fleet):
+                self.detectors[(round_number + index) % len(self.detectors)].on_established(
+                    server, duration(server), self.now
                 )
             self.run(0.25)
 
@@ -63,53 +67,56 @@
         max_size=200,
     )
 )
-def test_records_come_back_within_a_step_and_in_datagrams_of_the_platforms_size(records):
-    told = list(aggregation.pack(aggregation.BROADCAST, records))
-    back = [record for data in told for record in aggregation.unpack(data)[1]]
-    assert all(len(data) <= 256 for data in told) and [r[:2] for r in back] == [r[:2] for r in records]
-    assert all(abs(got[2] - sent[2]) <= 0.05 * (1 + sent[2]) for got, sent in zip(back, records))
+def test_packed_records_are_within_a_step_and_datagrams_within_256_bytes(records):
+    datagrams = list(aggregation.pack(aggregation.BROADCAST, records))
+    unpacked = [record for data in datagrams for record in aggregation.unpack(data)[1]]
+    assert all(len(data) <= 256 for data in datagrams) and [r[:2] for r in unpacked] == [
+        r[:2] for r in records
+    ]
+    assert all(abs(got[2] - sent[2]) <= 0.05 * (1 + sent[2]) for got, sent in zip(unpacked, records))
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_of_a_peer_are_taken_or_left(data):
+def test_arbitrary_bytes_from_a_peer_raise_nothing(data):
     tier = Tier(2)
     tier.detectors[0].on_datagram(1, data, tier.now)
     tier.run(3)
 
 
-def test_all_learn_what_all_hold_also_when_datagrams_get_lost():
+def test_all_learn_totals_and_placements_despite_datagram_loss():
     tier = Tier(count=12, loss=0.1)
     for number, detector in enumerate(tier.detectors):
         detector.exchange.set_held(tier.fleet[number % 2].id_hash, 2, 9, 2)
-    right = {detector: [0, 0] for detector in tier.detectors}
-    for look in range(30):  # broadcasts may be lost in a row, and parts run out; none may stay without them
+    correct = {detector: [0, 0] for detector in tier.detectors}
+    # Several broadcasts in a row may be lost and reports may expire, but no balancer may stay without totals.
+    for check in range(30):
         tier.run(2)
         for detector in tier.detectors:
-            fill = detector.fleet_load(tier.fleet, tier.now)
-            sums_right = fill and all(9 <= fill[server] <= 12.5 for server in tier.fleet[:2])
-            right[detector][look // 15] += bool(
-                sums_right
-                and not fill[tier.fleet[2]]
+            load = detector.fleet_load(tier.fleet, tier.now)
+            totals_correct = load and all(9 <= load[server] <= 12.5 for server in tier.fleet[:2])
+            correct[detector][check // 15] += bool(
+                totals_correct
+                and not load[tier.fleet[2]]
                 and detector.holds_group(tier.fleet[0], 9, tier.now)
                 and not detector.holds_group(tier.fleet[3], 9, tier.now)
             )
-    assert all(min(halves) for halves in right.values())
+    assert all(min(halves) for halves in correct.values())
 
 
-def test_another_adds_up_when_the_aggregator_is_gone_and_what_that_one_held_is_forgotten():
+def test_another_candidate_replaces_a_lost_aggregator_and_drops_its_connections():
     tier = Tier()
     for detector in tier.detectors:
         detector.exchange.set_held(tier.fleet[0].id_hash, 2, 0, 0)
     tier.run(6)
     first = tier.detectors[5].exchange.aggregator
-    tier.cut.add(first)
+    tier.isolated.add(first)
     tier.run(25)
     assert tier.detectors[5].exchange.aggregator not in (None, first)
     assert round(tier.detectors[5].fleet_load(tier.fleet, tier.now)[tier.fleet[0]]) == 10
-    assert not tier.detectors[first].fleet_load(tier.fleet, tier.now + 60)  # it hears nobody
+    assert not tier.detectors[first].fleet_load(tier.fleet, tier.now + 60)  # isolated, it receives nothing
 
 
-def test_of_two_aggregators_one_falls_silent():
+def test_of_two_aggregators_the_one_with_the_higher_number_stops():
     tier = Tier()
     tier.run(3)
     tier.detectors[3].exchange.aggregator = 3
@@ -117,7 +124,7 @@
     assert {detector.exchange.aggregator for detector in tier.detectors} == {0}
 
 
-def test_two_servers_of_one_short_mark_are_known_by_nothing():
+def test_servers_that_share_a_short_id_are_left_out():
     tier = Tier()
     twin = model.Server(tier.fleet[0].id_hash + aggregation.SHORT_ID_MASK + 1)
     for detector in tier.detectors:
@@ -125,74 +132,75 @@
         detector.exchange.set_held(tier.fleet[0].id_hash, 9, 0, 0)
         detector.exchange.set_held(tier.fleet[1].id_hash, 1, 0, 0)
     tier.run(10)
-    told = tier.detectors[4].exchange.totals
+    totals = tier.detectors[4].exchange.totals
     assert (
-        tier.fleet[1].id_hash & aggregation.SHORT_ID_MASK in told
-        and tier.fleet[0].id_hash & aggregation.SHORT_ID_MASK not in told
+        tier.fleet[1].id_hash & aggregation.SHORT_ID_MASK in totals
+        and tier.fleet[0].id_hash & aggregation.SHORT_ID_MASK not in totals
     )
 
 
-def test_a_server_that_never_says_it_is_late_is_found_out_by_who_saw_nothing_of_it():
+def test_slow_setups_at_a_silent_server_are_reported_to_all_balancers():
     tier = Tier(count=12)
     tier.run(3)
-    drowned = tier.fleet[2]
-    tier.set_ups(lambda server: 0.02 + 0.15 * (server is drowned))
-    assert {server for _, server, _ in tier.late} == {drowned}
-    assert {by for by, _, _ in tier.late} == set(range(12))  # also those that set up nothing there
+    overloaded = tier.fleet[2]
+    tier.set_up(lambda server: 0.02 + 0.15 * (server is overloaded))
+    assert {server for _, server, _ in tier.reported} == {overloaded}
+    assert {by for by, _, _ in tier.reported} == set(range(12))  # also those that set up nothing there
 
 
-def test_a_slow_session_store_shuts_no_server():
+def test_a_slow_session_store_makes_no_server_overloaded():
     tier = Tier(count=12)
     tier.run(3)
-    tier.set_ups(lambda server: 0.02)
-    tier.set_ups(lambda server: 0.2, times=8)
-    tier.late.clear()  # the first second may be taken for single servers
-    tier.set_ups(lambda server: 0.2)
-    assert not tier.late
+    tier.set_up(lambda server: 0.02)
+    tier.set_up(lambda server: 0.2, rounds=8)
+    tier.reported.clear()  # some may be reported before the baseline has risen
+    tier.set_up(lambda server: 0.2)
+    assert not tier.reported
 
 
-def test_a_fleet_of_which_all_is_overloaded_is_known_by_resets():
+def test_resets_show_that_all_servers_are_overloaded():
     tier = Tier(count=12)
     tier.run(3)
-    for turn in range(6):
-        for place, server in enumerate(tier.fleet):
-            tier.detectors[(turn + place) % 12].on_reset(server, tier.now)
+    for round_number in range(6):
+        for index, server in enumerate(tier.fleet):
+            tier.detectors[(round_number + index) % 12].on_reset(server, tier.now)
         tier.run(0.5)
-    assert {server for _, server, _ in tier.late} == set(tier.fleet)
+    assert {server for _, server, _ in tier.reported} == set(tier.fleet)
 
 
-def test_one_reset_or_one_long_set_up_shuts_nothing():
+def test_one_reset_or_one_long_setup_reports_no_server():
     tier = Tier(count=12)
     tier.run(3)
-    tier.set_ups(lambda server: 0.02, times=4)
+    tier.set_up(lambda server: 0.02, rounds=4)
     tier.detectors[4].on_reset(tier.fleet[1], tier.now)
     tier.detectors[5].on_established(tier.fleet[2], 0.07, tier.now)
     tier.run(2)
-    assert not tier.late
+    assert not tier.reported
 
 
-def test_notices_go_before_what_set_ups_show_and_it_counts_again_when_they_stop():
+def test_server_notices_take_precedence_over_setups_until_they_stop():
     tier = Tier(count=4)
     tier.run(3)
-    for detector in tier.detectors[:2]:  # they come to half of the balancers
+    for detector in tier.detectors[:2]:  # half of the balancers receive notices
         detector.last_server_notice = tier.now
-    took = lambda server: 0.02 + 0.2 * (server is tier.fleet[0])  # noqa: E731
-    tier.set_ups(took)
-    assert {by for by, _, _ in tier.late} == {2, 3}
+    duration = lambda server: 0.02 + 0.2 * (server is tier.fleet[0])  # noqa: E731
+    tier.set_up(duration)
+    assert {by for by, _, _ in tier.reported} == {2, 3}
     tier.run(30)
-    tier.set_ups(took)
-    assert {by for by, _, _ in tier.late} == {0, 1, 2, 3}
+    tier.set_up(duration)
+    assert {by for by, _, _ in tier.reported} == {0, 1, 2, 3}
 
 
 def balancer(number=3, peers=200):
-    """One that has heard the aggregator once, before ten servers."""
+    """A balancer with ten servers that has received one broadcast."""
     bench = Bench(settings(peers=peers, number=number, may_publish=True))
     fleet = bench.fleet(*[0] * 10)
     bench.balancer.on_datagram(0, next(aggregation.pack(aggregation.BROADCAST, [])))
     return bench, fleet
 
 
-def held(fleet, counts):
+def broadcast_totals(fleet, counts):
+    """A broadcast of the connections that all balancers hold at each server."""
     return next(
         aggregation.pack(
             aggregation.BROADCAST,
@@ -201,19 +209,19 @@
     )
 
 
-def test_a_server_far_over_what_others_hold_is_passed_over_by_one_that_holds_nothing():
+def test_a_balancer_without_connections_avoids_a_server_with_a_far_higher_total():
     bench, fleet = balancer()
-    bench.balancer.on_datagram(0, held(fleet, [60] + [10] * 9))
+    bench.balancer.on_datagram(0, broadcast_totals(fleet, [60] + [10] * 9))
     for _ in range(100):
         bench.call()
         bench.now += 0.5
-        bench.balancer.on_datagram(0, held(fleet, [60] + [10] * 9))
+        bench.balancer.on_datagram(0, broadcast_totals(fleet, [60] + [10] * 9))
     assert len(bench.sent) >= 90 and fleet[0] not in [leg.server for leg, _ in bench.sent]
 
 
-def test_a_group_goes_where_others_have_it():
+def test_a_group_goes_to_the_server_where_others_have_placed_it():
     bench, fleet = balancer()
-    bench.balancer.on_datagram(0, held(fleet, [10] * 10))
+    bench.balancer.on_datagram(0, broadcast_totals(fleet, [10] * 10))
     home = fleet[7]
     bench.balancer.on_datagram(
         0,
@@ -226,11 +234,11 @@
     for _ in range(20):
         bench.call(group=41)
         bench.now += 3
-        bench.balancer.on_datagram(0, held(fleet, [10] * 10))
+        bench.balancer.on_datagram(0, broadcast_totals(fleet, [10] * 10))
     assert {leg.server for leg, _ in bench.sent} == {home}
 
 
-def test_a_broadcast_of_lateness_shuts_the_server_for_one_that_sees_it_once_in_ten_seconds():
+def test_a_broadcast_of_lateness_excludes_the_server_at_a_balancer_that_rarely_uses_it():
     bench, fleet = balancer()
     late = next(aggregation.pack(aggregation.BROADCAST, [(aggregation.LATENESS, fleet[4].id_hash, 0.8)]))
     for _ in range(20):
@@ -240,7 +248,7 @@
     assert bench.sent and fleet[4] not in [leg.server for leg, _ in bench.sent]
 
 
-def test_a_jam_does_not_shut_out_all_spills_of_one_that_holds_a_connection():
+def test_fleet_overload_still_lets_a_balancer_with_one_connection_use_other_zones():
     bench, fleet = balancer()
     leg = bench.call().legs[0]
     bench.establish(leg)
@@ -255,7 +263,7 @@
     assert bench.balancer.zone.limit > 2
 
 
-def test_broadcasts_of_servers_that_no_list_names_count_for_nothing():
+def test_broadcasts_about_unlisted_servers_are_ignored():
     bench, fleet = balancer()
     bench.balancer.on_datagram(
         0,
@@ -268,11 +276,13 @@
     assert not bench.balancer.overload.exchange.totals and len(bench.balancer.fleet) == 10
 
 
-def test_a_server_told_late_stays_shut_for_the_process_that_takes_over():
-    first, after = (Accounting(settings(), 7, 100.0, lambda *_: Bench(settings()).balancer) for _ in range(2))
-    for books in first, after:
-        books.apply_entries([(5, model.READY, 0, 0, 1.0, 0.0, 0)], True)
-    first.balancer.selection.record_delay(first.servers[5], 0.8)
-    after.import_learned(first.export_learned())
-    after.balancer.host.now += 1
-    assert after.balancer.avoids(after.servers[5])
+def test_a_server_reported_late_stays_excluded_after_a_hot_restart():
+    previous, successor = (
+        Accounting(settings(), 7, 100.0, lambda *_: Bench(settings()).balancer) for _ in range(2)
+    )
+    for accounting in previous, successor:
+        accounting.apply_entries([(5, model.READY, 0, 0, 1.0, 0.0, 0)], True)
+    previous.balancer.selection.record_delay(previous.servers[5], 0.8)
+    successor.import_learned(previous.export_learned())
+    successor.balancer.host.now += 1
+    assert successor.balancer.avoids(successor.servers[5])
