--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -26,7 +26,7 @@
 
 
 class VotelessGossip(Gossip):
-    """Counts no votes, to save time: of hundreds of balancers with the same traffic some are enough to count."""
+    """Counts no votes, to save time: its traffic is the same, and it suffices that some balancers count."""
 
     def add_vote(self, short_id, peer, share, now): ...
 
@@ -537,7 +537,7 @@
 
 
 def test_an_overloaded_server_is_reported_to_balancers_without_own_setups():
-    """Ten of twelve balancers set up connections at ten servers, slowly at one; two only receive datagrams."""
+    """Ten balancers set up connections at ten servers, slowly at one; two others only receive datagrams."""
     now, reported, detectors = [100.0], [], []
     fleet = [model.Server(number * 77 + 5) for number in range(10)]
 
