--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,8 +1,8 @@
-"""Membership among balancers on a played network: who is taken for alive, through loss, cuts and restarts."""
+"""The membership protocol on a simulated network with loss, partitions and restarts."""
 
 import pytest
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from bellrack.lab.agenda import RESULT, START, TIMER, Agenda
 from bellrack.lab.chance import Chance
@@ -24,12 +24,12 @@
 
 
 class Tier:
-    """Balancers that speak of each other over a network with loss, delay and cuts."""
+    """Members that exchange datagrams over a network with loss, delay and partitions."""
 
     def __init__(self, count, seed=1, loss=0.0, delay=(0.001, 0.016)):
         self.agenda, self.chance = Agenda(), Chance(seed)
         self.loss, self.delay = loss, list(delay)
-        self.cut = lambda sender, receiver: False
+        self.is_cut = lambda sender, receiver: False
         self.sent = [0] * count
         self.bytes = [0] * count
         self.largest = 0
@@ -61,12 +61,12 @@
         self.sent[sender] += 1
         self.bytes[sender] += len(data)
         self.largest = max(self.largest, len(data))
-        net = self.chance["net"]
-        wait, lost = net.between(self.delay), net.hit(self.loss)
-        if not lost and not self.cut(sender, receiver):
-            self.agenda.after(wait, RESULT, self.arrives, sender, receiver, data)
+        stream = self.chance["net"]
+        delay, lost = stream.between(self.delay), stream.hit(self.loss)
+        if not lost and not self.is_cut(sender, receiver):
+            self.agenda.after(delay, RESULT, self.deliver, sender, receiver, data)
 
-    def arrives(self, sender, receiver, data):
+    def deliver(self, sender, receiver, data):
         if self.nodes[receiver]:
             self.nodes[receiver].on_datagram(self.agenda.now, sender, unpack(data))
 
@@ -77,31 +77,32 @@
         self.agenda.run(self.agenda.now + seconds)
         return self
 
-    def views(self, of):
-        """What those who are there believe of one member."""
-        there = [node for node in self.nodes if node and not node.left and node.own != of]
-        return [node.members[of].status for node in there]
+    def statuses(self, number):
+        """The status of one member in the view of each other running one."""
+        others = [node for node in self.nodes if node and not node.left and node.own != number]
+        return [node.members[number].status for node in others]
 
     def agree(self):
-        """Everyone takes those for alive that are, and no one else."""
-        up = [number for number, node in enumerate(self.nodes) if node and not node.left]
-        taken = [
-            {member.number for member in self.nodes[one].members if member.status == ALIVE} for one in up
+        """Whether all running members know exactly the running ones as alive."""
+        running = [number for number, node in enumerate(self.nodes) if node and not node.left]
+        views = [
+            {member.number for member in self.nodes[number].members if member.status == ALIVE}
+            for number in running
         ]
-        return all(one == set(up) for one in taken)
+        return all(view == set(running) for view in views)
 
     def deaths(self):
         return [change for node in self.nodes if node for change in node.changes if change.status == DEAD]
 
 
 @pytest.mark.parametrize("count", [2, 3, 20, 90])
-def test_all_know_of_all_and_nobody_dies_without_loss(count):
+def test_without_loss_all_members_are_alive_and_none_is_declared_dead(count):
     tier = Tier(count).run(60)
     assert tier.agree() and not tier.deaths()
 
 
 @pytest.mark.parametrize("count", [2, 90])
-def test_what_a_balancer_sends_is_bounded_whatever_the_tier(count):
+def test_datagrams_sent_are_bounded_at_any_tier_size(count):
     tier = Tier(count).run(30)
     before = list(tier.sent)
     tier.run(60)
@@ -109,12 +110,12 @@
     assert tier.largest <= MAX_BYTES
 
 
-def test_a_dead_balancer_is_found_by_all_and_one_that_leaves_is_suspected_by_none():
+def test_a_killed_balancer_is_dead_for_all_and_a_leaving_one_is_never_suspected():
     tier = Tier(20).run(20)
     tier.kill(7)
     tier.nodes[3].leave()
     tier.run(30)
-    assert set(tier.views(7)) == {DEAD} and set(tier.views(3)) == {LEFT}
+    assert set(tier.statuses(7)) == {DEAD} and set(tier.statuses(3)) == {LEFT}
     assert not any(
         change.member == 3 and change.status not in (ALIVE, LEFT)
         for node in tier.nodes
@@ -123,54 +124,54 @@
     )
 
 
-def test_kill_and_start_under_the_same_name_within_200_ms():
+def test_a_restart_within_200_ms_is_recorded_without_a_death():
     tier = Tier(20).run(20)
     tier.kill(7)
     tier.run(0.2)
     tier.start(7)
     tier.run(10)
     assert tier.agree() and not tier.deaths()
-    lives = {node.members[7].start_id for node in tier.nodes}
-    assert lives == {tier.nodes[7].start_id}
+    start_ids = {node.members[7].start_id for node in tier.nodes}
+    assert start_ids == {tier.nodes[7].start_id}
     others = [node for node in tier.nodes if node.own != 7]
     assert all(any(change.why == "restarted" for change in node.changes) for node in others)
 
 
-def test_a_tier_cut_in_two_finds_itself_again():
+def test_a_partitioned_tier_joins_again():
     tier = Tier(12).run(20)
-    tier.cut = lambda sender, receiver: (sender < 6) != (receiver < 6)
+    tier.is_cut = lambda sender, receiver: (sender < 6) != (receiver < 6)
     tier.run(40)
-    assert not tier.agree() and set(tier.views(0)) == {ALIVE, DEAD}
-    tier.cut = lambda sender, receiver: False
+    assert not tier.agree() and set(tier.statuses(0)) == {ALIVE, DEAD}
+    tier.is_cut = lambda sender, receiver: False
     assert tier.run(30).agree()
 
 
-def test_a_cut_in_one_direction_and_its_healing():
+def test_a_tier_recovers_from_a_partition_in_one_direction():
     tier = Tier(12).run(20)
-    tier.cut = lambda sender, receiver: sender < 3 and receiver >= 3
+    tier.is_cut = lambda sender, receiver: sender < 3 and receiver >= 3
     tier.run(40)
-    tier.cut = lambda sender, receiver: False
+    tier.is_cut = lambda sender, receiver: False
     assert tier.run(40).agree()
 
 
-def test_one_that_cannot_reach_one_other_is_helped_by_the_rest():
+def test_indirect_probes_replace_one_broken_path():
     tier = Tier(8).run(20)
-    tier.cut = lambda sender, receiver: {sender, receiver} == {1, 2}
+    tier.is_cut = lambda sender, receiver: {sender, receiver} == {1, 2}
     tier.run(60)
     assert tier.agree() and not tier.deaths()
 
 
-def test_an_old_datagram_that_comes_late_raises_nobody():
+def test_a_late_old_datagram_leaves_a_dead_member_dead():
     tier = Tier(4).run(10)
     old = Datagram(PING, 2, tier.nodes[2].start_id, tier.nodes[2].incarnation)
     tier.kill(2)
     tier.run(40)
-    assert tier.views(2) == [DEAD] * 3
+    assert tier.statuses(2) == [DEAD] * 3
     tier.nodes[0].on_datagram(tier.agenda.now, 2, old)
     assert tier.nodes[0].members[2].status == DEAD
 
 
-def test_all_restarted_in_turn_and_all_at_once():
+def test_members_agree_after_rolling_and_simultaneous_restarts():
     tier = Tier(10).run(10)
     for number in range(10):
         tier.kill(number)
@@ -185,13 +186,13 @@
     assert tier.run(30).agree()
 
 
-def test_loss_of_30_percent_with_100_ms_of_jitter_leaves_agreement():
+def test_members_agree_after_30_percent_loss_with_100_ms_of_jitter():
     tier = Tier(20, loss=0.3, delay=(0.001, 0.101)).run(120)
     tier.loss = 0.0
     assert tier.run(30).agree()
 
 
-def test_two_processes_with_one_name_are_told_and_do_not_outshout_each_other_for_ever():
+def test_two_processes_with_one_number_are_recorded_and_refute_at_a_bounded_rate():
     tier = Tier(4).run(10)
     node = tier.nodes[1]
     for _ in range(50):
@@ -204,7 +205,7 @@
     assert node.incarnation < 20
 
 
-def test_a_flood_of_questions_is_answered_within_its_bound():
+def test_a_flood_of_pings_is_answered_up_to_the_limit():
     tier = Tier(3).run(10)
     tier.sent[0] = 0
     for sequence in range(1000):
@@ -212,7 +213,7 @@
     assert tier.sent[0] <= membership.MAX_ANSWERS
 
 
-def test_who_speaks_for_another_is_not_heard():
+def test_datagrams_in_the_name_of_another_member_are_ignored():
     tier = Tier(3).run(10)
     tier.nodes[0].on_datagram(tier.agenda.now, 1, Datagram(PING, 2, 77, 99))
     tier.nodes[0].on_datagram(tier.agenda.now, 9, Datagram(PING, 9, 77, 99))
@@ -224,26 +225,26 @@
     assert tier.nodes[0].members[2].incarnation < 99 and tier.run(5).agree() and tier.agenda.now > START
 
 
-short, long = some.integers(0, 0xFFFF), some.integers(0, 0xFFFFFFFF)
-updates = some.builds(MemberUpdate, short, some.integers(0, 3), long, long)
-messages = some.builds(
-    Datagram, some.integers(1, 4), short, long, long, long, short, some.lists(updates, max_size=20).map(tuple)
+u16, u32 = st.integers(0, 0xFFFF), st.integers(0, 0xFFFFFFFF)
+updates = st.builds(MemberUpdate, u16, st.integers(0, 3), u32, u32)
+messages = st.builds(
+    Datagram, st.integers(1, 4), u16, u32, u32, u32, u16, st.lists(updates, max_size=20).map(tuple)
 )
 
 
 @given(messages)
-def test_what_is_packed_is_what_is_unpacked(message):
+def test_unpacking_returns_what_was_packed(message):
     assert unpack(pack(message)) == message and len(pack(message)) <= MAX_BYTES
 
 
 @settings(max_examples=300)
 @given(
-    some.binary(max_size=300)
-    | some.tuples(messages, some.integers(0, 255), some.binary(min_size=1, max_size=3)).map(
+    st.binary(max_size=300)
+    | st.tuples(messages, st.integers(0, 255), st.binary(min_size=1, max_size=3)).map(
         lambda parts: pack(parts[0])[: parts[1]] + parts[2]
     )
 )
-def test_bytes_from_anywhere_are_a_datagram_or_an_error_with_a_reason(data):
+def test_arbitrary_bytes_are_a_datagram_or_an_error_with_a_reason(data):
     try:
         assert pack(unpack(data)) == data
     except DatagramError as error:
