--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -101,8 +101,7 @@
 class Aggregation:
     """One balancer's part in the aggregation, and the aggregator's state if it has the role.
 
-    `send(peer, data)` is called with each datagram for a peer, or for all if `peer` is None. Times are in
-    seconds.
+    `send(peer, data)` is called with each datagram for a peer, or for all if `peer` is None.
     """
 
     id_mask = SHORT_ID_MASK  # of the hashed identifiers of servers
@@ -117,15 +116,15 @@
         self.last_broadcast = -math.inf
         self.published_baseline: float | None = None  # seconds of a set-up at a server that is not late
         self.totals: dict[int, tuple[float, float]] = {}  # as published, by short id: connections, when
-        self.reports: dict[
-            int, dict[int, tuple[float, float]]
-        ] = {}  # at the aggregator; by id, then balancer
+        # At the aggregator, by short id and balancer: connections, and when reported.
+        self.reports: dict[int, dict[int, tuple[float, float]]] = {}
         self.pending_lateness: dict[int, float] = {}  # at the aggregator: by short id, for the next broadcast
         self.last_published = -math.inf  # by this balancer as the aggregator
         self.own_pairs: dict[tuple[int, int], int] = {}  # own connections by short id and group
-        self.placements: dict[tuple[int, int], float] = {}  # of groups, as published, and when
+        self.placements: dict[tuple[int, int], float] = {}  # by short id and group: when published
         self.repeat_queue: list[tuple[int, int]] = []  # at the aggregator: placements to publish again
-        self.reported_pairs: dict[int, tuple[float, set[tuple[int, int]]]] = {}  # at the aggregator
+        # At the aggregator, by balancer: when reported, and the pairs of short id and group.
+        self.reported_pairs: dict[int, tuple[float, set[tuple[int, int]]]] = {}
 
     def on_servers_listed(self, servers: dict[int, object], zone: int) -> None:
         """Does nothing: the servers of all zones are added up."""
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -108,7 +108,7 @@
 
     id_mask = ID_MASK  # of the hashed identifiers of servers
     cache_seconds = 1.0  # for which a computed fleet load may be used again
-    aggregator = published_baseline = None  # there is none in a large tier
+    aggregator = published_baseline = None  # a large tier has none
 
     def __init__(
         self,
@@ -125,10 +125,10 @@
         self.held: dict[int, int] = {}  # own connections by short id
         self.held_in_zone = 0  # own connections at the servers of the zone
         self.new_peer: int | None = None  # gets the next datagram, so that both peers know each other
-        self.sampled_peers: dict[int, tuple[float, int]] = {}  # when last heard, what it holds; latest last
+        self.sampled_peers: dict[int, tuple[float, int]] = {}  # last datagram, what it holds; latest last
         self.votes: dict[int, dict[int, tuple[float, float]]] = {}  # by short id and peer: share, when
-        self.own_lateness: dict[int, tuple[float, int]] = {}  # as seen here; sends that are left
-        self.peer_lateness: dict[int, tuple[float, float, int]] = {}  # as received: mean, when, last peer
+        self.own_lateness: dict[int, tuple[float, int]] = {}  # by short id: seen here, sends left
+        self.peer_lateness: dict[int, tuple[float, float, int]] = {}  # received: mean, when, last peer
         self.own_baseline = math.inf
         self.last_sent = self.last_received = -math.inf
         self.received = 0  # datagrams in this period
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -1,5 +1,4 @@
-"""Detects overloaded servers from the set-ups and resets of all balancers, and estimates the load of each
-server.
+"""Detects overloaded servers by the set-ups and resets of all balancers; estimates the load of each server.
 
 A set-up, the exchange that establishes a connection, queues behind the messages that wait at its server. Its
 duration above the baseline therefore shows how late the server's messages are. The baseline is taken over all
@@ -27,7 +26,7 @@
 # Lateness is measured as a share of the shortest message aim.
 RECENT_SETUPS = 24  # number of set-ups from which the baseline is taken
 RECENT_SETUP_SECONDS = 4.0  # older set-ups no longer count for the baseline
-BASELINE_QUANTILE = 0.4
+BASELINE_QUANTILE = 0.4  # of the durations of recent set-ups
 MIN_BASELINE_SETUPS = 4  # with fewer, the baseline is half the shortest message aim
 SIGN_MEMORY_SECONDS = 4.0  # a sign is averaged with the server's previous one unless that is older
 OVERLOAD_LATENESS = 0.5  # a server counts as overloaded from here on
@@ -66,9 +65,7 @@
         self.cached_load: tuple[float, dict[Server, float]] = -math.inf, {}  # when computed, and the result
         self.servers: dict[int, Server | None] = {}  # by short id; None if two servers share it
         self.setups: deque[tuple[float, float]] = deque(maxlen=RECENT_SETUPS)  # time and duration
-        self.lateness: dict[
-            int, tuple[float, float]
-        ] = {}  # by id hash: recent lateness, time of the last sign
+        self.lateness: dict[int, tuple[float, float]] = {}  # by id hash: recent lateness, and when updated
         self.published: dict[int, tuple[float, float]] = {}  # by id hash: lateness last published, and when
         self.last_server_notice = -math.inf  # when a server last reported late messages itself
         self.verdicts = 0  # times that a server was found overloaded without its own report
