--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -94,8 +94,9 @@
             },
         }
 
-    def import_learned(self, learned: dict[str, Any], later: float = 0.0) -> None:
-        """Begin with what another instance had learned. Values of another form are left. `later`: seconds by
+    def import_learned(self, learned: dict[str, Any], clock_ahead: float = 0.0) -> None:
+        """Begin with what another instance had learned. Values of another form are left. `clock_ahead`:
+        seconds by
         which our clock is ahead of the one that it was told by."""
         bears = learned.get("bears")
         if isinstance(bears, float | int):
@@ -104,7 +105,7 @@
             server = self.servers.get(int(mark))
             for name, attribute in LEARNED.items() if server else ():
                 if type(values.get(name)) in (int, float):
-                    shift = later if name in TIMES else 0
+                    shift = clock_ahead if name in TIMES else 0
                     setattr(server.local_state, attribute, values[name] + shift)
 
     def may_move_later(self, leg: Leg) -> None:
--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -432,7 +432,7 @@
             and self.host.now - server.local_state.delay_reported_at <= server.local_state.delay_valid_for
         )
 
-    def update_overload_shares(self) -> None:
+    def update_overload_counts(self) -> None:
         """Count, by zone, the servers of which we would be told: those with late messages and all."""
         for seen in self.balancer.seen.values():
             seen[0], seen[1] = seen[0] / 2, seen[1] / 2
@@ -750,7 +750,7 @@
             self.host.set_timer(
                 self.host.now + REBALANCE_INTERVAL_SECONDS, "rebalance"
             )  # first: a fault in one look ends no other
-            self.selection.update_overload_shares()
+            self.selection.update_overload_counts()
             self.zone.limit_fleet_overload()
             self.zone.rebalance()
         elif what == "publish":
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -114,7 +114,7 @@
         for mark, values in learned.get("servers", {}).items()
         if same_start(node.servers.get(int(mark)), stamps.get(mark))
     }
-    node.import_learned(learned, later=node.hot_restart.clock_ahead)
+    node.import_learned(learned, clock_ahead=node.hot_restart.clock_ahead)
 
 
 def same_start(server: Any, stamp: float | None) -> bool:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -258,7 +258,7 @@
             server.local_state.delay_reported_at,
             server.local_state.delay_valid_for,
         ) = 0.7, bench.now, 1.5
-    bench.balancer.selection.update_overload_shares()
+    bench.balancer.selection.update_overload_counts()
     bench.balancer.zone.limit_fleet_overload()
     assert bench.balancer.zone.limit > 2
 
