--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -1,11 +1,9 @@
-"""All decisions of bellrack, and all its settings.
-
-A host makes one Balancer(settings, seed, host) for each instance and tells it what happens through the
-methods named in bellrack/model.py, where the interface and the types are; the balancer acts through the Host
-it was given.
-A call runs down the chain of AnswerStage, ListedStage, EffectStage, ZoneStage and SelectionStage;
-what becomes of its leg runs back
-up. SlowStart is asked by ZoneStage which servers may take one more.
+"""All decisions of bellrack, and their constants.
+
+A host makes one `Balancer(settings, seed, host)` per instance and reports events to it through the methods
+that bellrack/model.py lists, with the interface and the types. The balancer acts through its `Host`. A call
+passes down the chain of AnswerStage, ListedStage, EffectStage, ZoneStage and SelectionStage; the results of
+its legs pass back up. SlowStart decides which cold servers accept one more set-up.
 """
 
 from __future__ import annotations
@@ -19,98 +17,65 @@
 from bellrack.peers.overload import OverloadDetector
 from bellrack.rng import Rng, lcg_step
 
-SPILLOVER_RATIO = 0.5  # least healthy share of our zone that keeps new connections in it
-UNHEALTHY_AFTER_FAILURES, UNHEALTHY_SECONDS = (
-    3,
-    5.0,
-)  # in a row mark a server unhealthy; seconds that the mark holds
-MIN_FAILURE_WEIGHT, WEIGHT_REGAIN = (
-    0.05,
-    0.1,
-)  # least weight that failures leave; weight that a connection that stands adds
-SETUP_FAILURE_SECONDS = 2.0  # a connection dropped within this many seconds of standing was a failed set-up
-OVERLOAD_DELAY_RATIO = (
-    0.5  # a message delay of this share of the shortest message aim closes a server to new connections
-)
-NOTICE_VALID_SECONDS, OBSERVATION_VALID_SECONDS = (
-    1.5,
-    3.0,
-)  # seconds that one notice of delay holds; that other signs of it do
-LIMIT_SHARE, RESET_LIMIT_SHARE = (
-    0.95,
-    0.6,
-)  # of what a swamped server held then; where none says so before it resets
-LIMIT_GROWTH_PER_SECOND, FLEET_LIMIT_SHARE = (
-    0.03,
-    0.9,
-)  # regrown a second; of all held, each second that zones are not calm
-MIN_MEASURABLE_LEGS = 8  # own connections, of which a share measures nothing where that of all is known
-LIMIT_CUT_INTERVAL_SECONDS = 0.9  # seconds between cuts of a ceiling
-MOVE_SHARE, MAX_MOVE_FACTOR = (
-    0.15,
-    4.0,
-)  # of own connections moved at a late notice; most times that, by delay
-REBALANCE_INTERVAL_SECONDS, REBALANCE_SHARE = (
-    1.0,
-    0.05,
-)  # seconds between looks at connections that cross zones; share called home
-CALM_AFTER_SECONDS = 5.0  # seconds since the last late message make a server calm
-MAX_CANDIDATES_TRIED, MAX_GROUP_CANDIDATES_UNSEEN = (
-    3,
-    1,
-)  # servers, in the order of a call's lots, asked for room; for a group, if blind
-GROUP_HOLDERS_TIME_SHARE, GROUP_HOLDER_LEGS = (
-    0.5,
-    2,
-)  # of the setup target only holders of its group are asked; connections make one
-MAX_LOAD_OVER_MEAN = 1.25  # a server this far over the mean of open load is passed over
-MAX_ANSWER_MARGIN_SHARE = 0.25  # of a call's wait, at most, is kept for the answer's way
-PACE_SHARE_PER_SECOND, MIN_PACE_PER_SECOND = (
-    0.5,
-    8.0,
-)  # legs a second to a warm server: share of what it holds; never held back
-SLOW_START_FACTOR, RUSH_FACTOR = (
-    2.0,
-    1.5,
-)  # a cold server's fill over an even one, at most; a rush's calls, by what is usual
-ASSUMED_CONNECTIONS_PER_CAPACITY = (
-    12.0  # open connections by listed size, of all balancers, that a server bears for sure
-)
-REPORT_VALID_SECONDS, FULL_REPORT_VALID_SECONDS, PROBE_WAIT_SECONDS = (
-    1.0,
-    2.0,
-    0.1,
-)  # seconds: a report stands, a full one, a call waits for it
-FULL_LOAD, FULL_LOAD_STEP = (
-    0.9,
-    0.2,
-)  # of what a server can do, it takes nothing new; less at each further lot
-PUBLISH_INTERVAL_SECONDS, CACHE_SECONDS = (
-    0.5,
-    0.1,
-)  # seconds between words to other balancers; for which sums are used again
-CORDON_MOVE_INTERVAL_SECONDS, CORDON_MOVE_SHARE = (
-    0.1,
-    0.2,
-)  # seconds between moves off a server out by hand; share moved
-QUEUE_INTERVAL_SECONDS, MAX_QUEUE_TRIES = (
-    0.05,
-    24,
-)  # seconds between looks at kept calls; how many may be tried in vain at one
-RETRY_AFTER_SHARE, QUEUE_TIME_SHARE = (
-    1 / 3,
-    0.8,
-)  # of the longest wait that clients honour; of the setup target, kept
+SPILLOVER_RATIO = 0.5  # least share of healthy servers in our zone that keeps new connections in the zone
+UNHEALTHY_AFTER_FAILURES = 3  # in a row
+UNHEALTHY_SECONDS = 5.0  # how long a server then counts as unhealthy
+MIN_FAILURE_WEIGHT = 0.05  # failures lower a server's weight to no less
+WEIGHT_REGAIN = 0.1  # weight that an established connection restores
+SETUP_FAILURE_SECONDS = 2.0  # a connection that breaks sooner counts as a failed set-up
+# Message delay, over the shortest message aim, from which on a server gets no new connections.
+OVERLOAD_DELAY_RATIO = 0.5
+NOTICE_VALID_SECONDS = 1.5  # for a server's own notice of message delay
+OBSERVATION_VALID_SECONDS = 3.0  # for other signs of message delay
+LIMIT_SHARE = 0.95  # of the legs that an overloaded server held: its new limit
+RESET_LIMIT_SHARE = 0.6  # the same where nobody reports load, so that a reset is the first sign of overload
+LIMIT_GROWTH_PER_SECOND = 0.03  # share of a limit
+FLEET_LIMIT_SHARE = 0.9  # of all own legs: their new limit, each second in which the zones are overloaded
+# Where the load of all balancers is known, fewer own legs than this are no measure of the fleet's load.
+MIN_MEASURABLE_LEGS = 8
+LIMIT_CUT_INTERVAL_SECONDS = 0.9  # between cuts of a server's limit
+MOVE_SHARE = 0.15  # of own connections at a server that are moved for each notice of late messages
+MAX_MOVE_FACTOR = 4.0  # MOVE_SHARE grows with the delay, up to this many times
+REBALANCE_INTERVAL_SECONDS = 1.0  # between checks for connections that cross zones
+REBALANCE_SHARE = 0.05  # of these connections, moved back at each check
+CALM_AFTER_SECONDS = 5.0  # without a report of late messages
+MAX_CANDIDATES_TRIED = 3  # servers that a call tries for room, in the order of their scores
+MAX_GROUP_CANDIDATES_UNSEEN = 1  # the same for a call with a group, if the load of other balancers is unseen
+GROUP_HOLDERS_TIME_SHARE = 0.5  # of the setup target, in which only holders of the call's group are tried
+GROUP_HOLDER_LEGS = 2  # legs of a group that make a server a holder of it
+MAX_LOAD_OVER_MEAN = 1.25  # servers above this multiple of the mean load are passed over
+MAX_ANSWER_MARGIN_SHARE = 0.25  # of a call's wait, kept at most for sending its answer
+PACE_SHARE_PER_SECOND = 0.5  # of the legs that a warm server holds: its new legs
+MIN_PACE_PER_SECOND = 8.0  # new legs of a warm server, over all balancers, that are never delayed
+SLOW_START_FACTOR = 2.0  # pace of set-ups at a cold server over one that fills it evenly, at most
+RUSH_FACTOR = 1.5  # calls of a rush, over the baseline load of a server
+# Open connections per unit of listed capacity, over all balancers, that any server can carry.
+ASSUMED_CONNECTIONS_PER_CAPACITY = 12.0
+REPORT_VALID_SECONDS = 1.0
+FULL_REPORT_VALID_SECONDS = 2.0  # for a report of at least FULL_LOAD
+PROBE_WAIT_SECONDS = 0.1  # for which a call waits for a report
+FULL_LOAD = 0.9  # reported load from which on a server gets nothing new
+FULL_LOAD_STEP = 0.2  # by which FULL_LOAD is less for each further candidate
+PUBLISH_INTERVAL_SECONDS = 0.5  # between messages to other balancers
+CACHE_SECONDS = 0.1  # for which computed sums are used again
+CORDON_MOVE_INTERVAL_SECONDS = 0.1  # between moves of connections off a cordoned server
+CORDON_MOVE_SHARE = 0.2  # of its connections, moved each time
+QUEUE_INTERVAL_SECONDS = 0.05  # between checks of queued calls
+MAX_QUEUE_TRIES = 24  # queued calls that one check may try in vain
+RETRY_AFTER_SHARE = 1 / 3  # of the longest retry delay that clients honour: the delay that rejects name
+QUEUE_TIME_SHARE = 0.8  # of the setup target, for which a call is queued
 
 
 class AnswerStage(Stage):
-    """Rule 1: each call gets one final answer by its guard time, and nothing after it."""
+    """Rule 1: each call gets one final answer by its deadline, and nothing after it."""
 
     def on_call(self, call: Call) -> None:
+        """Places a new call, and sets the timer for its last possible answer."""
         self.host.set_timer(self.answer_by(call), call)
         self.handle(call)
 
     def handle(self, call: Call) -> None:
+        """Passes the call on unless its attempts or its time are used up."""
         if call.done:
             return
         if len(call.legs) >= self.settings.max_legs:
@@ -121,17 +86,18 @@
             self.next.handle(call)
 
     def answer_by(self, call: Call) -> float:
+        """Returns when the answer has to be sent to reach the client by the deadline."""
         return call.deadline - min(
             self.settings.answer_margin, MAX_ANSWER_MARGIN_SHARE * (call.deadline - call.arrived)
         )
 
-    def due(self, call: Call) -> None:
-        """The guard time is near: answer whatever is still owed."""
+    def on_deadline(self, call: Call) -> None:
+        """Gives up the call if it is still unanswered."""
         if not call.done and not any(leg.established for leg in call.legs):
             self.give_up(call, "deadline")
 
     def give_up(self, call: Call, why: str) -> None:
-        """Its one answer; `why` goes to the log."""
+        """Gives the call its final answer; `why` is for the log."""
         call.refusal = why
         if self.balancer.effect.retry_is_harmless(call):
             self.host.reject(call, RETRY_AFTER_SHARE * self.settings.max_open_wait)
@@ -141,93 +107,102 @@
     def on_established(self, leg: Leg) -> None: ...
 
     def on_leg_ended(self, leg: Leg, result: Result) -> None:
+        """Tries the call again if it is still unanswered."""
         if not leg.call.done:
             self.handle(leg.call)
 
 
 class EffectStage(Stage):
-    """Rule 2: no effect twice."""
+    """Rule 2: no call has its effect twice."""
 
     def handle(self, call: Call) -> None:
+        """Passes the call on if another attempt is safe, to servers that drop a repeat if it may have run."""
         if any(leg.result is None for leg in call.legs):
             return
-        risky, kind = self.possibly_run_legs(call), call.type
+        risky_legs, kind = self.possibly_run_legs(call), call.type
         call.write_by = self.latest_write(call)
         if self.host.now >= call.write_by:
             self.balancer.answer.give_up(call, "may-have-run")
             return
-        if risky and kind.effect == model.REFERENCED:
-            call.candidates = [s for s in call.candidates if self.same_group(call, s, risky[0].server)]
+        if risky_legs and kind.effect == model.REFERENCED:
+            call.candidates = [s for s in call.candidates if self.same_group(call, s, risky_legs[0].server)]
         self.forward_or_queue(call)
 
     def latest_write(self, call: Call) -> float:
-        """Until when the next attempt's line may be written: never where an earlier one may have run and is
-        not dropped; only as long as it surely is, also if we are held up before the write."""
-        risky = self.possibly_run_legs(call)
-        if not risky or call.type.effect == model.REPEATABLE:
+        """Returns until when the next attempt may be written.
+
+        Never, if an earlier attempt may have run and a repeat is not dropped. If it is dropped for a limited
+        time: within that time, even if the host stalls before the write."""
+        risky_legs = self.possibly_run_legs(call)
+        if not risky_legs or call.type.effect == model.REPEATABLE:
             return math.inf
         if call.type.effect == model.ONCE_ONLY:
             return -math.inf
-        return risky[0].sent + call.type.key_ttl - model.MAX_STALL_SECONDS - self.settings.tick
+        return risky_legs[0].sent + call.type.key_ttl - model.MAX_STALL_SECONDS - self.settings.tick
 
     def possibly_run_legs(self, call: Call) -> list[Leg]:
-        """Legs that are not known never to have run."""
+        """Returns the legs that are not known never to have run."""
         return [leg for leg in call.legs if leg.result is None or leg.result.kind not in model.NEVER_RAN]
 
     def same_group(self, call: Call, one: Server, other: Server) -> bool:
+        """Returns whether `other` drops repeats of this call if it was sent to `one`."""
         return call.type.same_group(one, other)
 
     def retry_is_harmless(self, call: Call) -> bool:
-        """May the client be told that trying again does no harm?"""
+        """Returns whether the client may be told that it can try again without harm."""
         dropped = call.type.effect == model.REFERENCED and call.type.group == "all"
         return call.type.effect == model.REPEATABLE or dropped or not self.possibly_run_legs(call)
 
 
 class ListedStage(Stage):
-    """Rule 3: nothing new to a draining or gone server, from the moment we hear of it."""
+    """Rule 3: nothing new is sent to a draining or removed server, from when its change is known."""
 
-    ready: list[Server] = []  # as of the last change of the list
+    ready: list[Server] = []  # the usable servers, as of the last change of the list
 
     def handle(self, call: Call) -> None:
+        """Makes the usable servers the candidates of the call."""
         call.candidates = self.ready
         self.next.handle(call)
 
 
 class SlowStart:
-    """Rule 4: this instance's part of what a cold server may bear."""
+    """Rule 4: this instance's part of the set-ups that a cold server may get."""
 
-    proven_load, looked = 0.0, -math.inf
-    suspended = False  # another process of this balancer has its part
+    proven_load, checked_at = 0.0, -math.inf
+    suspended = False  # another process of this balancer uses its part
 
     def __init__(self, balancer: Balancer):
         self.balancer, self.settings, self.host = balancer, balancer.settings, balancer.host
 
     def accepts(self, server: Server) -> bool:
-        """Is it warm, or may it take one more?"""
+        """Returns whether the server is warm or may get one more set-up."""
         return server.local_state.warm_at <= self.host.now or self.may_admit(server)
 
     def warm_share(self, server: Server) -> float:
-        """The share of its capacity that a server surely has by now."""
+        """Returns the share of its capacity that the server has by now at least."""
         left = (server.local_state.warm_at - self.host.now) / self.settings.ramp_time
         return 1.0 - (1.0 - self.settings.cold_share) * min(1.0, left) if left > 0 else 1.0
 
     def baseline_load(self) -> float:
-        """Own open connections by size on listed warm servers that are not late: what one surely bears."""
-        if self.host.now >= self.looked + CACHE_SECONDS:
-            self.looked, late = self.host.now, self.balancer.selection.reported_overloaded
+        """Returns the own open legs per unit of capacity that a warm server is known to carry: the most seen
+        on the listed warm servers without late messages, or what any server can carry."""
+        if self.host.now >= self.checked_at + CACHE_SECONDS:
+            self.checked_at, late = self.host.now, self.balancer.selection.reported_overloaded
             warm = [
                 s
                 for s in self.balancer.fleet
-                if s.ready and s.local_state.warm_at <= self.looked and not late(s)
+                if s.ready and s.local_state.warm_at <= self.checked_at and not late(s)
             ]
-            size = sum(s.capacity for s in warm)
+            capacity = sum(s.capacity for s in warm)
             self.proven_load = max(
-                self.proven_load, sum(s.local_state.open_legs for s in warm) / size if size else 0.0
+                self.proven_load, sum(s.local_state.open_legs for s in warm) / capacity if capacity else 0.0
             )
         return max(self.proven_load, ASSUMED_CONNECTIONS_PER_CAPACITY / self.settings.peers)
 
     def may_admit(self, server: Server) -> bool:
-        under = (
+        """Returns whether the cold server may get one more set-up: it is below the baseline load, has room
+        and no late messages, and a token is left."""
+        below_baseline = (
             server.local_state.open_legs + server.local_state.rounding_offset
             < self.baseline_load() * server.capacity
         )
@@ -235,77 +210,91 @@
             self.host.now - server.local_state.delay_reported_at > NOTICE_VALID_SECONDS
             and self.balancer.selection.has_room(server)
         )
-        return under and calm and self.available_tokens(server) > 0
+        return below_baseline and calm and self.available_tokens(server) > 0
 
     def available_tokens(self, server: Server) -> int:
-        """Set-ups that may go there now: of all balancers at most the budget in any window. They come evenly
-        from when we were told; those not used in time are lost, lest a rush find all of them kept."""
+        """Returns how many set-ups may be sent to the cold server now.
+
+        Over all balancers they stay within the budget in any window. Tokens are issued evenly from when the
+        server's start was reported. Tokens that are not used in time expire, as otherwise a rush would find
+        all of them saved up."""
         if self.suspended:
             return 0
-        stand, rules, now, bears = (
+        state, settings, now, load = (
             server.local_state,
             self.settings,
             self.host.now,
             self.baseline_load() * server.capacity,
         )
-        budget, anew = rules.slow_start_budget(self.proven_load, server.capacity * self.warm_share(server))
-        rate = min(SLOW_START_FACTOR * bears / rules.ramp_time, anew / rules.fall_time)
-        kept = (budget - rate * rules.fall_time) * max(1.0, 1 / (RUSH_FACTOR * bears))
-        stand.tokens_issued, stand.tokens_issued_at = (
-            stand.tokens_issued + rate * max(0.0, now - stand.tokens_issued_at),
+        budget, renewed = settings.slow_start_budget(
+            self.proven_load, server.capacity * self.warm_share(server)
+        )
+        rate = min(SLOW_START_FACTOR * load / settings.ramp_time, renewed / settings.fall_time)
+        saved = (budget - rate * settings.fall_time) * max(1.0, 1 / (RUSH_FACTOR * load))
+        state.tokens_issued, state.tokens_issued_at = (
+            state.tokens_issued + rate * max(0.0, now - state.tokens_issued_at),
             now,
         )
-        stand.tokens_used = max(stand.tokens_used, math.floor(stand.tokens_issued - kept))
-        return math.floor(stand.tokens_issued) - stand.tokens_used
+        state.tokens_used = max(state.tokens_used, math.floor(state.tokens_issued - saved))
+        return math.floor(state.tokens_issued) - state.tokens_used
 
     def fleet_allowance(self, server: Server) -> float:
-        """What all balancers may send a cold server in `fall_time`: N of the rule."""
+        """Returns N of rule 4: the requests that all balancers may send the cold server in `fall_time`."""
         return self.settings.peers * self.settings.slow_start_allowance(
             self.proven_load, server.capacity * self.warm_share(server)
         )
 
     def suspend(self, on: bool) -> None:
-        """Whether another process of this balancer sends to cold servers in our place. When that ends, what
-        was issued meanwhile counts as used: two processes are one balancer."""
+        """Sets whether another process of this balancer sends to cold servers instead. Tokens that were
+        issued meanwhile count as used, since both processes are one balancer."""
         self.suspended = False
         for server in self.balancer.fleet:
             self.use_up_tokens(server)
         self.suspended = on
 
     def may_write(self, server: Server) -> bool:
-        """May a set-up that was sent earlier go out now? Counts it if so. Guards against connections that
-        come up late, and then together: what a cold server bears counts when lines come there."""
-        now, rules, stand = self.host.now, self.settings, server.local_state
-        if stand.warm_at <= now:
+        """Returns whether a set-up that was sent earlier may be written now, and counts it if so.
+
+        A cold server is loaded when the lines reach it. Without this check connections that come up late
+        would all be written together."""
+        now, settings, state = self.host.now, self.settings, server.local_state
+        if state.warm_at <= now:
             return True
-        budget, _ = rules.slow_start_budget(self.proven_load, server.capacity * self.warm_share(server))
-        while stand.recent_setups and stand.recent_setups[0] <= now - rules.fall_time:
-            stand.recent_setups.popleft()
-        if len(stand.recent_setups) >= max(1, math.floor(budget + 1 / rules.peers)):
+        budget, _ = settings.slow_start_budget(self.proven_load, server.capacity * self.warm_share(server))
+        while state.recent_setups and state.recent_setups[0] <= now - settings.fall_time:
+            state.recent_setups.popleft()
+        if len(state.recent_setups) >= max(1, math.floor(budget + 1 / settings.peers)):
             return False
-        stand.recent_setups.append(now)
+        state.recent_setups.append(now)
         return True
 
     def use_up_tokens(self, server: Server) -> None:
-        """What was issued so far may have been used by a process before us."""
+        """Counts all tokens issued so far as used: an earlier process may have used them."""
         if server.local_state.warm_at > self.host.now:
             server.local_state.tokens_used += max(0, self.available_tokens(server))
 
     def record_setup(self, server: Server) -> None:
-        """Slower the more servers are late: guards against a fleet that sheds and is filled at once again."""
-        sure, calm = self.baseline_load() * server.capacity, self.balancer.selection.calm_share(server.zone)
+        """Counts a set-up that is sent now, and sets the time of the next.
+
+        The more servers have late messages the longer the gap, as otherwise a fleet that sheds its load would
+        be filled again at once."""
+        baseline, calm = (
+            self.baseline_load() * server.capacity,
+            self.balancer.selection.calm_share(server.zone),
+        )
         gap = (
             1
             / max(
-                PACE_SHARE_PER_SECOND * max(server.local_state.open_legs, sure),
+                PACE_SHARE_PER_SECOND * max(server.local_state.open_legs, baseline),
                 MIN_PACE_PER_SECOND / self.settings.peers,
             )
             / calm
         )
-        # Guards against a mass reconnect that is kept and rejected while servers stand empty.
-        sure = max(sure, 2) if self.balancer.overload.has_broadcasts(self.host.now) else sure
+        # There is no gap below the baseline. Otherwise the calls of a mass reconnect would be queued and
+        # rejected while servers are empty.
+        baseline = max(baseline, 2) if self.balancer.overload.has_broadcasts(self.host.now) else baseline
         gap *= self.warm_share(server) == 1.0 and (
-            server.local_state.open_legs >= sure or calm < SPILLOVER_RATIO
+            server.local_state.open_legs >= baseline or calm < SPILLOVER_RATIO
         )
         server.local_state.tokens_used, server.local_state.next_leg_at = (
             server.local_state.tokens_used + 1,
@@ -314,31 +303,34 @@
 
 
 class ZoneStage(Stage):
-    """The spillover ratio: stay among our zone's healthy servers, or spread over those of all zones."""
+    """The spillover ratio: calls stay with the healthy servers of our zone, or spread over all zones."""
 
-    last, looked = 0.0, -math.inf
-    limit, cut = math.inf, 0.0
+    cached_share, checked_at = 0.0, -math.inf
+    limit, limit_cut_at = math.inf, 0.0  # of all own open legs
 
     def handle(self, call: Call) -> None:
+        """Chooses a server in our zone, or else in any zone, and passes the call on."""
         now, selection, server = self.host.now, self.balancer.selection, None
         home = [s for s in call.candidates if s.zone == self.settings.zone]
-        if self.share() >= SPILLOVER_RATIO:
+        if self.healthy_share() >= SPILLOVER_RATIO:
             server = selection.pick(call, [s for s in home if s.local_state.unhealthy_until <= now])
-        most = self.limit * (1 + LIMIT_GROWTH_PER_SECOND * (now - self.cut)) - 0.5
+        limit = self.limit * (1 + LIMIT_GROWTH_PER_SECOND * (now - self.limit_cut_at)) - 0.5
         if (
             not server
-            and self.balancer.open_legs < most
+            and self.balancer.open_legs < limit
             and not any(map(selection.awaits_report, call.awaited_servers))
         ):
-            # Guards against a zone whose servers stand but drown: what finds no room in it leaves; and what
-            # finds no room anywhere is kept, lest it be shed and come again.
+            # The servers of a zone may be up but overloaded, so a call that finds no room there leaves the
+            # zone. One that finds no room anywhere is queued; if it were sent, it would be shed and come
+            # again.
             healthy = [s for s in call.candidates if s.local_state.unhealthy_until <= now]
             server = selection.pick(call, healthy or home or call.candidates)
         call.candidates = [server] if server else []
         self.forward_or_queue(call)
 
     def limit_fleet_overload(self) -> None:
-        """Guards against a jam of the whole fleet, in which what is moved lands on other late servers."""
+        """Cuts the limit of all own legs while the zones are overloaded on average. Otherwise, with the whole
+        fleet overloaded, moved connections would only land on other overloaded servers."""
         zones = [
             self.balancer.selection.calm_share(zone)
             for zone in dict.fromkeys(s.zone for s in self.balancer.fleet)
@@ -348,11 +340,12 @@
                 self.balancer.open_legs,
                 MIN_MEASURABLE_LEGS if self.balancer.overload.has_broadcasts(self.host.now) else 1,
             )
-            self.limit, self.cut = FLEET_LIMIT_SHARE * min(self.limit, held), self.host.now
+            self.limit, self.limit_cut_at = FLEET_LIMIT_SHARE * min(self.limit, held), self.host.now
 
     def rebalance(self) -> None:
-        """Guards against connections that cross zones for life: a few come again while our zone is calm."""
-        home, now, selection = self.matched(), self.host.now, self.balancer.selection
+        """Moves a few connections back from other zones while all servers of our zone are calm and have room.
+        Otherwise connections that once left the zone would stay in another one for life."""
+        home, now, selection = self.home_servers(), self.host.now, self.balancer.selection
         calm = [
             s
             for s in home
@@ -369,171 +362,191 @@
             ]
             selection.move(away, REBALANCE_SHARE)
 
-    def matched(self) -> list[Server]:
+    def home_servers(self) -> list[Server]:
+        """Returns the usable servers of our zone."""
         return [s for s in self.balancer.listing.ready if s.zone == self.settings.zone]
 
-    def share(self) -> float:
-        """Healthy matched over all matched; a cold server counts as far as it is warm."""
-        if self.host.now >= self.looked + CACHE_SECONDS:
-            self.looked, matched = self.host.now, self.matched()
+    def healthy_share(self) -> float:
+        """Returns the healthy share of our zone's usable servers; a cold one counts as far as it is warm."""
+        if self.host.now >= self.checked_at + CACHE_SECONDS:
+            self.checked_at, home = self.host.now, self.home_servers()
             fit = [
                 s
-                for s in matched
+                for s in home
                 if self.balancer.selection.healthy(s) and not self.balancer.selection.overloaded(s)
             ]
-            self.last = (
-                sum(self.balancer.slow_start.warm_share(s) for s in fit) / len(matched) if matched else 0.0
+            self.cached_share = (
+                sum(self.balancer.slow_start.warm_share(s) for s in fit) / len(home) if home else 0.0
             )
-        return self.last
+        return self.cached_share
 
 
 class SelectionStage(Stage):
-    """The pick within the set, by failure-driven weight, and the sending."""
+    """Selects one of the candidate servers, by load, group and failures, and sends the call there."""
 
     def __init__(self, balancer: Balancer):
         super().__init__(balancer)
-        report, tell = self.settings.report, (model.FULLNESS, model.BUSY)
-        # Where a report tells how full a server is; without it nothing is asked.
-        self.load_field = next((report.index(one) for one in tell if one in report), None)
+        report, load_fields = self.settings.report, (model.FULLNESS, model.BUSY)
+        # The field of a report that gives a server's load. Without one no server is probed.
+        self.load_field = next((report.index(one) for one in load_fields if one in report), None)
 
     def healthy(self, server: Server) -> bool:
+        """Returns whether the server is not marked unhealthy after failures."""
         return server.local_state.unhealthy_until <= self.host.now
 
-    def has_room(self, server: Server, full: float = 1.0) -> bool:
-        """Not swamped, and under the ceiling found when it last was."""
-        stand, slow_start = server.local_state, self.balancer.slow_start
-        # Grows as what is usual does: guards against a small holder that was cut for what others hold there.
-        grown = (
+    def has_room(self, server: Server, max_load: float = 1.0) -> bool:
+        """Returns whether the server is not overloaded, holds fewer of our legs than its limit, and reports a
+        load below `max_load` if it reports one."""
+        state, slow_start = server.local_state, self.balancer.slow_start
+        # The limit grows back with the baseline load, if that is more. Otherwise a balancer with few legs
+        # would be shut out for long by a limit that was cut for the load of others.
+        regrown = (
             LIMIT_GROWTH_PER_SECOND
-            * (self.host.now - stand.limit_cut_at)
-            * max(stand.limit, slow_start.baseline_load() * server.capacity)
+            * (self.host.now - state.limit_cut_at)
+            * max(state.limit, slow_start.baseline_load() * server.capacity)
         )
-        if self.has_report(server) and stand.reported_load >= full:
+        if self.has_report(server) and state.reported_load >= max_load:
             return False
         return not self.overloaded(
             server
-        ) and stand.open_legs + stand.rounding_offset < slow_start.warm_share(server) * (stand.limit + grown)
+        ) and state.open_legs + state.rounding_offset < slow_start.warm_share(server) * (
+            state.limit + regrown
+        )
 
     def overloaded(self, server: Server) -> bool:
-        """Told of late messages lately; where we hold nothing and so are told nothing, as its zone fares."""
-        stand = server.local_state
+        """Returns whether the server lately reported late messages or full load.
+
+        A server where we hold no connection sends us no reports. It counts as overloaded as often as the
+        servers of its zone are."""
+        state = server.local_state
         if self.reported_overloaded(server) or self.has_report(server):
-            return self.reported_overloaded(server) or stand.reported_load >= 1.0
+            return self.reported_overloaded(server) or state.reported_load >= 1.0
         unseen = (
-            not stand.established_legs
-            and stand.warm_at <= self.host.now
-            and stand.rounding_offset > self.calm_share(server.zone)
+            not state.established_legs
+            and state.warm_at <= self.host.now
+            and state.rounding_offset > self.calm_share(server.zone)
         )
         return unseen and not self.balancer.overload.has_broadcasts(self.host.now)
 
     def reported_overloaded(self, server: Server) -> bool:
+        """Returns whether late messages at the server were reported and the report is still valid."""
         return (
             server.local_state.delay_ratio >= OVERLOAD_DELAY_RATIO
             and self.host.now - server.local_state.delay_reported_at <= server.local_state.delay_valid_for
         )
 
     def update_overload_counts(self) -> None:
-        """Count, by zone, the servers of which we would be told: those with late messages and all."""
-        for seen in self.balancer.seen.values():
-            seen[0], seen[1] = seen[0] / 2, seen[1] / 2
-        hears = self.balancer.overload.has_broadcasts(self.host.now)
+        """Counts, by zone, the servers that would report late messages to us, and those of them that did.
+        Older counts fade by half each time."""
+        for counts in self.balancer.overload_counts.values():
+            counts[0], counts[1] = counts[0] / 2, counts[1] / 2
+        has_broadcasts = self.balancer.overload.has_broadcasts(self.host.now)
         for server in self.balancer.listing.ready:
             if (
                 server.local_state.established_legs
-                or hears
+                or has_broadcasts
                 or self.host.now - server.local_state.delay_reported_at <= NOTICE_VALID_SECONDS
             ):
-                seen = self.balancer.seen.setdefault(server.zone, [0.0, 0.0])
-                seen[0] += self.reported_overloaded(server)
-                seen[1] += 1
+                counts = self.balancer.overload_counts.setdefault(server.zone, [0.0, 0.0])
+                counts[0] += self.reported_overloaded(server)
+                counts[1] += 1
 
     def calm_share(self, zone: int) -> float:
-        """The share of a zone's servers without late messages, as far as we were told these last seconds."""
-        late, heard = self.balancer.seen.get(zone, (0.0, 0.0))
-        return (heard - late + 1) / (heard + 1)
-
-    def record_delay(self, server: Server, delay: float, holds: float = OBSERVATION_VALID_SECONDS) -> None:
-        """Messages at a server take this share of the shortest message aim, it says or others have seen."""
-        if delay >= OVERLOAD_DELAY_RATIO:
+        """Returns the share of a zone's servers without late messages, by the reports of the last seconds."""
+        overloaded, known = self.balancer.overload_counts.get(zone, (0.0, 0.0))
+        return (known - overloaded + 1) / (known + 1)
+
+    def record_delay(
+        self, server: Server, delay_ratio: float, valid_for: float = OBSERVATION_VALID_SECONDS
+    ) -> None:
+        """Records the message delay at a server, over the shortest message aim, as the server reports it or
+        other signs show it. It is valid for `valid_for` seconds."""
+        if delay_ratio >= OVERLOAD_DELAY_RATIO:
             self.cut_limit(server)
-        if delay >= 1:
-            # Guards against connections that stay where their messages are late: the paper's rule is for new
-            # ones, so a few are asked to come again, those first whose group's lots belong here least.
-            rest = sorted(
+        if delay_ratio >= 1:
+            # The published rule covers new connections only. Connections would stay where their messages are
+            # late, so a few are moved, first those whose groups have the worst score at this server.
+            worst_first = sorted(
                 server.local_state.established_legs, key=lambda leg: -self.rendezvous_score(leg.call, server)
             )
-            share = MOVE_SHARE * min(delay, MAX_MOVE_FACTOR)
-            # What is moved lowers the ceiling with it: guards against many balancers with a connection each,
-            # which hear no more of the server once theirs is moved, and together fill it up again.
+            share = MOVE_SHARE * min(delay_ratio, MAX_MOVE_FACTOR)
+            # The limit falls with the moved connections. Otherwise many balancers with a connection each,
+            # which get no more reports of the server once theirs is moved, would fill it up again together.
             held = server.local_state.open_legs / self.balancer.slow_start.warm_share(server)
             self.lower_limit(server, LIMIT_SHARE * (1 - share) * held)
-            self.move(rest, share)
+            self.move(worst_first, share)
         (
             server.local_state.delay_ratio,
             server.local_state.delay_reported_at,
             server.local_state.delay_valid_for,
-        ) = (
-            delay,
-            self.host.now,
-            holds,
-        )
+        ) = (delay_ratio, self.host.now, valid_for)
 
     def move(self, legs: list[Leg], share: float) -> None:
-        """The first of them, rounded by chance: guards against many balancers that each take a whole one."""
+        """Moves the first `share` of the legs. Their number is rounded at random, as otherwise many balancers
+        with few legs would each move a whole one."""
         for leg in legs[: int(share * len(legs) + self.balancer.rng.uniform())]:
             self.host.move(leg.call)
             del leg.server.local_state.established_legs[leg]
 
-    def lower_limit(self, server: Server, ceiling: float) -> None:
-        """Not where one of many that know of each other holds one: that is no measure of the server."""
+    def lower_limit(self, server: Server, limit: float) -> None:
+        """Lowers the server's limit to `limit` at most. Where the balancers know of each other's load, a
+        single leg of ours is no measure of the server, and the limit stays."""
         if server.local_state.open_legs > 1 or not self.balancer.overload.has_broadcasts(self.host.now):
-            server.local_state.limit = min(server.local_state.limit, ceiling)
+            server.local_state.limit = min(server.local_state.limit, limit)
 
     def cut_limit(self, server: Server) -> None:
-        """Lower the server's ceiling, at most once in the time that a notice holds."""
-        stand, now, balancer = server.local_state, self.host.now, self.balancer
-        if now - stand.limit_cut_at > LIMIT_CUT_INTERVAL_SECONDS:
-            # As if warm: guards against a ceiling found while cold that would outlast the warm-up.
-            held = stand.open_legs / balancer.slow_start.warm_share(server)
+        """Cuts the server's limit to a share of what it holds, at most once per
+        LIMIT_CUT_INTERVAL_SECONDS."""
+        state, now, balancer = server.local_state, self.host.now, self.balancer
+        if now - state.limit_cut_at > LIMIT_CUT_INTERVAL_SECONDS:
+            # As if it were warm: a limit found while the server is cold would outlast its warm-up.
+            held = state.open_legs / balancer.slow_start.warm_share(server)
             self.lower_limit(
                 server,
                 (RESET_LIMIT_SHARE if balancer.overload.nobody_reports_load(now) else LIMIT_SHARE)
-                * min(stand.limit, held),
+                * min(state.limit, held),
             )
-            if now - stand.limit_cut_at > CALM_AFTER_SECONDS:
-                self.host.log(f"server swamped: held {stand.open_legs}, ceiling {stand.limit:.1f}")
-            stand.limit_cut_at = now
+            if now - state.limit_cut_at > CALM_AFTER_SECONDS:
+                self.host.log(f"server swamped: held {state.open_legs}, ceiling {state.limit:.1f}")
+            state.limit_cut_at = now
+
+    def pick(self, call: Call, servers: list[Server]) -> Server | None:
+        """Returns the first server with room among the few with the best scores, or None.
 
-    def pick(self, call: Call, places: list[Server]) -> Server | None:
-        """The first lot with room, of few: guards against groups that scatter over what each thinks open.
-        Lots fall on cold servers that may take none too: each balancer's part of those is another one."""
+        Only a few are tried, as otherwise groups would scatter over all servers that a balancer thinks have
+        room. Cold servers that accept nothing now are ranked too: each balancer has its own part of their
+        budget, so leaving them out would make the balancers rank servers differently."""
         tried = [leg.server for leg in call.legs]
-        if not (places := [s for s in places if s not in tried] or places):
+        if not (servers := [s for s in servers if s not in tried] or servers):
             return None
-        now, warm = self.host.now, self.balancer.slow_start.warm_share
-        sizes = [s.capacity if s.local_state.warm_at <= now else s.capacity * warm(s) for s in places]
-        held = self.balancer.fleet_load() or {s: s.local_state.open_legs for s in places}
-        mean = MAX_LOAD_OVER_MEAN * sum([held[s] for s in places]) / sum(sizes)
-        low = [s for s, size in zip(places, sizes) if held[s] < 1 + mean * size] or places
-        # Guards against a server put back that waits long for its lot, by the weight of a cold one.
-        missed = [s for s in low if s.local_state.unused_since_uncordon or s.needs_attempt and not call.group]
-        missed = [
+        now, warm_share = self.host.now, self.balancer.slow_start.warm_share
+        capacities = [
+            s.capacity if s.local_state.warm_at <= now else s.capacity * warm_share(s) for s in servers
+        ]
+        held = self.balancer.fleet_load() or {s: s.local_state.open_legs for s in servers}
+        bound = MAX_LOAD_OVER_MEAN * sum([held[s] for s in servers]) / sum(capacities)
+        below = [s for s, capacity in zip(servers, capacities) if held[s] < 1 + bound * capacity] or servers
+        # Otherwise an uncordoned server would wait long for a call, since its weight is that of a cold one.
+        unused = [
+            s for s in below if s.local_state.unused_since_uncordon or s.needs_attempt and not call.group
+        ]
+        unused = [
             s
-            for s in missed
+            for s in unused
             if now >= s.local_state.next_leg_at
             and self.balancer.slow_start.accepts(s)
             and self.has_room(s, FULL_LOAD)
         ]
-        held = missed or self.group_holders(call, low)
-        for server in held or low:  # kept with the call while it is kept: lots are dear
+        preferred = unused or self.group_holders(call, below)
+        for server in preferred or below:  # kept with the call while it is queued: scores are costly
             if server not in call.scores:
                 call.scores[server] = self.rendezvous_score(call, server)
         most = (
             MAX_GROUP_CANDIDATES_UNSEEN if call.group and self.settings.peers_unseen else MAX_CANDIDATES_TRIED
         )
-        lots = sorted(held or low, key=call.scores.__getitem__)[:most]
-        call.awaited_servers += lots
-        for number, server in enumerate(lots):
+        ranked = sorted(preferred or below, key=call.scores.__getitem__)[:most]
+        call.awaited_servers += ranked
+        for number, server in enumerate(ranked):
             if not self.balancer.slow_start.accepts(server):
                 continue
             self.request_report(server)
@@ -543,56 +556,62 @@
                 return server
         return None
 
-    def group_holders(self, call: Call, places: list[Server]) -> list[Server]:
-        """Of the request's group, while only such servers are asked for it."""
+    def group_holders(self, call: Call, servers: list[Server]) -> list[Server]:
+        """Returns the servers that hold the call's group, while only these are tried for it."""
         if not call.group or self.may_leave_group(call):
             return []
-        group, now, holder = call.group, self.host.now, self.balancer.overload.holds_group
+        group, now, holds_group = call.group, self.host.now, self.balancer.overload.holds_group
         return [
             s
-            for s in places
-            if s.local_state.legs_by_group.get(group, 0) >= GROUP_HOLDER_LEGS or holder(s, group, now)
+            for s in servers
+            if s.local_state.legs_by_group.get(group, 0) >= GROUP_HOLDER_LEGS or holds_group(s, group, now)
         ]
 
     def may_leave_group(self, call: Call) -> bool:
-        """Guards against calls that are rejected for a full holder of their group while others have room."""
+        """Returns whether the call may go to servers that do not hold its group. Without this limit in time
+        calls would be rejected because the holder of their group is full, while others have room."""
         return self.host.now >= call.arrived + GROUP_HOLDERS_TIME_SHARE * call.type.setup_target
 
     def has_report(self, server: Server) -> bool:
+        """Returns whether the last report of the server is still valid."""
         return self.host.now <= server.local_state.report_valid_until
 
     def request_report(self, server: Server) -> None:
-        """Guards against placing blindly where we hold nothing, and so are told nothing."""
-        stand, now = server.local_state, self.host.now
+        """Probes the server unless its report is valid or it was probed lately. Otherwise calls would be
+        placed blindly on servers where we hold no connection and so get no notices."""
+        state, now = server.local_state, self.host.now
         if (
             self.load_field is not None
             and not self.has_report(server)
-            and now - stand.probed_at > REPORT_VALID_SECONDS
+            and now - state.probed_at > REPORT_VALID_SECONDS
         ):
-            stand.probed_at = now
+            state.probed_at = now
             self.host.probe(server)
 
     def awaits_report(self, server: Server) -> bool:
-        """Was it asked, and may the answer still come in time?"""
+        """Returns whether the server was probed and its report may still come in time."""
         return (
             not self.has_report(server) and self.host.now - server.local_state.probed_at < PROBE_WAIT_SECONDS
         )
 
     def on_probe_result(self, server: Server, result: Result) -> None:
-        """What it found. No connection is no failure of the server, but no call is sent there for a while."""
-        stand, whole = server.local_state, len(result.report) == len(self.settings.report)
-        if result.kind == model.COMPLETED and whole and self.load_field is not None:
-            stand.reported_load = result.report[self.load_field]
+        """Records the load that a probe found. A failed connection is no failure of the server, but no call
+        is sent there for a while."""
+        state, complete = server.local_state, len(result.report) == len(self.settings.report)
+        if result.kind == model.COMPLETED and complete and self.load_field is not None:
+            state.reported_load = result.report[self.load_field]
         elif result.kind == model.NO_CONN:
-            stand.reported_load = math.inf
+            state.reported_load = math.inf
         else:
             return
-        # That it is full stands longer: guards against asking in vain at each try of a client in a jam.
-        stand.report_valid_until = self.host.now + (
-            FULL_REPORT_VALID_SECONDS if stand.reported_load >= FULL_LOAD else REPORT_VALID_SECONDS
+        # A report of full load is valid longer. Otherwise each retry of a client during an overload would
+        # probe again in vain.
+        state.report_valid_until = self.host.now + (
+            FULL_REPORT_VALID_SECONDS if state.reported_load >= FULL_LOAD else REPORT_VALID_SECONDS
         )
 
     def handle(self, call: Call) -> None:
+        """Sends the call to its one candidate, or queues it until the server may get the next leg."""
         server = call.candidates[0]
         if self.host.now >= server.local_state.next_leg_at:
             self.send(call, server)
@@ -601,8 +620,10 @@
             self.balancer.enqueue(call)
 
     def rendezvous_score(self, call: Call, server: Server) -> float:
-        """A lot whose least value falls on servers in proportion to their weights. A group's lots are the
-        same at every draw and balancer, so its connections gather and share what they cost a server."""
+        """Returns the call's score at the server; the server with the least score is chosen first.
+
+        Over all calls each server comes first in proportion to its weight. A group's scores are the same at
+        every draw and at every balancer, so its connections gather at few servers and share their cost."""
         weight = (
             server.local_state.failure_weight * server.capacity * self.balancer.slow_start.warm_share(server)
         )
@@ -612,6 +633,7 @@
         return -math.log((even >> 33) / 2147483648.0 + 1e-12) / weight
 
     def send(self, call: Call, server: Server) -> None:
+        """Sends the call to the server."""
         until, call.scores, call.awaited_servers = self.balancer.answer.answer_by(call), {}, []
         self.count_leg(call, server, 1)
         self.balancer.slow_start.record_setup(server)
@@ -619,6 +641,7 @@
         self.host.send(call, server, until)
 
     def count_leg(self, call: Call, server: Server, by: int) -> None:
+        """Adds `by` to the open legs of the server, of the call's group there, and of this balancer."""
         server.local_state.open_legs += by
         self.balancer.open_legs += by
         server.local_state.legs_by_group[call.group] = left = (
@@ -631,22 +654,22 @@
         )
 
     def on_established(self, leg: Leg) -> None:
+        """Restores weight to the server, and reports how long the set-up took."""
         self.balancer.overload.on_established(leg.server, self.host.now - leg.sent, self.host.now)
-        stand = leg.server.local_state
-        stand.consecutive_failures, stand.established_legs[leg], stand.failure_weight = (
+        state = leg.server.local_state
+        state.consecutive_failures, state.established_legs[leg], state.failure_weight = (
             0,
             None,
-            min(1.0, stand.failure_weight + WEIGHT_REGAIN),
+            min(1.0, state.failure_weight + WEIGHT_REGAIN),
         )
         self.previous.on_established(leg)
 
     def on_leg_ended(self, leg: Leg, result: Result) -> None:
+        """Takes the leg off the counts, and records a failure of the server if it was one."""
         if result.kind in (model.RESET, model.NO_CONN):
-            leg.server.local_state.report_valid_until = (
-                -math.inf
-            )  # guards against a report from before it broke
+            leg.server.local_state.report_valid_until = -math.inf  # the report is from before it broke
         if leg.established and result.kind == model.RESET:
-            self.cut_limit(leg.server)  # guards against a server that sheds what it cannot carry
+            self.cut_limit(leg.server)  # the server may be shedding load that it cannot carry
             self.balancer.overload.on_reset(leg.server, self.host.now)
         self.count_leg(leg.call, leg.server, -1)
         leg.server.local_state.established_legs.pop(leg, None)
@@ -656,37 +679,38 @@
         self.previous.on_leg_ended(leg, result)
 
     def record_failure(self, server: Server) -> None:
-        stand = server.local_state
-        stand.failure_weight, stand.consecutive_failures = (
-            max(MIN_FAILURE_WEIGHT, stand.failure_weight / 2),
-            stand.consecutive_failures + 1,
+        """Halves the server's weight, and marks it unhealthy after several failures in a row."""
+        state = server.local_state
+        state.failure_weight, state.consecutive_failures = (
+            max(MIN_FAILURE_WEIGHT, state.failure_weight / 2),
+            state.consecutive_failures + 1,
         )
-        if stand.consecutive_failures >= UNHEALTHY_AFTER_FAILURES and self.healthy(server):
+        if state.consecutive_failures >= UNHEALTHY_AFTER_FAILURES and self.healthy(server):
             self.host.log(
                 f"server unhealthy for {UNHEALTHY_SECONDS:g} s "
-                f"after {stand.consecutive_failures} failures in a row"
+                f"after {state.consecutive_failures} failures in a row"
             )
-        if stand.consecutive_failures >= UNHEALTHY_AFTER_FAILURES:
-            stand.unhealthy_until = self.host.now + UNHEALTHY_SECONDS
-            self.balancer.zone.looked = -math.inf
+        if state.consecutive_failures >= UNHEALTHY_AFTER_FAILURES:
+            state.unhealthy_until = self.host.now + UNHEALTHY_SECONDS
+            self.balancer.zone.checked_at = -math.inf
 
 
 class Balancer(model.OptionalEvents):
-    """One instance."""
+    """The decisions of one instance. Its host calls the methods that bellrack/model.py lists."""
 
     def __init__(self, settings: Settings, seed: int, host: Host):
         self.settings, self.host = settings, host
         self.rng = Rng(seed)
         self.fleet: list[Server] = []
         self.queued: list[Call] = []
-        self.looks = False  # a look at them is due
-        self.sizes: dict[int, float] = {}  # by kind of machine, where listed weights are live
-        self.open_legs = 0  # own connections and legs out, everywhere
+        self.queue_timer_set = False
+        self.max_weights: dict[int, float] = {}  # ever listed, by machine type, where weights are live
+        self.open_legs = 0  # own legs at all servers, those being set up included
         self.discovery_retry = RetrySchedule(settings, self.rng)
-        self.seen: dict[int, list[float]] = {}  # by zone: late servers and all that we hear of
+        self.overload_counts: dict[int, list[float]] = {}  # by zone: overloaded servers, servers known of
         self.answer, self.listing, self.effect = AnswerStage(self), ListedStage(self), EffectStage(self)
         self.slow_start, self.zone, self.selection = SlowStart(self), ZoneStage(self), SelectionStage(self)
-        self.overload, self.filled = (
+        self.overload, self.cached_fleet_load = (
             OverloadDetector(settings, host.send_datagram, self.selection.record_delay),
             (-math.inf, {}),
         )
@@ -698,58 +722,68 @@
             host.set_timer(host.now + self.discovery_retry.first_delay(), "watch")
 
     def on_call(self, call: Call) -> None:
+        """Places a new call."""
         self.answer.on_call(call)
 
     def on_resumed(self, leg: Leg) -> None:
+        """Counts a connection that was established before the instance started."""
         self.selection.count_leg(leg.call, leg.server, 1)
         leg.server.local_state.established_legs[leg] = None
 
     def on_established(self, leg: Leg) -> None:
+        """The leg's connection is established."""
         self.selection.on_established(leg)
 
     def on_leg_ended(self, leg: Leg, result: Result) -> None:
+        """The leg ended with this result."""
         self.selection.on_leg_ended(leg, result)
 
     def on_delay_reported(self, leg: Leg, delay: float) -> None:
+        """The leg's server reported that a message takes `delay` seconds."""
         self.overload.last_server_notice = self.host.now
         self.selection.record_delay(
             leg.server, delay / self.settings.shortest_message_aim, NOTICE_VALID_SECONDS
         )
 
     def fleet_load(self) -> dict[Server, float]:
-        """What all balancers hold of each ready server; empty where nobody tells."""
-        if self.host.now >= self.filled[0] + CACHE_SECONDS:
-            self.filled = self.host.now, self.overload.fleet_load(self.listing.ready, self.host.now)
-        return self.filled[1]
+        """Returns the legs of all balancers at each usable server; empty if nobody reports them."""
+        if self.host.now >= self.cached_fleet_load[0] + CACHE_SECONDS:
+            self.cached_fleet_load = (
+                self.host.now,
+                self.overload.fleet_load(self.listing.ready, self.host.now),
+            )
+        return self.cached_fleet_load[1]
 
     def on_datagram(self, peer: int, data: bytes) -> None:
+        """A datagram of another balancer arrived."""
         self.overload.on_datagram(peer, data, self.host.now)
 
     def on_probe_result(self, server: Server, result: Result) -> None:
+        """A probe ended: records the load, and tries the queued calls that wait for this server."""
         self.selection.on_probe_result(server, result)
-        ready = [call for call in self.queued if server in call.awaited_servers]
+        waiting = [call for call in self.queued if server in call.awaited_servers]
         self.queued = [call for call in self.queued if server not in call.awaited_servers]
-        for call in ready:
-            self.again(call)
+        for call in waiting:
+            self.retry_queued(call)
 
     def on_timer(self, what: object) -> None:
+        """A timer expired. `what`: a call whose answer is due, a cordoned server, or the name of a timer."""
         if isinstance(what, Call):
-            self.answer.due(what)
+            self.answer.on_deadline(what)
         elif isinstance(what, Server) and what.cordoned:
             self.selection.move(list(what.local_state.established_legs), CORDON_MOVE_SHARE)
             self.host.set_timer(self.host.now + CORDON_MOVE_INTERVAL_SECONDS, what)
         elif what == "queue":
-            waiting, self.queued, self.looks = self.queued, [], False
+            waiting, self.queued, self.queue_timer_set = self.queued, [], False
             for call in waiting:
-                # Guards against a long queue, and looking everywhere while none it waits for has room.
+                # Bounds the work for a long queue, and skips calls while no awaited server has room.
                 if len(self.queued) < MAX_QUEUE_TRIES and self.may_be_placed(call):
-                    self.again(call)
+                    self.retry_queued(call)
                 else:
                     self.enqueue(call)
         elif what == "rebalance":
-            self.host.set_timer(
-                self.host.now + REBALANCE_INTERVAL_SECONDS, "rebalance"
-            )  # first: a fault in one look ends no other
+            # The timer is set first, so that an error in one check does not end the others.
+            self.host.set_timer(self.host.now + REBALANCE_INTERVAL_SECONDS, "rebalance")
             self.selection.update_overload_counts()
             self.zone.limit_fleet_overload()
             self.zone.rebalance()
@@ -760,6 +794,7 @@
             self.host.watch()
 
     def may_be_placed(self, call: Call) -> bool:
+        """Returns whether it is worth trying a queued call again."""
         now, selection, slow_start = self.host.now, self.selection, self.slow_start
         return (
             not call.awaited_servers
@@ -770,23 +805,26 @@
             )
         )
 
-    def again(self, call: Call) -> None:
+    def retry_queued(self, call: Call) -> None:
+        """Passes a call that was queued down the chain again."""
         call.awaited_servers = []
         self.answer.handle(call)
 
     def enqueue(self, call: Call) -> None:
-        """No server may take the call yet: hold it while it is worth something, then answer at once."""
+        """Queues a call that no server may take yet, and gives it up once QUEUE_TIME_SHARE of its setup
+        target is over."""
         if call.done:
             return
         if self.host.now >= call.arrived + QUEUE_TIME_SHARE * call.type.setup_target:
             self.answer.give_up(call, "no-room")
             return
-        if not self.looks:
-            self.looks = True
+        if not self.queue_timer_set:
+            self.queue_timer_set = True
             self.host.set_timer(self.host.now + QUEUE_INTERVAL_SECONDS, "queue")
         self.queued.append(call)
 
     def on_servers_listed(self, servers: list[Server]) -> None:
+        """These servers are new to the list, or their entries changed."""
         self.discovery_retry.reset()
         first = not self.fleet
         for server in servers:
@@ -795,9 +833,11 @@
                     self.rng.stratified(self.settings.number, server.id_hash)
                 )
                 self.fleet.append(server)
-            self.sized(server)
+            self.update_capacity(server)
             if server.started_at != server.local_state.started_at:  # restarted under the same id
-                # Guards against a restart that takes servers half warm for cold: others knew them before us.
+                # In the first list the start counts as reported when it was. Otherwise, after a restart of
+                # this balancer, half-warm servers would count as just started, though other balancers knew
+                # them.
                 self.on_server_start(server, server.started_at if first else self.host.now, server.started_at)
                 server.local_state.started_at = server.started_at
                 if first:
@@ -806,53 +846,55 @@
         self.overload.on_servers_listed(self.fleet)
 
     def refresh_usable(self) -> None:
-        """Other servers may be used, or some no longer."""
+        """Collects the usable servers anew."""
         self.listing.ready = [s for s in self.fleet if s.usable]
-        self.zone.looked, self.filled = -math.inf, (-math.inf, {})
-
-    def on_server_start(self, server: Server, told: float, since: float) -> None:
-        """It is cold since then, and we were told then; what it did before counts no more."""
-        stand = server.local_state
-        if stand.warm_at <= self.host.now:
-            # Not while it is cold already: guards against starts told one after another, each with a budget.
-            stand.tokens_issued, stand.tokens_issued_at, stand.tokens_used = (
-                1 - stand.rounding_offset,
-                told,
+        self.zone.checked_at, self.cached_fleet_load = -math.inf, (-math.inf, {})
+
+    def on_server_start(self, server: Server, reported_at: float, started_at: float) -> None:
+        """Treats the server as cold since `started_at`, of which we learned at `reported_at`. Its earlier
+        failures no longer count."""
+        state = server.local_state
+        if state.warm_at <= self.host.now:
+            # Not while it is cold already: several starts reported in a row would each bring a budget.
+            state.tokens_issued, state.tokens_issued_at, state.tokens_used = (
+                1 - state.rounding_offset,
+                reported_at,
                 0,
             )
-        stand.warm_at = since + self.settings.ramp_time
-        stand.consecutive_failures, stand.unhealthy_until, stand.failure_weight = 0, 0.0, 1.0
+        state.warm_at = started_at + self.settings.ramp_time
+        state.consecutive_failures, state.unhealthy_until, state.failure_weight = 0, 0.0, 1.0
 
     def on_cordoned(self, server: Server, out: bool) -> None:
-        """Taken out by hand, it gets nothing new and what stands is moved. Put back, it is cold."""
-        stand, now, before, server.cordoned = server.local_state, self.host.now, server.cordoned, out
+        """Operators cordoned the server (`out`) or uncordoned it. A cordoned one gets nothing new, and its
+        connections are moved. An uncordoned one is cold."""
+        state, now, before, server.cordoned = server.local_state, self.host.now, server.cordoned, out
         if out and not before:
-            stand.cordoned_at = now
+            state.cordoned_at = now
             self.on_timer(server)
         elif before and not out:
-            stand.unused_since_uncordon, stand.limit = True, math.inf
-            if (
-                stand.started_at < stand.cordoned_at
-            ):  # guards against a list that does not know of the restart yet
+            state.unused_since_uncordon, state.limit = True, math.inf
+            if state.started_at < state.cordoned_at:  # it may have restarted without the list knowing yet
                 self.on_server_start(server, now, now)
         self.on_servers_listed([server])
 
-    def sized(self, server: Server) -> None:
-        """A live weight falls with what a server holds: its size is the most its kind was ever listed at."""
-        known = self.sizes.get(server.machine_type, 0.0) if self.settings.live else 0.0
+    def update_capacity(self, server: Server) -> None:
+        """Sets the server's capacity from its weight. A live weight falls with the calls that the server
+        holds, so the capacity is the most that its machine type was ever listed with."""
+        known = self.max_weights.get(server.machine_type, 0.0) if self.settings.live else 0.0
         server.capacity = max(server.weight, known)
         if server.weight > known and self.settings.live:
-            self.sizes[server.machine_type] = server.weight
+            self.max_weights[server.machine_type] = server.weight
             for other in self.fleet:
                 if other.machine_type == server.machine_type:
                     other.capacity = server.weight
 
     def avoids(self, server: Server) -> bool:
-        """Is this listed server kept from new calls now, by the list, by hand, for failures or lateness?"""
+        """Returns whether this listed server is kept from new calls now: by the list, by operators, for
+        failures or for late messages."""
         fit = self.selection.healthy(server) and not self.selection.reported_overloaded(server)
         return server not in self.listing.ready or not fit
 
     def on_discovery_failed(self, reached: bool = True) -> None:
-        """Discovery failed us; `reached` unless it did not even take the call."""
+        """A call to discovery failed; `reached` unless it could not even connect."""
         if self.settings.asks:
             self.host.set_timer(self.host.now + self.discovery_retry.next_delay(reached), "watch")
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -95,7 +95,7 @@
     ),
     Mutant(
         "a cold server is warm at once",
-        (("choice.py", "stand.warm_at = since + self.settings.ramp_time", "stand.warm_at = 0.0"),),
+        (("choice.py", "state.warm_at = started_at + self.settings.ramp_time", "state.warm_at = 0.0"),),
         "cold",
         ("slow_start",),
     ),
