--- a/bellrack/accounting.py
+++ b/bellrack/accounting.py
@@ -1,4 +1,4 @@
-"""The books that each host of the decisions keeps: servers as last listed, calls and their legs."""
+"""Records that every host of the decisions keeps: the servers as last listed, the calls and their legs."""
 
 from __future__ import annotations
 
@@ -9,8 +9,10 @@
 from bellrack.choice import Balancer
 from bellrack.model import Call, Leg, Result, Server, Settings
 
-# Of a server, by the names of the decisions; not what is open there: that comes with the connections.
-TIMES = ("bad_until", "issued_at", "warm_at", "told", "cut", "out_since")  # of these, seconds of its clock
+# What an instance hands to its successor about each server: names in JSON -> attributes of ServerState. An
+# older build reads the same names. Open legs are left out: they follow with the connections themselves.
+# TIMES: those of the names whose values are instants on the clock of the instance, in seconds.
+TIMES = ("bad_until", "issued_at", "warm_at", "told", "cut", "out_since")
 LEARNED = {
     "weight": "failure_weight",
     "fails": "consecutive_failures",
@@ -25,36 +27,40 @@
     "ceiling": "limit",
     "cut": "limit_cut_at",
     "out_since": "cordoned_at",
-}  # names in JSON -> attributes of ServerState
+}
 
 
 class Accounting:
-    """One balancer with its records. Hosts derive from it and add what the balancer may do, its Host."""
+    """One balancer with its records. Hosts derive from it and implement `model.Host` beside it."""
 
     def __init__(self, settings: Settings, seed: int, now: float, decides: Callable[..., Any] = Balancer):
         self.settings, self.now = settings, now
-        self.servers: dict[int, Server] = {}  # by mark
+        self.servers: dict[int, Server] = {}  # by id_hash
         self.balancer = decides(settings, seed, self)
 
     def new_call(self, kind: int, wait: float, **fields) -> Call:
+        """Returns a call of the traffic type with index `kind`, whose client waits `wait` seconds."""
         return Call(self.settings.types[kind], self.now + wait, self.now, **fields)
 
     def begin_leg(self, call: Call, server: Server) -> Leg:
+        """Records that the call is sent to the server now."""
         leg = Leg(call, server, self.now)
         call.legs.append(leg)
         return leg
 
     def resume_leg(self, leg: Leg) -> None:
-        """It stood before this instance started."""
+        """Records a connection that was established before this instance started."""
         leg.established = True
         self.balancer.on_resumed(leg)
 
     def leg_established(self, leg: Leg) -> None:
+        """Records that the leg's connection is established."""
         leg.established = True
         self.balancer.on_established(leg)
 
     def leg_ended(self, leg: Leg, result: Result, final: bool) -> None:
-        """The first result of a leg; `final` if the call is served or nothing is owed any more."""
+        """Records the result of a leg, which is its only one. `final`: the call is served, or its client is
+        owed nothing any more."""
         leg.result = result
         leg.call.done = leg.call.done or final
         self.balancer.on_leg_ended(leg, result)
@@ -65,13 +71,15 @@
         whole: bool,
         kept: Container[int] = (),
     ) -> None:
-        """Entries as mark, state, cell, zone, weight, start, machine; whoever a whole list lacks is gone, but
-        for the marks that are kept."""
+        """Applies entries of a list: id_hash, state, cell, zone, weight, start, machine type.
+
+        If the list is `whole`, every server that it lacks counts as gone, except those whose id_hash is in
+        `kept`."""
         changed = []
-        for mark, state, cell, zone, weight, since, machine in rows:
-            server = self.servers.setdefault(mark, Server(mark))
-            server.state, server.cell, server.zone, server.started_at = state, cell, zone, since
-            server.weight, server.machine_type = weight, machine
+        for id_hash, state, cell, zone, weight, started_at, machine_type in rows:
+            server = self.servers.setdefault(id_hash, Server(id_hash))
+            server.state, server.cell, server.zone, server.started_at = state, cell, zone, started_at
+            server.weight, server.machine_type = weight, machine_type
             changed.append(server)
         if whole:
             named = set(changed)
@@ -82,45 +90,45 @@
         self.balancer.on_servers_listed(changed)
 
     def export_learned(self) -> dict[str, Any]:
-        """What this instance has learned, in plain values, for one that takes its place."""
+        """Returns what this instance has learned about servers, as plain values for its successor."""
         return {
             "bears": self.balancer.slow_start.proven_load,
             "servers": {
-                str(mark): {
+                str(id_hash): {
                     name: getattr(server.local_state, attribute) for name, attribute in LEARNED.items()
                 }
-                for mark, server in self.servers.items()
+                for id_hash, server in self.servers.items()
                 if server.state != model.GONE
             },
         }
 
     def import_learned(self, learned: dict[str, Any], clock_ahead: float = 0.0) -> None:
-        """Begin with what another instance had learned. Values of another form are left. `clock_ahead`:
-        seconds by
-        which our clock is ahead of the one that it was told by."""
-        bears = learned.get("bears")
-        if isinstance(bears, float | int):
-            self.balancer.slow_start.proven_load = max(self.balancer.slow_start.proven_load, bears)
-        for mark, values in learned.get("servers", {}).items():
-            server = self.servers.get(int(mark))
+        """Takes over what another instance exported. Values of a wrong type are skipped.
+
+        `clock_ahead`: seconds by which this instance's clock is ahead of the other's."""
+        proven_load = learned.get("bears")
+        if isinstance(proven_load, float | int):
+            self.balancer.slow_start.proven_load = max(self.balancer.slow_start.proven_load, proven_load)
+        for id_hash, values in learned.get("servers", {}).items():
+            server = self.servers.get(int(id_hash))
             for name, attribute in LEARNED.items() if server else ():
                 if type(values.get(name)) in (int, float):
                     shift = clock_ahead if name in TIMES else 0
                     setattr(server.local_state, attribute, values[name] + shift)
 
     def may_move_later(self, leg: Leg) -> None:
-        """The host did not carry out a move: the decisions may choose this connection again."""
+        """Records that the host did not carry out a move: the decisions may choose this connection again."""
         if leg.established and leg.result is None:
             leg.server.local_state.established_legs[leg] = None
 
     def forget_server(self, server: Server) -> None:
-        """One that is gone and holds nothing of ours; listed again, it is a new one."""
+        """Drops a server that is gone and holds no leg of this balancer. Listed again, it is a new server."""
         del self.servers[server.id_hash]
         self.balancer.fleet.remove(server)
 
-    def server(self, mark: int) -> Server:
-        """A server by its mark; one that no list has named counts as gone."""
-        if mark not in self.servers:
-            self.servers[mark] = Server(mark, state=model.GONE)
-            self.balancer.on_servers_listed([self.servers[mark]])
-        return self.servers[mark]
+    def server(self, id_hash: int) -> Server:
+        """Returns the server with this id_hash. One that no list has named is added as gone."""
+        if id_hash not in self.servers:
+            self.servers[id_hash] = Server(id_hash, state=model.GONE)
+            self.balancer.on_servers_listed([self.servers[id_hash]])
+        return self.servers[id_hash]
