--- a/bellrack/settings.py
+++ b/bellrack/settings.py
@@ -1,4 +1,4 @@
-"""The settings object that an instance is told at its start, read once for every host of the decisions."""
+"""Parses the settings object that an instance gets at its start, for every host of the decisions."""
 
 from __future__ import annotations
 
@@ -11,6 +11,7 @@
 from bellrack import model
 from bellrack.model import Settings, TrafficType
 
+# Names in the settings -> names of the decisions.
 EFFECTS = {"retryable": model.REPEATABLE, "dedup": model.REFERENCED, "fragile": model.ONCE_ONLY}
 
 
@@ -22,65 +23,70 @@
     "outstanding": model.HELD,
 }
 MAX_REPORT_FIELDS = 4
-RETAIN_SECONDS = 60.0  # seconds for which a traffic type that has vanished is still served
+RETAIN_SECONDS = 60.0  # how long a removed traffic type or tenant is still served
 WEIGHT_MODES = ("nominal", "rough", "off", "live")
 
 
 class SettingsError(ValueError):
-    """Settings that lack what is needed; the text names the place."""
+    """A setting is missing or unusable; the text names the key."""
 
 
 @dataclass(eq=False)
 class ProtocolNames:
-    """What only a host on sockets reads: names on the lines, and the limits of set-ups."""
+    """Settings that only a host on sockets reads: names on the lines and time limits, in seconds."""
 
-    types: dict[str, int]
+    types: dict[str, int]  # index by name, also below
     tenants: dict[str, int]
     zones: dict[str, int]
-    default_timeouts: list[float]  # by traffic type, where a line tells none
+    default_timeouts: list[float]  # by traffic type, for request lines without one
     connect_timeout: float
-    reports_delay: bool
-    reports_load: bool
-    vanished: dict[str, float] = field(default_factory=dict)  # types that the last files lack, and since when
-    closed: dict[str, float] = field(default_factory=dict)  # the same of tenants
+    reports_delay: bool  # servers report late messages
+    reports_load: bool  # servers report their load
+    removed_types: dict[str, float] = field(default_factory=dict)  # not in the last file; removed when
+    removed_tenants: dict[str, float] = field(default_factory=dict)
 
     def retain_removed(
         self, settings: Settings, former: ProtocolNames, types: list[TrafficType], now: float
     ) -> None:
-        """Traffic types and tenants that the former settings had and these lack stay for a while: guards
-        against clients that are moved, come again as what they were, and hear that there is none such."""
+        """Keeps the traffic types and tenants that `former` had and these settings lack for RETAIN_SECONDS.
+
+        Otherwise clients that are moved and come back as before would be refused as unknown. `types`: the
+        traffic types of the former settings; `settings.types` is extended."""
         for name, index in former.types.items():
-            since = former.vanished.get(name, now)
+            since = former.removed_types.get(name, now)
             if name not in self.types and now - since <= RETAIN_SECONDS:
-                self.vanished[name], self.types[name] = since, len(settings.types)
+                self.removed_types[name], self.types[name] = since, len(settings.types)
                 settings.types.append(types[index])
                 self.default_timeouts.append(former.default_timeouts[index])
         for name, index in former.tenants.items() if self.tenants else ():
-            since = former.closed.get(name, now)
+            since = former.removed_tenants.get(name, now)
             if name not in self.tenants and now - since <= RETAIN_SECONDS:
-                self.closed[name], self.tenants[name] = since, index
+                self.removed_tenants[name], self.tenants[name] = since, index
 
 
 @contextmanager
 def named_errors() -> Iterator[None]:
-    """Whatever is amiss within becomes one SettingsError."""
+    """Turns lookup and conversion errors in its block into a SettingsError."""
     try:
         yield
     except KeyError as error:
-        raise SettingsError(f"no usable value at {error}") from error
+        raise SettingsError(f"missing key or unknown value: {error}") from error
     except (ValueError, TypeError, AttributeError) as error:
         raise SettingsError(str(error)) from error
 
 
 def positive(name: str, value: float) -> float:
-    """Guards against a slip of the pen with which every call would be given up at once, or wait for ever."""
+    """Returns the value. Raises SettingsError unless it is finite and above 0: with such a typing error every
+    call would be given up at once, or wait forever."""
     if not 0 < value < math.inf:
-        raise SettingsError(f"{name} is {value}, not over 0")
+        raise SettingsError(f"{name} is {value}, not above 0")
     return value
 
 
 def first_missing_key(raw: Any, former: Any) -> str:
-    """The first key that stood in the former object, or in every row of its lists, and is not in this one."""
+    """Returns the path of the first key that `former`, or every row of its lists, has and `raw` lacks, or "".
+
+    Where the two differ in form, the path ends in words that say so."""
     if isinstance(former, dict) and isinstance(raw, dict):
         for key in former:
             if key not in raw:
@@ -99,7 +105,9 @@
 
 
 def parse_settings(raw: Any) -> Settings:
-    """The settings that decisions read; unknown keys are skipped, optional ones may be absent."""
+    """Parses the settings of the decisions. Unknown keys are skipped, optional ones may be absent.
+
+    Raises SettingsError."""
     with named_errors():
         special, caps, rules = raw["specifics"], raw["caps"], raw["obligations"]
         aims = special.get("messageAimUs") or [row["setupTargetUs"] for row in raw["trafficTypes"]]
@@ -145,15 +153,15 @@
 
 
 def check_shape(raw: Any) -> Any:
-    """Refuse values that no page of a deployment knows, and reports of no form; the text names the key. Gives
-    the settings back. Only a host that serves asks this.
+    """Returns the settings. Raises SettingsError, which names the key, for a value that is not documented for
+    any deployment and for a malformed report. Only hosts that serve call it.
 
-    Any mix of what the pages allow is served, as each is read on its own: whether the list comes unasked,
+    Any mix of the documented values is served, since each is read on its own: whether the list is pushed,
     whether weights are live, and whether probes bring reports."""
     with named_errors():
         report = raw.get("report", {"how": "off"})
         if not isinstance(report, dict):
-            raise SettingsError("report is no object")
+            raise SettingsError("report is not an object")
         how, fields = report.get("how", "off"), report.get("fields", [])
         for key, value, known in (
             ("discovery", raw["discovery"], ("ask", "push")),
@@ -165,12 +173,13 @@
                 raise SettingsError(f"{key} is {value!r}, not one of {', '.join(map(str, known))}")
         named = isinstance(fields, list) and all(isinstance(name, str) for name in fields)
         if not named or len(fields) > MAX_REPORT_FIELDS or len(set(fields)) < len(fields):
-            raise SettingsError(f"report.fields is no list of {MAX_REPORT_FIELDS} different names at most")
+            raise SettingsError(f"report.fields is not a list of at most {MAX_REPORT_FIELDS} different names")
         return raw
 
 
 def probe_report_fields(raw: Any) -> tuple[str, ...]:
-    """What a probe's report brings, in its order, by the names of the decisions; others keep theirs."""
+    """Returns the fields of a probe's report, in order, by the names of the decisions; unknown fields keep
+    their names. Empty if probes bring no reports."""
     report = raw.get("report", {})
     if report.get("how") != "on_probe" or not raw["caps"].get("probes"):
         return ()
@@ -178,7 +187,7 @@
 
 
 def parse_protocol_names(raw: Any) -> ProtocolNames:
-    """What a host on sockets needs besides."""
+    """Parses the settings that only a host on sockets reads. Raises SettingsError."""
     with named_errors():
         special = raw["specifics"]
         return ProtocolNames(
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -34,7 +34,7 @@
         ({"weights": "heavy"}, "weights"),
         ({"weights": 3}, "weights"),
         ({"report": {"how": "never"}}, "report.how"),
-        ({"report": []}, "report is no object"),
+        ({"report": []}, "report is not an object"),
         ({"caps": CAPS | {"probes": "yes"}}, "caps.probes"),
         (fields("x0", "x0"), "report.fields"),
         (fields("x0", 7), "report.fields"),
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -69,7 +69,7 @@
         (frame("0102 0007bc9e0e6f2b19"), "before any On"),
         (
             frame("0105 0003", "0106 0000000000000001 00000000 00000002", tail=b"{}"),
-            "Launch.setup: no usable",
+            "Launch.setup: missing key or unknown value",
         ),
     ],
 )
