--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -104,7 +104,9 @@
         else:
             self.host.release(call)
 
-    def on_established(self, leg: Leg) -> None: ...
+    def on_established(self, leg: Leg) -> None:
+        """Nothing to decide: the host answers the client."""
+        ...
 
     def on_leg_ended(self, leg: Leg, result: Result) -> None:
         """Tries the call again if it is still unanswered."""
--- a/bellrack/simulator/adapter.py
+++ b/bellrack/simulator/adapter.py
@@ -15,6 +15,7 @@
 from bellrack.simulator import wire
 from bellrack.simulator.wire import WireError
 
+# Codes on the wire -> states of a server and results of a leg.
 STATES = {0: model.GONE, 1: model.READY, 2: model.DRAINING}
 RESULTS = {
     10: model.COMPLETED,
@@ -26,7 +27,7 @@
     70: model.CANCELLED,
     80: model.MOOT,
 }
-DELTA, FULL_LIST, CACHED, FAILED = 0, 1, 2, 3
+DELTA, FULL_LIST, CACHED, FAILED = 0, 1, 2, 3  # kinds of the event Members
 
 
 class Instance(Accounting):
