--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -41,8 +41,8 @@
     """Keeps the books of a host, as the adapter does, and lets a test play the world."""
 
     def __init__(self, rules: Settings, seed: int = 7):
-        self.now, self.rules, self.wakes, self.done, self.logs = 100.0, rules, [], [], []
-        self.sent, self.moved, self.watched, self.probes, self.told = [], [], 0, [], []
+        self.now, self.rules, self.timers, self.done, self.logs = 100.0, rules, [], [], []
+        self.sent, self.moved, self.watched, self.probes, self.datagrams = [], [], 0, [], []
         self.balancer = Balancer(rules, seed, self)
 
     def send(self, call, server, until):
@@ -72,15 +72,15 @@
         self.probes.append(server)
 
     def send_datagram(self, peer, data):
-        self.told.append((peer, data))
+        self.datagrams.append((peer, data))
 
-    def answer(self, server, *report, kind=model.COMPLETED):
+    def answer_probe(self, server, *report, kind=model.COMPLETED):
         """A probe of it is answered."""
         self.probes.remove(server)
         self.balancer.on_probe_result(server, Result(kind, 0.001, report))
 
     def set_timer(self, when, what):
-        self.wakes.append((when, what))
+        self.timers.append((when, what))
 
     def log(self, text):
         self.logs.append(text)
@@ -90,8 +90,8 @@
         self.balancer.on_servers_listed(servers)
         return servers
 
-    def call(self, group=0, kind=0, guard=3.0) -> Call:
-        call = Call(self.rules.types[kind], self.now + guard, self.now, group=group)
+    def call(self, group=0, kind=0, wait=3.0) -> Call:
+        call = Call(self.rules.types[kind], self.now + wait, self.now, group=group)
         self.balancer.on_call(call)
         return call
 
@@ -107,9 +107,9 @@
 
     def run(self, until):
         """Time passes; wakes that fall due come in order."""
-        while due := [wake for wake in self.wakes if wake[0] <= until]:
-            first = min(due, key=lambda wake: wake[0])
-            self.wakes.remove(first)
+        while due := [timer for timer in self.timers if timer[0] <= until]:
+            first = min(due, key=lambda timer: timer[0])
+            self.timers.remove(first)
             self.now = max(self.now, first[0])
             self.balancer.on_timer(first[1])
         self.now = max(self.now, until)
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -102,7 +102,7 @@
     waits = []
     for _ in range(4):
         bench.balancer.on_discovery_failed()
-        waits.append(min(when for when, what in bench.wakes if what == "watch") - bench.now)
+        waits.append(min(when for when, what in bench.timers if what == "watch") - bench.now)
         bench.run(bench.now + waits[-1])
     assert bench.watched == 5 and waits[-1] > 2 * waits[0] > 0
 
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -444,9 +444,9 @@
 def test_a_list_service_that_fails_is_asked_again_while_the_list_stands():
     bench = Bench(settings(ask_within=1.0))
     for _ in range(40):
-        bench.wakes.clear()
+        bench.timers.clear()
         bench.balancer.on_discovery_failed()
-        ((when, what),) = bench.wakes
+        ((when, what),) = bench.timers
         assert what == "watch" and when - bench.now <= 1.5  # four times that holds after a call that failed
 
 
@@ -514,7 +514,7 @@
 def test_a_short_deadline_leaves_time_for_a_leg(wait, goes):
     bench = Bench(settings())  # an answer's way is taken for 24 ms
     bench.fleet(0, 0)
-    call = bench.call(guard=wait)
+    call = bench.call(wait=wait)
     assert bool(bench.sent) == goes and call.done != goes
     for _, until in bench.sent:
         assert bench.now + 0.7 * wait < until < call.deadline
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -42,7 +42,7 @@
     for load in loads:
         (server,) = bench.probes
         assert len(bench.sent) == before  # it waits
-        bench.answer(server, 0.5, load)
+        bench.answer_probe(server, 0.5, load)
         servers.append(server)
     return servers
 
@@ -65,8 +65,10 @@
     home, away = bench.fleet(0, 1)
     asked(bench, 1.2)
     assert bench.probes == [away] and not bench.sent
-    assert [what for _, what in bench.wakes].count("queue") == 1  # guards against a look more for each answer
-    bench.answer(away, 0.1, 0.1)
+    assert [what for _, what in bench.timers].count(
+        "queue"
+    ) == 1  # guards against a look more for each answer
+    bench.answer_probe(away, 0.1, 0.1)
     assert sent(bench) == [away]
 
 
@@ -76,7 +78,7 @@
     (server,) = bench.fleet(0)
     asked(bench)
     if answer:
-        bench.answer(server, **answer)
+        bench.answer_probe(server, **answer)
     assert not bench.sent
     bench.run(bench.now + 0.16)
     assert (
@@ -102,9 +104,9 @@
     bench.fleet(0, 0)
     asked(bench)
     (gone,) = bench.probes
-    bench.answer(gone, kind=model.NO_CONN)
+    bench.answer_probe(gone, kind=model.NO_CONN)
     (other,) = bench.probes
-    bench.answer(other, 0.1, 0.1)
+    bench.answer_probe(other, 0.1, 0.1)
     assert sent(bench) == [other] and gone.local_state.unhealthy_until == 0.0
     bench.run(bench.now + 2.2)
     asked(bench)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -105,7 +105,7 @@
             fleet[which].weight = how
             bench.balancer.on_servers_listed([fleet[which]])
         elif what == "probed" and bench.probes:
-            bench.answer(
+            bench.answer_probe(
                 bench.probes[which % len(bench.probes)], *[which / 50] * (how == model.COMPLETED), kind=how
             )
         elif what == "left":
