--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A door that records, settings to start from, a fleet to place calls on; and a node among played peers."""
+"""Test doubles: a host that records the actions of the decisions, and a node among peers played by a test."""
 
 import asyncio
 import contextlib
@@ -20,6 +20,7 @@
 
 
 def settings(**changes) -> Settings:
+    """Returns settings of the decisions with these changes."""
     base = {
         "types": [TrafficType(model.REPEATABLE, "all", 0.0, 0.3, 0.1)],
         "zone": 0,
@@ -38,7 +39,7 @@
 
 
 class Bench:
-    """Keeps the books of a host, as the adapter does, and lets a test play the world."""
+    """A host that records the actions of its balancer. Tests play the clients, the servers and the clock."""
 
     def __init__(self, rules: Settings, seed: int = 7):
         self.now, self.rules, self.timers, self.done, self.logs = 100.0, rules, [], [], []
@@ -75,7 +76,7 @@
         self.datagrams.append((peer, data))
 
     def answer_probe(self, server, *report, kind=model.COMPLETED):
-        """A probe of it is answered."""
+        """Answers a probe of the server with this report."""
         self.probes.remove(server)
         self.balancer.on_probe_result(server, Result(kind, 0.001, report))
 
@@ -86,27 +87,31 @@
         self.logs.append(text)
 
     def fleet(self, *zones, **fields) -> list[Server]:
+        """Lists a server in each of these zones."""
         servers = [Server(mark * 77 + 5, zone, **fields) for mark, zone in enumerate(zones)]
         self.balancer.on_servers_listed(servers)
         return servers
 
     def call(self, group=0, kind=0, wait=3.0) -> Call:
+        """A client makes a call of the traffic type with index `kind`, and waits `wait` seconds."""
         call = Call(self.rules.types[kind], self.now + wait, self.now, group=group)
         self.balancer.on_call(call)
         return call
 
     def establish(self, leg):
+        """The connection of the leg is established."""
         leg.established = True
         self.balancer.on_established(leg)
 
     def end_leg(self, leg, kind):
+        """The leg ends with a result of this kind."""
         leg.result = Result(kind)
         if kind == model.COMPLETED or leg.established:
             leg.call.done = True
         self.balancer.on_leg_ended(leg, leg.result)
 
     def run(self, until):
-        """Time passes; wakes that fall due come in order."""
+        """Lets time pass until `until`; timers expire in order."""
         while due := [timer for timer in self.timers if timer[0] <= until]:
             first = min(due, key=lambda timer: timer[0])
             self.timers.remove(first)
@@ -116,7 +121,7 @@
 
 
 def raw_settings(effect="retryable", **changes) -> dict:
-    """The settings object as an instance on sockets gets it, with one traffic type, in zones a and b."""
+    """Returns the settings object of an instance on sockets, with one traffic type, and zones a and b."""
     return {
         "trafficTypes": [
             {
@@ -147,7 +152,7 @@
     "connectTimeoutUs": 200000,
     "probes": True,
 }
-# What a deployment of the newer shape tells in other words than raw_settings does.
+# The settings in which a deployment of the newer shape differs from raw_settings.
 LIVE = {
     "discovery": "push",
     "weights": "live",
@@ -157,13 +162,14 @@
 
 
 def configured(**changes) -> str:
-    """A configuration file's text."""
+    """Returns the text of a configuration file."""
     place = "127.0.0.1:1"
     return json.dumps({"listen": place, "discovery": place, "settings": raw_settings(**changes)})
 
 
 def refused(tmp_path, capsys, monkeypatch, text) -> str:
-    """What `bellrack check` says of an unusable file with this text, or of none: one plain line, exit 2."""
+    """Returns the error line of `bellrack check` for an unusable file with this text, or for a missing file.
+    It has to be one line, with exit code 2."""
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text)
@@ -175,7 +181,7 @@
 
 
 class Peer:
-    """The far side of a connection in the tests."""
+    """The remote end of a connection, as a test plays it."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer = reader, writer
@@ -184,7 +190,7 @@
         self.writer.write(text.encode() + b"\r\n")
 
     async def line(self):
-        """The next line, or how the connection ended."""
+        """Returns the next line, or how the connection ended: "fin" or "rst"."""
         try:
             got = await asyncio.wait_for(self.reader.readline(), 5)
         except ConnectionResetError:
@@ -202,7 +208,7 @@
 
 
 class World:
-    """A node on loopback between discovery and servers, whose sides the test plays."""
+    """A node on loopback, with discovery and servers that the test plays."""
 
     def __init__(
         self,
@@ -224,7 +230,7 @@
             "settings": raw_settings(effect, **changes),
         }
         self.count, self.known, self.entries, self.control = servers, known, [], control
-        self.apart = apart  # each server in a zone and a cell of its own
+        self.apart = apart  # whether each server has its own zone and cell
         self.patience = patience  # with discovery that pushes and says nothing at the start
         self.numbers = itertools.count(1)
         self.arrived, self.questions = asyncio.Queue(), asyncio.Queue()
@@ -247,7 +253,7 @@
         return self
 
     async def names_none(self):
-        """Discovery says that there is no server: without a list nobody is let in."""
+        """Discovery sends an empty list: without a list the node accepts no clients."""
         self.watch, _ = await self.question()
         text = '{"generation":42,"reset":true,"instances":[]}\n'
         self.watch.writer.write(
@@ -255,7 +261,7 @@
         )
 
     async def start(self, **changes):
-        """A process that serves, beside those that do already."""
+        """Starts another node beside those that serve already."""
         with mock.patch.object(host, "KNOWN_LIST_WAIT", self.patience):
             node = Node(parse_config(self.raw | changes), asyncio.get_running_loop())
         serving = asyncio.create_task(node.serve())
@@ -272,14 +278,14 @@
 
     @contextlib.asynccontextmanager
     async def beside(self):
-        """A second process that ends when the test has seen enough of it."""
+        """A second node, for the duration of the block."""
         node, serving = await self.start()
         yield node
         node.finished.set()
         await serving
 
     async def first_ends(self, serving):
-        """The world's node is the second from now on, and the first is gone."""
+        """Waits for the first node to end; the world's node is the second from now on."""
         await asyncio.wait_for(self.serving, 5)
         self.serving = serving
 
@@ -308,7 +314,7 @@
         return client
 
     async def leg(self):
-        """The next connection that a server takes in, and its first line."""
+        """Returns the number of a server, the next connection that it accepts, and its first line."""
         number, peer = await asyncio.wait_for(self.arrived.get(), 5)
         return number, peer, await peer.line()
 
@@ -320,7 +326,7 @@
         return client, server
 
     async def question(self):
-        """The next question to discovery, as its target."""
+        """Returns the next request to discovery and its target."""
         peer = await asyncio.wait_for(self.questions.get(), 5)
         target = (await peer.line()).split()[1]
         while await peer.line():
@@ -331,7 +337,7 @@
         return self.node.listeners.admin.sockets[0].getsockname()
 
     async def ask(self, path, body="", method=None):
-        """What an operator is answered: status and text, or 0 for none."""
+        """Returns the status (0 for none) and the text that an operator gets."""
         peer = Peer(*await asyncio.open_connection(*self.desk()))
         method = method or ("POST" if body else "GET")
         peer.writer.write(f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
@@ -351,20 +357,21 @@
     async def until(self, true, seconds=5.0):
         end = self.node.loop.time() + seconds
         while not true():
-            assert self.node.loop.time() < end, "it never came"
+            assert self.node.loop.time() < end, "the condition did not come true in time"
             await asyncio.sleep(0.005)
 
 
 class Batch:
-    """Makes one batch of what comes over several connections, in an order that a test chooses: whatever has
-    something to do is held back until all have, whatever the pace of the sockets."""
+    """Puts the events of several connections into one batch, in an order that a test chooses. Each connection
+    is held back until all of them have an event, however fast the sockets are."""
 
     def __init__(self, monkeypatch, node):
         self.node, self.order, self.held, self.wake = node, [], [], Connection.wake
         monkeypatch.setattr(Connection, "wake", lambda link: self.note(link))
 
     def of(self, *order):
-        """From now on: sides of links, with " end" those that have ended; as tuples what else is queued."""
+        """Sets the order: sides of connections, with " end" if their remote end closed; tuples are queued
+        functions with their arguments."""
         self.order = list(order)
 
     def note(self, link):
@@ -385,7 +392,7 @@
 
 
 def played(test):
-    """A test that is a coroutine."""
+    """Decorates a test that is a coroutine: runs it, for 20 s at most."""
 
     @functools.wraps(test)
     def run(*args, **named):
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -1,4 +1,4 @@
-"""The ordinary path, and a test for each failure found."""
+"""The decisions in ordinary situations, and a test for each failure that was found."""
 
 import pytest
 from helpers import Bench, settings
@@ -8,7 +8,8 @@
 
 
 def place(bench, count, **call):
-    """Place calls that stand at once, no faster than one server takes them; where they went."""
+    """Places calls that are established at once, no faster than one server takes them. Returns their
+    servers."""
     before = len(bench.sent)
     for _ in range(count):
         bench.run(bench.now + 0.13)
@@ -18,12 +19,13 @@
     return [leg.server for leg, _ in bench.sent[before:]]
 
 
-def late(bench, server, delay=0.2):
+def report_delay(bench, server, delay=0.2):
+    """The server reports that a message takes `delay` seconds."""
     leg = next(leg for leg, _ in bench.sent if leg.server is server and not leg.call.done)
     bench.balancer.on_delay_reported(leg, delay)
 
 
-def test_stays_in_zone_until_the_ratio_is_missed():
+def test_calls_stay_in_their_zone_until_too_few_servers_are_healthy():
     bench = Bench(settings())
     home = bench.fleet(0, 0, 1, 1)[:2]
     assert {server.zone for server in place(bench, 40)} == {0}
@@ -40,35 +42,35 @@
     bench = Bench(settings())
     bench.fleet(0, 0, 0, 0)
     spread = [len(set(place(bench, 3, group=group * 7919))) for group in range(1, 21)]
-    assert sum(spread) < 32  # 60 calls: three servers each if drawn at random, one each if gathered
+    assert sum(spread) < 32  # 60 calls: three servers per group if drawn at random, one if gathered
     assert len(set(place(bench, 200, group=5))) == 4
 
 
-def test_swamped_server_is_spared_and_relieved():
+def test_overloaded_server_gets_no_calls_and_some_connections_are_moved():
     bench = Bench(settings())
     one, other = bench.fleet(0, 0)
     place(bench, 40)
-    late(bench, one)
+    report_delay(bench, one)
     assert set(place(bench, 8)) == {other}
     assert bench.moved and all(call.legs[-1].server is one for call in bench.moved)
     assert len(bench.moved) < 8
 
 
-def test_swamped_zone_spills_and_swamped_fleet_rejects():
+def test_overloaded_zone_spills_over_and_overloaded_fleet_rejects():
     bench = Bench(settings())
     fleet = bench.fleet(0, 0, 1)
     place(bench, 40)
     for server in fleet[:2]:
-        late(bench, server)
+        report_delay(bench, server)
     assert set(place(bench, 5)) == {fleet[2]}
     for server in fleet:
-        late(bench, server)
+        report_delay(bench, server)
     assert place(bench, 1) == []
     bench.run(bench.now + 0.35)
     assert [how for _, how, _ in bench.done] == ["rejected"]
 
 
-def test_kept_call_is_placed_when_it_may_be_and_not_once_its_client_left():
+def test_queued_call_is_placed_once_a_server_is_listed_unless_its_client_left():
     bench = Bench(settings())
     stays, leaves = bench.call(), bench.call()
     leaves.done = True
@@ -78,7 +80,7 @@
     assert [leg.call for leg, _ in bench.sent] == [stays]
 
 
-def test_strays_come_home_only_while_home_is_calm():
+def test_connections_in_other_zones_are_moved_back_only_while_our_zone_is_calm():
     bench = Bench(settings())
     home, away = bench.fleet(0, 1)
     home.state = model.DRAINING
@@ -87,7 +89,7 @@
     home.state = model.READY
     bench.balancer.on_servers_listed([home])
     place(bench, 9)
-    late(bench, home, 0.04)
+    report_delay(bench, home, 0.04)
     bench.moved.clear()
     bench.run(bench.now + 4)
     assert not bench.moved
@@ -95,7 +97,7 @@
     assert bench.moved and all(call.legs[-1].server is away for call in bench.moved)
 
 
-def test_asks_for_the_list_soon_and_again_later_after_failures():
+def test_watch_starts_soon_and_backs_off_after_failures():
     bench = Bench(settings())
     bench.run(bench.now + 1)
     assert bench.watched == 1
@@ -107,7 +109,7 @@
     assert bench.watched == 5 and waits[-1] > 2 * waits[0] > 0
 
 
-def test_churn_on_a_cold_server_is_paced():
+def test_set_ups_at_a_cold_server_are_paced_though_its_connections_end_at_once():
     bench = Bench(settings())
     cold, *_ = bench.fleet(0, 0, 0)
     place(bench, 90)
@@ -117,7 +119,7 @@
     bench.balancer.on_servers_listed([cold])
     bench.run(bench.now + 15)
     before = len(bench.sent)
-    for _ in range(20):  # each ends at once and frees its place
+    for _ in range(20):  # each connection ends at once
         bench.run(bench.now + 0.02)
         bench.call()
         bench.end_leg(bench.sent[-1][0], model.COMPLETED)
@@ -125,12 +127,12 @@
     assert sum(leg.server is cold for leg, _ in bench.sent[before:]) <= 1 + 20 * 0.02 / gap < 20
 
 
-def test_a_rush_waits_for_its_server_instead_of_crossing():
+def test_calls_of_a_rush_wait_for_a_server_of_their_zone():
     bench = Bench(settings())
     home, _ = bench.fleet(0, 1)
     for _ in range(16):
         bench.call()
-    # What it surely bears goes at once: guards against a mass reconnect rejected while servers stand empty.
+    # Calls up to the baseline load are sent at once. Otherwise a mass reconnect is rejected by empty servers.
     assert len(bench.sent) == choice.ASSUMED_CONNECTIONS_PER_CAPACITY
     bench.run(bench.now + 0.24)
     assert {leg.server for leg, _ in bench.sent} == {home} and len(
@@ -138,21 +140,21 @@
     ) == choice.ASSUMED_CONNECTIONS_PER_CAPACITY + 1
 
 
-def test_after_a_restart_servers_half_warm_are_not_taken_for_cold():
-    # Guards against calls rejected while servers that the others fill stand empty.
+def test_half_warm_servers_of_the_first_list_are_not_treated_as_just_started():
+    # Otherwise calls are rejected while servers that other balancers fill have room.
     bench = Bench(settings())
     (known,) = bench.fleet(0, started_at=bench.now - 10)
     bench.call()
     assert known.local_state.open_legs == 1
-    late = Server(9, 0, started_at=bench.now - 10)  # told late: this one counts from now
-    bench.balancer.on_servers_listed([late])
+    later = Server(9, 0, started_at=bench.now - 10)  # listed later: it counts as started now
+    bench.balancer.on_servers_listed([later])
     for _ in range(4):
         bench.call()
-    assert not late.local_state.open_legs
+    assert not later.local_state.open_legs
 
 
-def test_a_small_holder_that_was_cut_takes_more_again_as_is_usual():
-    # Guards against a fresh balancer that held one connection where others held many: shut for long.
+def test_limit_of_a_balancer_with_one_leg_grows_back_with_the_baseline_load():
+    # A new balancer held one connection where others held many, and got no more for long.
     bench = Bench(settings(peers=2))
     (server,) = bench.fleet(0)
     place(bench, 1)
@@ -162,7 +164,7 @@
     assert server.local_state.open_legs == 1 and bench.balancer.selection.has_room(server)
 
 
-def test_a_rejected_call_comes_again_before_the_longest_wait():
+def test_reject_names_a_retry_delay_below_the_longest_that_clients_honour():
     waits, bench = [], Bench(settings())
     bench.reject = lambda call, wait=0.0: waits.append(wait) or bench.end(call, "rejected")
     bench.call()
@@ -170,42 +172,41 @@
     assert waits == [pytest.approx(0.5)]
 
 
-def many(count, *zones):
+def many_benches(count, *zones):
     benches = [Bench(settings(peers=count), seed * 7919) for seed in range(count)]
     for bench in benches:
         bench.fleet(*zones)
     return benches
 
 
-def test_moves_and_ceilings_hold_in_total_where_each_balancer_holds_one():
-    benches = many(300, 0)
+def test_moves_and_limits_add_up_where_each_balancer_holds_one_connection():
+    benches = many_benches(300, 0)
     for bench in benches:
         place(bench, 1)
-        late(bench, bench.sent[0][0].server)
-    assert 60 < sum(len(bench.moved) for bench in benches) < 120  # three tenths, not one each
+        report_delay(bench, bench.sent[0][0].server)
+    assert 60 < sum(len(bench.moved) for bench in benches) < 120  # three tenths of them, not one per balancer
     for bench in benches:
         bench.run(bench.now + 5)
         place(bench, 3)
-    assert (
-        300 <= sum(bench.balancer.fleet[0].local_state.open_legs for bench in benches) < 380
-    )  # no second one each
+    # The balancers do not each place a second one.
+    assert 300 <= sum(bench.balancer.fleet[0].local_state.open_legs for bench in benches) < 380
 
 
-def test_a_drowned_zone_spills_also_from_servers_on_which_nothing_is_held():
+def test_overloaded_zone_spills_over_also_from_servers_without_own_connections():
     bench = Bench(settings())
     bench.fleet(*[0] * 12 + [1] * 4)
     held = dict.fromkeys(place(bench, 9))
     for _ in range(2):
         bench.run(bench.now + 1)
         for server in held:
-            late(bench, server)
+            report_delay(bench, server)
     assert {server.zone for server in place(bench, 4)} == {1}
 
 
-def test_a_group_overflows_to_few_servers_the_same_at_every_balancer():
-    benches = many(40, *[0] * 12)
+def test_group_overflows_to_the_same_few_servers_at_every_balancer():
+    benches = many_benches(40, *[0] * 12)
     for bench in benches:
-        for _ in range(12):  # each balancer finds other servers late
+        for _ in range(12):  # each balancer finds other servers overloaded
             server = bench.balancer.fleet[int(bench.balancer.rng.uniform() * 12)]
             server.local_state.delay_ratio, server.local_state.delay_reported_at = 1.0, bench.now + 9
         for _ in range(3):
@@ -213,7 +214,7 @@
     assert len({leg.server.id_hash for bench in benches for leg, _ in bench.sent}) <= 3
 
 
-def test_a_balancer_whose_connections_were_shed_still_takes_the_zone_for_late():
+def test_zone_still_counts_as_overloaded_after_all_own_connections_there_were_reset():
     bench = Bench(settings())
     bench.fleet(0, 0, 0)
     place(bench, 6)
@@ -229,7 +230,7 @@
     assert bench.balancer.selection.calm_share(0) > 0.8
 
 
-def test_a_kept_call_costs_a_look_at_few_servers_until_one_has_room():
+def test_queued_call_checks_few_servers_until_one_has_room():
     bench = Bench(settings())
     fleet = bench.fleet(*[0] * 40)
     for server in fleet:
@@ -240,10 +241,10 @@
     assert not call.legs and 0 < len(asked) <= 12
 
 
-def test_a_jammed_fleet_is_not_filled_through_servers_of_which_nothing_is_heard():
+def test_overloaded_fleet_is_not_filled_through_servers_without_reports():
     bench = Bench(settings())
     fleet = bench.fleet(0, 0, 1, 1)
-    for server in fleet:  # something stands on each
+    for server in fleet:  # each holds a connection
         bench.balancer.on_resumed(bench.send(bench.call(), server, 0.0))
     bench.run(bench.now + 1)
     for _ in range(4):
@@ -257,19 +258,17 @@
 
 
 @pytest.mark.parametrize(
-    ("blind", "story"),
+    ("peers_unseen", "expected"),
     [
-        # The servers chosen on this story since a kept call looks beyond its group's holders; and, as nobody
-        # tells three balancers what the others hold, since a group's first lot is asked alone and resets
-        # close.
+        # The servers that are chosen in this sequence of events. False: as if the balancers knew each
+        # other's load. True: the three balancers do not know it, so only the first candidate of a group is
+        # tried, and resets close a server.
         (False, "00268422486842486103308403723177376171133502718555556735056020811847640345583"),
         (True, "0026842248332338471371507646801682333706610726371845842574814"),
     ],
 )
-def test_without_live_weights_and_reports_a_fixed_seed_chooses_the_same_and_asks_nothing(
-    monkeypatch, blind, story
-):
-    monkeypatch.setattr(model.Settings, "peers_unseen", blind)
+def test_fixed_seed_makes_the_same_choices_and_sends_no_probes(monkeypatch, peers_unseen, expected):
+    monkeypatch.setattr(model.Settings, "peers_unseen", peers_unseen)
     bench = Bench(settings(peers=3, ramp_time=6.0, cold_share=0.12), seed=25)
     fleet = [Server(mark * 77 + 5, mark % 2, weight=[3.5, 2.0][mark % 3 > 0]) for mark in range(9)]
     bench.balancer.on_servers_listed(fleet)
@@ -287,25 +286,25 @@
             fleet[4].state, fleet[4].started_at = [model.DRAINING, model.READY][number > 40], bench.now
             bench.balancer.on_servers_listed([fleet[4]])
     chosen = "".join(str(fleet.index(leg.server)) for leg, _ in bench.sent)
-    assert chosen == story
+    assert chosen == expected
     assert not bench.probes
 
 
-def test_a_call_placed_at_home_asks_no_cold_server_of_another_zone():
-    # Guards against a decision whose cost grows with all that is cold in a fleet that grows.
+def test_call_placed_in_its_zone_checks_no_cold_server_of_another():
+    # Otherwise the cost of a decision grows with the number of cold servers in the fleet.
     bench = Bench(settings())
     home, *away = bench.fleet(0, 1, 1, 1)
     for server in away:
         server.started_at = bench.now
     bench.balancer.on_servers_listed(away)
-    looked, room = [], bench.balancer.slow_start.may_admit
-    bench.balancer.slow_start.may_admit = lambda server: looked.append(server) or room(server)
-    assert place(bench, 5) == [home] * 5 and not looked
+    checked, may_admit = [], bench.balancer.slow_start.may_admit
+    bench.balancer.slow_start.may_admit = lambda server: checked.append(server) or may_admit(server)
+    assert place(bench, 5) == [home] * 5 and not checked
 
 
-def test_forty_balancers_put_a_group_on_the_same_few_servers_while_all_are_cold():
-    """Each balancer's part of a cold server is another one. Lots drawn over those that it may fill just then
-    scattered a group over all of them, at the group's price on each."""
+def test_balancers_put_a_group_on_the_same_few_servers_while_all_are_cold():
+    """Each balancer has its own part of a cold server's budget. When it ranked only the servers that accepted
+    a set-up just then, a group was scattered over all of them, and each paid the cost of the group."""
     chosen = set()
     for number in range(40):
         bench = Bench(settings(peers=40), seed=number)
@@ -320,9 +319,9 @@
     assert 1 <= len(chosen) <= choice.MAX_CANDIDATES_TRIED
 
 
-def test_forty_balancers_with_a_connection_each_do_not_fill_a_late_server_up_again():
-    """Who had moved its one connection off heard no more of the server, and kept a ceiling of one: all forty
-    together, of as many as had drowned it."""
+def test_balancers_with_one_connection_each_do_not_refill_an_overloaded_server():
+    """A balancer that had moved its one connection off the server got no more reports and kept a limit of
+    one. Together all forty placed as many as had overloaded the server."""
     refilled = moved = 0
     for number in range(40):
         bench = Bench(settings(peers=40), seed=number)
@@ -340,7 +339,7 @@
     assert 0 < refilled <= 1.5 * (1 - share) * moved
 
 
-def test_a_server_out_by_hand_gets_nothing_new_whatever_the_list_says_and_is_emptied():
+def test_cordoned_server_gets_nothing_new_whatever_the_list_says_and_is_emptied():
     bench = Bench(settings())
     first, other = bench.fleet(0, 0)
     for _ in range(20):
@@ -361,7 +360,7 @@
     assert bench.balancer.avoids(first) and not bench.balancer.avoids(other)
 
 
-def test_a_late_leg_on_a_server_out_by_hand_is_moved_too():
+def test_connection_established_after_a_cordon_is_moved_too():
     bench = Bench(settings())
     (server,) = bench.fleet(0)
     bench.call()
@@ -373,23 +372,23 @@
     assert bench.moved == [leg.call]
 
 
-def test_a_server_put_back_is_cold_though_the_list_does_not_know_and_is_used_soon():
+def test_uncordoned_server_is_cold_whatever_the_list_says_and_is_used_soon():
     bench = Bench(settings())
     fleet = bench.fleet(0, 0, 0, 0, 0, 0)
     back = fleet[2]
-    for out in (True, True, False):  # the call out may come twice
+    for out in (True, True, False):  # the order to cordon may come twice
         bench.balancer.on_cordoned(back, out)
         bench.run(bench.now + 1.0)
     assert back.local_state.warm_at > bench.now and bench.balancer.slow_start.warm_share(back) < 0.3
-    put, sent = bench.now, len(bench.sent)
-    while bench.now < put + 5.0 and back not in [leg.server for leg, _ in bench.sent[sent:]]:
+    uncordoned_at, sent = bench.now, len(bench.sent)
+    while bench.now < uncordoned_at + 5.0 and back not in [leg.server for leg, _ in bench.sent[sent:]]:
         bench.call()
         bench.run(bench.now + 0.5)
     assert back in [leg.server for leg, _ in bench.sent[sent:]]
     assert not back.local_state.unused_since_uncordon
 
 
-def test_a_restart_that_the_list_told_while_a_server_was_out_counts_from_then():
+def test_restart_listed_while_a_server_was_cordoned_counts_from_its_start():
     bench = Bench(settings())
     (server,) = bench.fleet(0)
     bench.balancer.on_cordoned(server, True)
@@ -401,7 +400,7 @@
     assert server.local_state.warm_at == server.started_at + bench.rules.ramp_time
 
 
-def test_a_call_whose_holder_is_full_goes_elsewhere_before_it_is_rejected():
+def test_call_whose_group_holder_is_full_goes_elsewhere_before_it_is_rejected():
     bench = Bench(settings())
     fleet = bench.fleet(0, 0, 0)
     for _ in range(2):
@@ -411,16 +410,16 @@
     bench.call(group=3), bench.call(group=4), bench.call(group=5)
     bench.run(bench.now + 0.5)
     (holder,) = {leg.server for leg, _ in bench.sent[:2]}
-    holder.local_state.limit, holder.local_state.limit_cut_at = 0.0, bench.now  # full, and the others are not
+    holder.local_state.limit, holder.local_state.limit_cut_at = 0.0, bench.now  # full, unlike the others
     call = bench.call(group=7)
     kind = call.type
     bench.run(call.arrived + choice.GROUP_HOLDERS_TIME_SHARE * kind.setup_target - 0.01)
-    assert not call.legs and not call.done  # it waits for its group's holder first
+    assert not call.legs and not call.done  # it waits for the holder of its group first
     bench.run(call.arrived + choice.QUEUE_TIME_SHARE * kind.setup_target)
     assert [leg.server in fleet and leg.server is not holder for leg in call.legs] == [True]
 
 
-def test_with_all_servers_out_by_hand_calls_are_answered_and_the_first_back_serves():
+def test_calls_are_rejected_while_all_servers_are_cordoned_and_the_first_uncordoned_one_serves():
     bench = Bench(settings())
     fleet = bench.fleet(0, 1)
     for server in fleet:
@@ -433,8 +432,9 @@
     assert bench.call().legs[0].server is fleet[0]
 
 
-def test_a_doubtful_list_does_not_raise_what_a_cold_server_is_taken_to_bear():
-    # Guards against a mean over the few servers that are left to use, which hold most; it never falls again.
+def test_doubtful_list_does_not_raise_the_baseline_load():
+    # Otherwise the baseline becomes the mean over the few usable servers, which hold the most. It never falls
+    # again.
     bench = Bench(settings(peers=20))
     fleet = bench.fleet(*[0] * 10)
     for server in fleet[:2]:
@@ -451,7 +451,7 @@
     )
 
 
-def test_a_cold_server_takes_nothing_where_a_clock_ran_back():
+def test_cold_server_gets_no_tokens_after_its_clock_ran_backwards():
     bench = Bench(settings(peers=3, ramp_time=20.0))
     (one,) = bench.fleet(0)
     bench.balancer.on_server_start(one, bench.now, bench.now)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,4 @@
-"""Rule 4 for the sum over all balancers, on generated starts."""
+"""Rule 4 for all balancers together, on generated starts of servers."""
 
 import asyncio
 import contextlib
@@ -18,12 +18,13 @@
 STARTS = cold.starts(40, 7, (3, 20, 30))
 
 
-def falls(starts) -> int:
+def fallen_servers(starts) -> int:
+    """Returns how many servers fail from overload in these starts."""
     return sum(cold.played(start)["fell"] for start in starts)
 
 
-def test_no_cold_server_falls_under_the_sum_of_all_balancers():
-    assert not falls(STARTS)
+def test_all_balancers_together_overload_no_cold_server():
+    assert not fallen_servers(STARTS)
 
 
 def twice_the_budget(monkeypatch):
@@ -31,7 +32,7 @@
     monkeypatch.setattr(Settings, "slow_start_budget", lambda *values: [2 * part for part in honest(*values)])
 
 
-def ended_set_ups_uncounted(monkeypatch):
+def ended_set_ups_not_counted(monkeypatch):
     def uncounted(stage, server):
         honest(stage, server)
         server.local_state.tokens_used -= 1
@@ -40,15 +41,15 @@
     monkeypatch.setattr(choice.SlowStart, "record_setup", uncounted)
 
 
-def all_begin_with_one(monkeypatch):
+def all_offsets_are_equal(monkeypatch):
     monkeypatch.setattr(Rng, "stratified", lambda *values: 0.0)
 
 
-def all_tokens_kept(monkeypatch):
+def tokens_never_expire(monkeypatch):
     monkeypatch.setattr(choice, "RUSH_FACTOR", 1e-9)
 
 
-# Two hundred balancers whose clients come again while the first of a warm-up's tokens are out.
+# Two hundred balancers whose clients retry while the first tokens of a warm-up are used.
 CROWD = replace(
     cold.drawn(7),
     balancers=200,
@@ -76,12 +77,12 @@
 
 
 @pytest.mark.parametrize(
-    "mutant", [None, twice_the_budget, ended_set_ups_uncounted, all_begin_with_one, all_tokens_kept]
+    "mutant", [None, twice_the_budget, ended_set_ups_not_counted, all_offsets_are_equal, tokens_never_expire]
 )
-def test_each_broken_cold_rule_is_seen(mutant, monkeypatch):
+def test_each_broken_slow_start_rule_overloads_a_server(mutant, monkeypatch):
     if mutant:
         mutant(monkeypatch)
-    assert bool(falls([CROWD, STARTS[18], STARTS[6]])) == (mutant is not None)
+    assert bool(fallen_servers([CROWD, STARTS[18], STARTS[6]])) == (mutant is not None)
 
 
 MOVED = [replace(cold.drawn(seed, (3, 8, 20, 30)), moves=3) for seed in (7000102, 7000141, 8000145)]
@@ -89,23 +90,29 @@
 
 @pytest.mark.parametrize("start", MOVED, ids=lambda start: str(start.seed))
 def test_traffic_that_has_moved_between_balancers_overfills_no_cold_server(start):
-    """Each balancer's part is of the most that it has ever held: guards against a sum of such mosts, of
-    different times, that is more than servers have ever borne."""
-    assert not falls([start])
+    """Each balancer's part of the budget follows from the most legs that it ever held. These maxima are of
+    different times, and their sum may be more than the servers ever carried."""
+    assert not fallen_servers([start])
 
 
-NODES, AGE, RAMP, WINDOW, FACTOR = 20, 30.0, 60.0, 30.0, 0.8
+NODES = 20
+AGE = 30.0  # seconds since the start of the server
+RAMP = 60.0  # seconds of its warm-up
+WINDOW = 30.0  # seconds of overload after which it fails
+FACTOR = 0.8  # overload factor
 
 
-class Cold(World):
+class ColdWorld(World):
+    """A world whose servers have just started."""
+
     def entry(self, number, place, **fields):
         return super().entry(number, place, started=time.time() * 1000, **fields)
 
 
 @played
-async def test_set_ups_that_come_up_late_together_keep_to_the_budget(monkeypatch):
-    """One balancer alone; its connections to the cold server come up all at once, long after each was
-    decided. What a cold server bears counts when the line comes there."""
+async def test_set_ups_that_connect_late_and_together_keep_to_the_budget(monkeypatch):
+    """One balancer, whose connections to the cold server are all established at once, long after each was
+    decided. A cold server is loaded when the request lines reach it."""
     rules = raw_settings()["obligations"] | {
         "rampTimeUs": RAMP * 1e6,
         "overloadFactor": 4.0,
@@ -113,27 +120,27 @@
     }
     caps = raw_settings()["caps"] | {"connectTimeoutUs": 3e7}
     kinds = [raw_settings()["trafficTypes"][0] | {"guardTimeUs": 5e7}]
-    come_up, waiting = asyncio.Event(), []
+    connect, waiting = asyncio.Event(), []
     honest = servers.OutgoingConnection._open
 
     async def late(link, address, wait):
         if link.side == "server":
             waiting.append(link)
-            await come_up.wait()
+            await connect.wait()
         await honest(link, address, wait)
 
     monkeypatch.setattr(servers.OutgoingConnection, "_open", late)
-    async with Cold(obligations=rules, caps=caps, trafficTypes=kinds) as world:
+    async with ColdWorld(obligations=rules, caps=caps, trafficTypes=kinds) as world:
         clients = []
         for number in range(1, 13):
-            world.node.anchor += 2.0  # a window later there are new tokens
-            world.node.discovery.confirmed(world.node.clock())  # and discovery has told the list meanwhile
+            world.node.anchor += 2.0  # a window later new tokens are issued
+            world.node.discovery.confirmed(world.node.clock())  # and discovery has sent the list meanwhile
             for _ in range(4):
                 clients.append(await world.call("c=chat,t=acme,d=50000"))
             await world.until(lambda calls=4 * number: world.node.counters["calls"] == calls)
         allowed = 4.0 * choice.ASSUMED_CONNECTIONS_PER_CAPACITY * (0.2 + 0.8 * 26 / RAMP) * 2.0 / RAMP
         assert len(waiting) > most_requests(allowed)
-        come_up.set()
+        connect.set()
         sent = 0
         with contextlib.suppress(TimeoutError):
             while True:
@@ -144,29 +151,29 @@
 
 @played
 async def test_twenty_nodes_on_sockets_keep_to_the_budget_of_one_cold_server():
-    """All have it as their only server, and three calls each; what is sent there ends at once. The window is
-    longer than the test, so whatever is sent lies in one."""
+    """It is the only server of all nodes, and each node gets three calls. Connections there end at once. The
+    window is longer than the test, so all requests lie in one window."""
     rules = raw_settings()["obligations"] | {
         "rampTimeUs": RAMP * 1e6,
         "overloadFactor": FACTOR,
         "fallUs": WINDOW * 1e6,
     }
-    async with Cold(peersTotal=NODES, slotNo=0, obligations=rules) as world:
+    async with ColdWorld(peersTotal=NODES, slotNo=0, obligations=rules) as world:
         first, others = world.node, []
         for number in range(1, NODES):
             world.raw["settings"] = world.raw["settings"] | {"slotNo": number}
             others.append(await world.start(name=f"n{number}", seed=f"{number * 7919:016x}"))
         lines, said = [], []
 
-        async def ends_at_once():
+        async def end_at_once():
             while True:
                 _, server, line = await world.leg()
                 lines.append(line)
                 server.end("fin")
 
-        ending = asyncio.create_task(ends_at_once())
+        ending = asyncio.create_task(end_at_once())
         for node in [first, *(node for node, _ in others)]:
-            node.anchor += AGE  # since they were told, the server has become half warm
+            node.anchor += AGE  # since the start was reported, the server has become half warm
         for node in [first, *(node for node, _ in others)]:
             world.node = node
             said += [await world.call() for _ in range(3)]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Counts over the logs of a fleet, on small logs written here."""
+"""The counts over the logs of a fleet, on two small logs."""
 
 import sys
 
@@ -20,7 +20,7 @@
 """
 
 
-def test_a_fleet_is_counted_by_second_and_by_server(tmp_path, capsys, monkeypatch):
+def test_logs_are_counted_by_second_and_by_server(tmp_path, capsys, monkeypatch):
     (tmp_path / "n0.log").write_text(ONE)
     (tmp_path / "n1.log").write_text(OTHER)
     monkeypatch.setattr(sys, "argv", ["fleet", str(tmp_path)])
@@ -34,13 +34,13 @@
     ]
 
 
-def test_a_folder_without_logs_is_one_plain_line(tmp_path, capsys, monkeypatch):
+def test_folder_without_logs_is_reported_in_one_line(tmp_path, capsys, monkeypatch):
     monkeypatch.setattr(sys, "argv", ["fleet", str(tmp_path)])
     assert fleet.main() == 2
     assert capsys.readouterr().err == f"bellrack: {tmp_path}: no logs\n"
 
 
-def test_values_are_read_as_the_log_quotes_them():
+def test_quoted_values_of_the_log_are_parsed():
     text = 'said "no" to a = b'
     read = fleet.pairs(f"event=mode text={log.quoted(text)} name=n0")
     assert read == {"event": "mode", "text": text, "name": "n0"}
--- a/tests/test_packages.py
+++ b/tests/test_packages.py
@@ -1,4 +1,4 @@
-"""A wheel holds each package of the tree."""
+"""The wheel contains every package of the source tree."""
 
 import shutil
 import subprocess
@@ -9,8 +9,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-def test_the_wheel_has_the_packages_of_the_tree(tmp_path):
-    """Guards against a package that no list names and that only a checkout has."""
+def test_wheel_contains_all_modules_of_the_tree(tmp_path):
+    """A package that pyproject.toml does not include would exist in a checkout only."""
     source = tmp_path / "source"
     source.mkdir()
     for name in ("pyproject.toml", "LICENSE"):
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Live weights and reports that come to probes alone."""
+"""Live weights, and reports that servers send in answer to probes only."""
 
 import pytest
 from helpers import Bench, settings
@@ -9,7 +9,7 @@
 PROBED = {"asks": False, "live": True, "report": (model.BUSY, model.FULLNESS)}
 
 
-def test_a_live_weight_leaves_sizes_and_the_order_of_lots_as_they_are():
+def test_live_weights_change_neither_capacities_nor_the_order_of_scores():
     bench = Bench(settings(asks=False, live=True))
     fleet = [Server(mark * 77 + 5, machine_type=mark % 2, weight=[8.5, 5.0][mark % 2]) for mark in range(6)]
     bench.balancer.on_servers_listed(fleet)
@@ -21,13 +21,13 @@
     before = order()
     for server in fleet:
         server.weight = server.weight / (2 + server.id_hash % 5)
-    late = Server(4000, machine_type=0, weight=1.2)  # comes while it is full: its kind tells its size
-    bench.balancer.on_servers_listed([*fleet, late])
-    assert [server.capacity for server in [*fleet, late]] == [8.5, 5.0, 8.5, 5.0, 8.5, 5.0, 8.5]
+    later = Server(4000, machine_type=0, weight=1.2)  # listed while full: its machine type gives its capacity
+    bench.balancer.on_servers_listed([*fleet, later])
+    assert [server.capacity for server in [*fleet, later]] == [8.5, 5.0, 8.5, 5.0, 8.5, 5.0, 8.5]
     assert order() == before
 
 
-def test_a_size_known_too_small_grows_with_the_first_empty_server_of_its_kind():
+def test_capacity_grows_with_the_first_empty_server_of_the_machine_type():
     bench = Bench(settings(asks=False, live=True))
     full, other = Server(1, machine_type=0, weight=0.4), Server(2, machine_type=1, weight=0.5)
     bench.balancer.on_servers_listed([full, other])
@@ -35,8 +35,9 @@
     assert (full.capacity, other.capacity) == (3.5, 0.5)
 
 
-def asked(bench, *loads) -> list[Server]:
-    """A call whose lots are asked one after the other, each with the load that it reports; those asked."""
+def call_with_reports(bench, *loads) -> list[Server]:
+    """Places a call whose candidates are probed in turn and report these loads. Returns the
+    probed servers."""
     bench.call(group=9)
     servers, before = [], len(bench.sent)
     for load in loads:
@@ -47,101 +48,100 @@
     return servers
 
 
-def sent(bench) -> list[Server]:
+def servers_sent_to(bench) -> list[Server]:
     return [leg.server for leg, _ in bench.sent]
 
 
-def test_a_call_waits_for_the_report_of_its_first_lot_and_passes_over_a_full_one():
+def test_call_waits_for_the_report_of_its_first_candidate_and_passes_over_a_full_one():
     bench = Bench(settings(**PROBED))
     bench.fleet(0, 0, 0)
-    first, second = asked(bench, 0.95, 0.4)
-    assert second is not first and sent(bench) == [second]
-    asked(bench)  # what was told stands for a while: no second probe
-    assert not bench.probes and sent(bench) == [second, second]
+    first, second = call_with_reports(bench, 0.95, 0.4)
+    assert second is not first and servers_sent_to(bench) == [second]
+    call_with_reports(bench)  # the reports are still valid: no second probe
+    assert not bench.probes and servers_sent_to(bench) == [second, second]
 
 
-def test_a_full_zone_is_left_only_once_its_lots_have_told():
+def test_full_zone_is_left_only_after_its_candidates_reported():
     bench = Bench(settings(**PROBED))
     home, away = bench.fleet(0, 1)
-    asked(bench, 1.2)
+    call_with_reports(bench, 1.2)
     assert bench.probes == [away] and not bench.sent
-    assert [what for _, what in bench.timers].count(
-        "queue"
-    ) == 1  # guards against a look more for each answer
+    # One timer, not one more for each report.
+    assert [what for _, what in bench.timers].count("queue") == 1
     bench.answer_probe(away, 0.1, 0.1)
-    assert sent(bench) == [away]
+    assert servers_sent_to(bench) == [away]
 
 
 @pytest.mark.parametrize("answer", [{"kind": model.TIMEOUT}, {"kind": model.FULL}, None])
-def test_a_probe_that_fails_proves_nothing_and_holds_no_call_for_long(answer):
+def test_failed_probe_proves_nothing_and_delays_no_call_for_long(answer):
     bench = Bench(settings(**PROBED))
     (server,) = bench.fleet(0)
-    asked(bench)
+    call_with_reports(bench)
     if answer:
         bench.answer_probe(server, **answer)
     assert not bench.sent
     bench.run(bench.now + 0.16)
     assert (
-        sent(bench) == [server]
+        servers_sent_to(bench) == [server]
         and server.local_state.failure_weight == 1.0
         and not server.local_state.consecutive_failures
     )
 
 
-def test_a_group_leaves_its_first_server_last():
-    # Guards against groups that open ever new servers, each at the group's price.
+def test_group_tries_its_further_servers_only_when_they_are_less_loaded():
+    # Otherwise groups spread to ever more servers, and each of them pays the cost of the group.
     bench = Bench(settings(**PROBED))
     bench.fleet(0, 0, 0)
-    (first,) = asked(bench, 0.85)
-    assert sent(bench) == [first]
+    (first,) = call_with_reports(bench, 0.85)
+    assert servers_sent_to(bench) == [first]
     bench.run(bench.now + 1.2)
-    _, _, third = asked(bench, 0.92, 0.85, 0.3)  # the second is as full as the first was when it took one
-    assert sent(bench) == [first, third]
+    _, _, third = call_with_reports(bench, 0.92, 0.85, 0.3)  # the second: as loaded as the first was
+    assert servers_sent_to(bench) == [first, third]
 
 
-def test_a_probe_that_finds_no_connection_passes_a_server_over_and_marks_nothing():
+def test_server_that_refuses_a_probe_is_passed_over_but_not_unhealthy():
     bench = Bench(settings(**PROBED))
     bench.fleet(0, 0)
-    asked(bench)
+    call_with_reports(bench)
     (gone,) = bench.probes
     bench.answer_probe(gone, kind=model.NO_CONN)
     (other,) = bench.probes
     bench.answer_probe(other, 0.1, 0.1)
-    assert sent(bench) == [other] and gone.local_state.unhealthy_until == 0.0
+    assert servers_sent_to(bench) == [other] and gone.local_state.unhealthy_until == 0.0
     bench.run(bench.now + 2.2)
-    asked(bench)
-    assert gone in bench.probes  # asked again: it may be back
+    call_with_reports(bench)
+    assert gone in bench.probes  # probed again: it may be up by now
 
 
 @pytest.mark.parametrize("kind", [model.RESET, model.NO_CONN])
-def test_after_a_reset_or_failed_connect_no_earlier_report_stands(kind):
+def test_reset_or_failed_connect_invalidates_the_last_report(kind):
     bench = Bench(settings(**PROBED))
     bench.fleet(0, 0)
-    (first,) = asked(bench, 0.1)
+    (first,) = call_with_reports(bench, 0.1)
     bench.establish(bench.sent[0][0])
     assert bench.balancer.selection.has_report(first)
     bench.end_leg(bench.sent[0][0], kind)
     assert not bench.balancer.selection.has_report(first)
     bench.run(bench.now + 1.1)
-    asked(bench, 0.1)
-    bench.end_leg(bench.sent[-1][0], kind)  # this one while it is set up
-    assert sent(bench) == [first, first] and not bench.balancer.selection.has_report(first)
+    call_with_reports(bench, 0.1)
+    bench.end_leg(bench.sent[-1][0], kind)  # during its set-up
+    assert servers_sent_to(bench) == [first, first] and not bench.balancer.selection.has_report(first)
 
 
-def test_a_full_report_stands_longer_than_others():
+def test_report_of_full_load_is_valid_longer():
     bench = Bench(settings(**PROBED))
     (server,) = bench.fleet(0)
-    asked(bench, 1.5)
+    call_with_reports(bench, 1.5)
     for wait, probes in ((1.5, []), (1.0, [server])):
         bench.run(bench.now + wait)
-        asked(bench)
+        call_with_reports(bench)
         assert bench.probes == probes
 
 
 @pytest.mark.parametrize(
     "report, probes", [((model.BACKLOG, model.BUSY), 1), ((model.ERRORS, model.HELD), 0), ((), 0)]
 )
-def test_fullness_is_read_from_what_a_report_holds_or_nothing_is_asked(report, probes):
+def test_load_is_read_from_the_report_or_no_server_is_probed(report, probes):
     bench = Bench(settings(**PROBED | {"report": report}))
     (server,) = bench.fleet(0)
     bench.call()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""A slow, plain model of the four rules beside the module, on generated events."""
+"""Checks the decisions against a plain model of the four rules, on generated events."""
 
 import pytest
 from helpers import Bench, settings
@@ -26,7 +26,7 @@
     st.one_of(
         st.tuples(st.just("call"), st.integers(0, 4), st.integers(0, 3)),
         st.tuples(st.just("end"), st.integers(0, 99), st.sampled_from(ENDS)),
-        st.tuples(st.just("stand"), st.integers(0, 99), st.none()),
+        st.tuples(st.just("establish"), st.integers(0, 99), st.none()),
         st.tuples(st.just("list"), st.integers(0, 5), st.sampled_from(STATES)),
         st.tuples(st.just("left"), st.none(), st.none()),
         st.tuples(st.just("restart"), st.integers(0, 5), st.none()),
@@ -43,8 +43,8 @@
 )
 
 
-def may_go(leg) -> bool:
-    """Rules 1 to 3 for one leg, from the call's whole story."""
+def leg_is_allowed(leg) -> bool:
+    """Returns whether rules 1 to 3 allow this leg, from all earlier legs of its call."""
     call, earlier = leg.call, leg.call.legs[: leg.call.legs.index(leg)]
     risky = [old for old in earlier if old.result is None or old.result.kind in RAN]
     if call.done or any(old.result is None for old in earlier) or leg.server.state != model.READY:
@@ -62,7 +62,7 @@
     return True
 
 
-def may_reject(call) -> bool:
+def reject_is_allowed(call) -> bool:
     risky = [leg for leg in call.legs if leg.result is None or leg.result.kind in RAN]
     return (
         not risky
@@ -71,28 +71,28 @@
     )
 
 
-class Watched(Bench):
-    """Asks the plain model at each act, before the books can change."""
+class CheckedBench(Bench):
+    """Checks each action with the plain model, before the records can change."""
 
     def send(self, call, server, until):
         leg = super().send(call, server, until)
-        assert may_go(leg), "a leg that the rules forbid"
+        assert leg_is_allowed(leg), "the rules forbid this leg"
         assert len(call.legs) <= self.rules.max_legs and until <= call.deadline
         return leg
 
     def reject(self, call, wait=0.0):
-        assert may_reject(call), "a reject that the rules forbid"
+        assert reject_is_allowed(call), "the rules forbid this reject"
         super().reject(call, wait)
 
 
 @hypothesis_settings(derandomize=True, max_examples=600, deadline=None)
 @given(steps, st.booleans())
-def test_module_keeps_the_rules(story, live):
-    bench = Watched(settings(types=KINDS, asks=not live, live=live, report=(model.FULLNESS,) * live))
+def test_decisions_keep_the_rules(events, live):
+    bench = CheckedBench(settings(types=KINDS, asks=not live, live=live, report=(model.FULLNESS,) * live))
     fleet = [Server(mark * 31 + 1, mark % 2, mark // 2) for mark in range(6)]
     bench.balancer.on_servers_listed(fleet)
     calls = []
-    for what, which, how in story:
+    for what, which, how in events:
         out = [leg for leg, _ in bench.sent if leg.result is None]
         if what == "call":
             calls.append(bench.call(group=how, kind=which))
@@ -119,20 +119,21 @@
             bench.end_leg(out[which % len(out)], how)
         elif out and what == "delay" and (up := [leg for leg in out if leg.established]):
             bench.balancer.on_delay_reported(up[which % len(up)], how)
-        elif out and what == "stand" and not out[which % len(out)].established:
+        elif out and what == "establish" and not out[which % len(out)].established:
             bench.establish(out[which % len(out)])
     for leg in [leg for leg, _ in bench.sent if leg.result is None and not leg.established]:
         bench.end_leg(leg, model.TIMEOUT)
     bench.run(bench.now + 60)
-    for call in calls:  # rule 1: answered by the guard time, or standing
+    for call in calls:  # rule 1: answered by the deadline, or established
         assert call.done or any(leg.established for leg in call.legs)
     assert all(when <= call.deadline + bench.rules.answer_slack for call, _, when in bench.done)
 
 
 @pytest.mark.parametrize("live", [False, True])
-def test_cold_server_fills_evenly(live):
-    """Rule 4: one balancer's part stays under an even fill over half the warm-up, however calls come; also
-    where the listed weights of warm servers fall with what they hold, and a cold one's stands at its size."""
+def test_one_balancer_fills_a_cold_server_evenly(live):
+    """Rule 4: one balancer's part stays below an even fill over half the warm-up, however calls arrive.
+    `live`: the listed weights of the warm servers fall with the calls that they hold, while that of the cold
+    one equals its capacity."""
     bench = Bench(settings(live=live))
     cold, *warm = bench.fleet(0, 0, 0)
     for _ in range(40):
@@ -149,28 +150,28 @@
         bench.run(start + max(0, step - 50) * 0.2)  # half of them at once
         bench.call()
         bench.establish(bench.sent[-1][0])
-        usual = sum(server.local_state.open_legs for server in warm) / 2
+        baseline = sum(server.local_state.open_legs for server in warm) / 2
         assert (
             cold.local_state.open_legs
-            <= 1 + choice.SLOW_START_FACTOR * usual * (bench.now - start) / bench.rules.ramp_time
+            <= 1 + choice.SLOW_START_FACTOR * baseline * (bench.now - start) / bench.rules.ramp_time
         )
     assert cold.local_state.open_legs > 3
 
 
 @hypothesis_settings(derandomize=True, max_examples=8, deadline=None)
 @given(st.integers(1, 280), st.integers(2, 70), st.integers(0, 8), st.integers(1, 2**60))
-def test_cold_server_is_filled_evenly_by_all_balancers_together(peers, servers, held, seed):
-    """Rule 4 for many instances, each with its own part: the sum keeps to an even fill."""
+def test_all_balancers_together_fill_a_cold_server_evenly(peers, servers, held, seed):
+    """Rule 4 for many instances, each with its own part: together they keep to an even fill."""
     rules, total, sent = settings(peers=peers, ramp_time=20.0), 0.0, 0
     for number in range(peers):
         bench = Bench(rules, seed + number * 7919)
         cold, *warm = fleet = bench.fleet(*[0] * servers)
-        for index in range(held * (number % 3)):  # uneven: some balancers hold nothing
+        for index in range(held * (number % 3)):  # unevenly: some balancers hold nothing
             leg = bench.send(Call(rules.types[0], 1e9), warm[index % len(warm)], 1e9)
             bench.balancer.on_resumed(leg)
         cold.started_at = start = bench.now
         bench.balancer.on_servers_listed(fleet)
-        for step in range(8):  # it takes all that may come, and what it took ends at once
+        for step in range(8):  # it gets all that it may, and half of these connections end at once
             bench.run(start + 0.4 * (step + 1))
             while bench.balancer.slow_start.may_admit(cold):
                 bench.balancer.selection.send(Call(rules.types[0], 1e9), cold)
@@ -178,14 +179,14 @@
                 if step % 2:
                     bench.end_leg(bench.sent[-1][0], model.RESET)
         total += sum(server.local_state.open_legs for server in warm) / len(warm)
-    # Of what servers bear in all, or eight before any was seen.
+    # Of the load that servers carry in all, or of eight legs before any load was seen.
     even = choice.SLOW_START_FACTOR * (total + 8.0) * 3.2 / rules.ramp_time
-    assert sent <= 3 * even + 4 * even**0.5 + 1  # a place filled, freed and filled again at twice the pace
+    assert sent <= 3 * even + 4 * even**0.5 + 1  # ended connections may be replaced at twice the pace
 
 
-def test_forty_balancers_together_fill_a_cold_server_by_half_its_warm_up():
-    """A fortieth each of an even fill over the whole stated warm-up: most balancers stood closed to servers
-    long warm in truth, and kept and rejected calls meanwhile."""
+def test_balancers_together_fill_a_cold_server_by_half_its_warm_up():
+    """When each got a fortieth of an even fill over the whole stated warm-up, most balancers sent nothing to
+    servers that had long been warm, and queued and rejected calls meanwhile."""
     rules, placed, warm_share = settings(peers=40, ramp_time=20.0), 0, 0.25
     for number in range(40):
         bench = Bench(rules, 11 + number)
@@ -198,5 +199,5 @@
                 bench.balancer.selection.send(Call(rules.types[0], 1e9), cold)
                 placed += 1
         assert bench.now <= start + warm_share * rules.ramp_time + 0.01
-    even = choice.ASSUMED_CONNECTIONS_PER_CAPACITY * warm_share  # nothing was seen yet of what servers bear
+    even = choice.ASSUMED_CONNECTIONS_PER_CAPACITY * warm_share  # no load of servers was seen yet
     assert 1.5 * even <= placed <= choice.SLOW_START_FACTOR * even + even**0.5
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -1,4 +1,4 @@
-"""One build, two shapes of deployment: what the configuration is asked, what the program does in each."""
+"""The two shapes of a deployment: which configurations are accepted, and what the program does in each."""
 
 import json
 
@@ -11,7 +11,7 @@
 from bellrack.settings import SettingsError
 
 
-def test_both_shapes_are_usable_and_the_old_one_is_what_nothing_says():
+def test_both_shapes_are_usable_and_the_older_one_is_the_default():
     def parsed(**changes):
         return parse_config(json.loads(configured(**changes))).settings
 
@@ -68,8 +68,8 @@
 
 @pytest.mark.parametrize("changes", MIXES)
 @played
-async def test_any_mix_that_the_pages_allow_is_served(changes):
-    """Seen on a variant of our own: pushed lists with nominal weights were refused at the start."""
+async def test_any_documented_mix_is_served(changes):
+    """Pushed lists with nominal weights were once refused at the start."""
     async with World(**changes) as world:
         client = await world.call("c=chat,d=2000")
         _, server, line = await world.leg()
@@ -86,8 +86,8 @@
 
 @pytest.mark.parametrize("name", NAMES)
 @played
-async def test_names_come_from_the_settings_whatever_they_are(name):
-    """Seen on a variant of our own: a traffic type with a letter beyond ASCII was answered SYNTAX."""
+async def test_any_name_in_the_settings_is_served(name):
+    """A traffic type with a letter beyond ASCII was once answered SYNTAX."""
     kinds = [{"name": name, "effect": "retryable", "guardTimeUs": 2e6, "setupTargetUs": 3e5}]
     async with World(trafficTypes=kinds, accounts=[{"name": name}], control=True) as world:
         client = await world.call(f"c={name},t={name},d=2000")
@@ -101,7 +101,7 @@
 
 @pytest.mark.parametrize("name", [b"\xff", b"\xc5", b"caf\xe9"])
 @played
-async def test_a_name_that_is_no_utf_8_is_malformed(name):
+async def test_name_that_is_not_utf_8_is_malformed(name):
     async with World() as world:
         client = await world.dial()
         client.writer.write(b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=" + name + b",d=2000\r\n")
@@ -115,7 +115,7 @@
 
 
 @played
-async def test_live_weights_are_followed_and_an_unusable_one_leaves_the_last():
+async def test_live_weights_are_followed_and_an_unusable_one_is_ignored():
     async with World(**LIVE) as world:
         (server,) = world.node.servers.values()
         listing, _ = await world.question()
@@ -129,18 +129,18 @@
         assert server.capacity == 2.5 and world.node.counters["bad_weights"] == 1
 
 
-async def probed(world) -> Peer:
+async def next_probe(world) -> Peer:
     _, server, line = await world.leg()
     assert line == "STATS"
     return server
 
 
 @played
-async def test_a_call_waits_for_the_report_and_passes_over_a_full_server():
+async def test_call_waits_for_the_report_and_passes_over_a_full_server():
     async with World(servers=2, **LIVE) as world:
         client = await world.call("c=chat,t=acme,d=2000,g=9")
-        (await probed(world)).say("PONG 1.0 1.4")
-        (await probed(world)).say("PONG 0.2 0.1")
+        (await next_probe(world)).say("PONG 1.0 1.4")
+        (await next_probe(world)).say("PONG 0.2 0.1")
         number, server, line = await world.leg()
         assert line.startswith("OPEN")
         server.say("UP 0011")
@@ -165,12 +165,12 @@
     ],
 )
 @played
-async def test_a_report_that_is_none_changes_nothing_and_the_call_goes_on(answer):
+async def test_malformed_report_changes_nothing_and_the_call_goes_on(answer):
     async with World(**LIVE) as world:
-        client = await world.call()  # kept: a client that is let go has left
-        asked = await probed(world)
+        client = await world.call()  # the reference keeps the client connected
+        asked = await next_probe(world)
         asked.say(answer)
-        if answer != "PONG":  # that one waits for its second line
+        if answer != "PONG":  # a report may end on a second line
             assert await asked.line() == "fin"
             assert world.node.counters["bad_reports"] == 1
         assert (await world.leg())[2].startswith("OPEN") and client
@@ -183,19 +183,19 @@
 
 
 @played
-async def test_probes_that_are_out_are_bounded_and_a_call_does_without(monkeypatch):
+async def test_open_probes_are_bounded_and_calls_go_on_without_a_report(monkeypatch):
     monkeypatch.setattr(limits, "MAX_PROBES", 0)
     async with World(**LIVE) as world:
-        client = await world.call()  # kept: a client that is let go has left
+        client = await world.call()  # the reference keeps the client connected
         assert (await world.leg())[2].startswith("OPEN") and client
         assert world.node.counters["probes_held_back"] == 1 and not world.node.counters["probes"]
 
 
 @played
-async def test_a_probe_that_is_never_answered_is_counted_and_leaves_no_trace():
+async def test_unanswered_probe_is_counted_and_released():
     async with World(**LIVE) as world:
-        client = await world.call()  # kept: a client that is let go has left
-        silent = await probed(world)
+        client = await world.call()  # the reference keeps the client connected
+        silent = await next_probe(world)
         assert (await world.leg())[2].startswith("OPEN") and client
         assert await silent.line() == "fin"
         await world.until(lambda: world.node.counters["probe_timeout"] == 1)
@@ -204,10 +204,10 @@
 
 @pytest.mark.parametrize("shape, first", [({}, "OPEN"), (LIVE, "STATS"), ({}, "OPEN")])
 @played
-async def test_rolled_forward_and_back_on_one_build(shape, first):
+async def test_shape_can_change_and_change_back_on_one_build(shape, first):
     async with World(**shape) as world:
         assert (await world.question())[1].startswith("/v1/endpoints?watch=1")
-        client = await world.call()  # kept: a client that is let go has left
+        client = await world.call()  # the reference keeps the client connected
         assert (await world.leg())[2].startswith(first) and client
         assert bool(world.node.counters["probes"]) == bool(shape)
 
@@ -215,6 +215,6 @@
 @pytest.mark.parametrize(
     "peers, may, may_publish", [(1, True, False), (2, True, False), (3, True, True), (3, False, False)]
 )
-def test_two_balancers_tell_one_another_nothing(peers, may, may_publish):
+def test_two_balancers_exchange_no_messages(peers, may, may_publish):
     raw = json.loads(configured(peersTotal=peers, slotNo=0, caps=CAPS | {"mayTell": may}))
     assert parse_config(raw).settings.may_publish == may_publish
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The frame codec and the worked examples of the wire's page."""
+"""The codec of the simulator's protocol, with the worked examples of its documentation."""
 
 import io
 import json
@@ -22,7 +22,7 @@
     return list(wire.read_batch(io.BytesIO(data)))
 
 
-def test_worked_examples():
+def test_worked_examples_of_the_protocol():
     empty = bytes.fromhex("00000001 0000000000805c5a 00000004 00000000".replace(" ", ""))
     assert read(empty) == []
     assert wire.Reply(1).encode().hex() == "000000010000000400000000"
@@ -45,7 +45,7 @@
     assert data[36:58].hex() == "0147000fc5385d3a91c403124a0700000000008194da"
 
 
-def test_list_entries():
+def test_entries_of_a_list():
     tail = bytes.fromhex(
         "0100000 03f800000 0000000000000000 00 03124a07".replace(" ", "")
         + "01 0000 01 3fc00000 00000000005d1420 00 2c9011f2".replace(" ", "")
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(
-    "data, told",
+    "data, message",
     [
         (frame("0999"), "unknown code 2457"),
         (frame("0109 00000000 00000001 00000002", tail=b"\0" * 42), "Pool.membersList"),
@@ -73,12 +73,12 @@
         ),
     ],
 )
-def test_bad_input_is_named(data, told):
-    with pytest.raises(wire.WireError, match=told):
+def test_malformed_input_is_named(data, message):
+    with pytest.raises(wire.WireError, match=message):
         Adapter().answer(wire.read_batch(io.BytesIO(data)))
 
 
-def test_settings_skip_what_is_unknown():
+def test_unknown_settings_are_skipped():
     raw = {
         "trafficTypes": [{"effect": "fragile", "setupTargetUs": 5, "new": 1}],
         "specifics": {},
@@ -105,21 +105,21 @@
 
 
 def launch(raw: dict, *listed: str, more: tuple[str, ...] = (), tail: str = "") -> bytes:
-    """A frame in which instance 3 starts with these entries; `more` may point at the tail's end."""
-    told, known = json.dumps(raw).encode(), bytes.fromhex("".join(listed).replace(" ", ""))
-    end = f"{len(told) + len(known):08x}"
+    """Returns a frame that starts instance 3 with these entries. In `more`, "end" is the offset of `tail`."""
+    setup, known = json.dumps(raw).encode(), bytes.fromhex("".join(listed).replace(" ", ""))
+    end = f"{len(setup) + len(known):08x}"
     return frame(
         "0105 0003",
-        f"0106 0000000000000001 00000000 {len(told):08x}",
-        f"0109 00000000 {len(told):08x} {len(listed):08x}",
+        f"0106 0000000000000001 00000000 {len(setup):08x}",
+        f"0109 00000000 {len(setup):08x} {len(listed):08x}",
         "0103 02 00000000 00000001",
         *(record.replace("end", end) for record in more),
-        tail=told + known + bytes.fromhex(tail.replace(" ", "")),
+        tail=setup + known + bytes.fromhex(tail.replace(" ", "")),
         clock=10**8,
     )
 
 
-def test_a_change_of_one_server_leaves_the_others_listed_whatever_its_machine():
+def test_change_of_one_server_leaves_servers_of_other_machine_types_listed():
     adapter = Adapter()
     adapter.answer(
         wire.read_batch(
@@ -138,7 +138,7 @@
     assert [(server.state, server.machine_type) for server in servers] == [(model.READY, 0), (model.READY, 1)]
 
 
-def test_a_tally_counts_what_a_recorded_run_decided(tmp_path, capsys, monkeypatch):
+def test_tally_counts_the_decisions_of_a_recorded_run(tmp_path, capsys, monkeypatch):
     raw = raw_settings(**LIVE | {"report": {"how": "on_probe", "fields": ["x0"]}})
     call = "010b 0000000000000001 0000000000000000 001e8480 0000000000000009 00000000 00000000 00 0000"
     frames = [
@@ -155,7 +155,7 @@
     monkeypatch.setattr("sys.argv", ["tally", str(tap)])
     assert tally.main() == 0
     said = capsys.readouterr().out
-    assert "lots without room: {'load': 2}" in said  # at home, then anywhere
+    assert "lots without room: {'load': 2}" in said  # in its zone, then in any
     assert "failures 0, marks 0" in said and "probes 1; most in a second to one server 1, to a cold" in said
     assert "machine 0: calls a core 0.0" in said
     tap.write_text(">> process 0, 2 bytes\nzz\n")
