--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -21,7 +21,7 @@
 UNHEALTHY_AFTER_FAILURES = 3  # in a row
 UNHEALTHY_SECONDS = 5.0  # how long a server then counts as unhealthy
 MIN_FAILURE_WEIGHT = 0.05  # failures lower a server's weight to no less
-WEIGHT_REGAIN = 0.1  # weight that an established connection restores
+WEIGHT_REGAIN = 0.1  # weight that each established connection restores
 SETUP_FAILURE_SECONDS = 2.0  # a connection that breaks sooner counts as a failed set-up
 # Message delay, over the shortest message aim, from which on a server gets no new connections.
 OVERLOAD_DELAY_RATIO = 0.5
@@ -29,26 +29,26 @@
 OBSERVATION_VALID_SECONDS = 3.0  # for other signs of message delay
 LIMIT_SHARE = 0.95  # of the legs that an overloaded server held: its new limit
 RESET_LIMIT_SHARE = 0.6  # the same where nobody reports load, so that a reset is the first sign of overload
-LIMIT_GROWTH_PER_SECOND = 0.03  # share of a limit
-FLEET_LIMIT_SHARE = 0.9  # of all own legs: their new limit, each second in which the zones are overloaded
+LIMIT_GROWTH_PER_SECOND = 0.03  # share of a limit by which it grows back
+FLEET_LIMIT_SHARE = 0.9  # of all own legs: their new limit, cut each second while the zones are overloaded
 # Where the load of all balancers is known, fewer own legs than this are no measure of the fleet's load.
 MIN_MEASURABLE_LEGS = 8
 LIMIT_CUT_INTERVAL_SECONDS = 0.9  # between cuts of a server's limit
-MOVE_SHARE = 0.15  # of own connections at a server that are moved for each notice of late messages
+MOVE_SHARE = 0.15  # of own connections at a server, moved each time its messages are late
 MAX_MOVE_FACTOR = 4.0  # MOVE_SHARE grows with the delay, up to this many times
 REBALANCE_INTERVAL_SECONDS = 1.0  # between checks for connections that cross zones
 REBALANCE_SHARE = 0.05  # of these connections, moved back at each check
-CALM_AFTER_SECONDS = 5.0  # without a report of late messages
-MAX_CANDIDATES_TRIED = 3  # servers that a call tries for room, in the order of their scores
+CALM_AFTER_SECONDS = 5.0  # without late messages, until a server counts as calm
+MAX_CANDIDATES_TRIED = 3  # servers that are checked for room for a call, in the order of their scores
 MAX_GROUP_CANDIDATES_UNSEEN = 1  # the same for a call with a group, if the load of other balancers is unseen
 GROUP_HOLDERS_TIME_SHARE = 0.5  # of the setup target, in which only holders of the call's group are tried
 GROUP_HOLDER_LEGS = 2  # legs of a group that make a server a holder of it
 MAX_LOAD_OVER_MEAN = 1.25  # servers above this multiple of the mean load are passed over
 MAX_ANSWER_MARGIN_SHARE = 0.25  # of a call's wait, kept at most for sending its answer
-PACE_SHARE_PER_SECOND = 0.5  # of the legs that a warm server holds: its new legs
+PACE_SHARE_PER_SECOND = 0.5  # of the legs that a warm server holds: the new legs that it may get
 MIN_PACE_PER_SECOND = 8.0  # new legs of a warm server, over all balancers, that are never delayed
-SLOW_START_FACTOR = 2.0  # pace of set-ups at a cold server over one that fills it evenly, at most
-RUSH_FACTOR = 1.5  # calls of a rush, over the baseline load of a server
+SLOW_START_FACTOR = 2.0  # pace of set-ups at a cold server over that of an even fill, at most
+RUSH_FACTOR = 1.5  # calls of a rush over the baseline load of a server
 # Open connections per unit of listed capacity, over all balancers, that any server can carry.
 ASSUMED_CONNECTIONS_PER_CAPACITY = 12.0
 REPORT_VALID_SECONDS = 1.0
@@ -62,7 +62,7 @@
 CORDON_MOVE_SHARE = 0.2  # of its connections, moved each time
 QUEUE_INTERVAL_SECONDS = 0.05  # between checks of queued calls
 MAX_QUEUE_TRIES = 24  # queued calls that one check may try in vain
-RETRY_AFTER_SHARE = 1 / 3  # of the longest retry delay that clients honour: the delay that rejects name
+RETRY_AFTER_SHARE = 1 / 3  # of the longest retry delay that clients honour, named in rejects
 QUEUE_TIME_SHARE = 0.8  # of the setup target, for which a call is queued
 
 
@@ -92,7 +92,7 @@
         )
 
     def on_deadline(self, call: Call) -> None:
-        """Gives up the call if it is still unanswered."""
+        """Gives up the call if it is neither answered nor established."""
         if not call.done and not any(leg.established for leg in call.legs):
             self.give_up(call, "deadline")
 
@@ -257,8 +257,8 @@
     def may_write(self, server: Server) -> bool:
         """Returns whether a set-up that was sent earlier may be written now, and counts it if so.
 
-        A cold server is loaded when the lines reach it. Without this check connections that come up late
-        would all be written together."""
+        A cold server is loaded when the request lines reach it. Without this check the lines of connections
+        that are established late would all be written together."""
         now, settings, state = self.host.now, self.settings, server.local_state
         if state.warm_at <= now:
             return True
@@ -409,10 +409,8 @@
         )
         if self.has_report(server) and state.reported_load >= max_load:
             return False
-        return not self.overloaded(
-            server
-        ) and state.open_legs + state.rounding_offset < slow_start.warm_share(server) * (
-            state.limit + regrown
+        return not self.overloaded(server) and (
+            state.open_legs + state.rounding_offset < slow_start.warm_share(server) * (state.limit + regrown)
         )
 
     def overloaded(self, server: Server) -> bool:
--- a/bellrack/simulator/tally.py
+++ b/bellrack/simulator/tally.py
@@ -27,7 +27,7 @@
 NO_BOUND = -1.0  # stands for a call of `has_room` without a bound, which is not counted
 
 
-class Seen:
+class RunCounts:
     """The counts over all balancers of the run."""
 
     def __init__(self) -> None:
@@ -43,9 +43,9 @@
 
 
 class CountingSelection(choice.SelectionStage):
-    """A selection stage that counts what it does in `seen`."""
+    """A selection stage that counts what it does in `counts`."""
 
-    seen: Seen
+    counts: RunCounts
 
     def has_room(self, server: Server, max_load: float = NO_BOUND) -> bool:
         if max_load == NO_BOUND:
@@ -53,7 +53,7 @@
         found = super().has_room(server, max_load)
         if not found:
             reported = self.has_report(server) and server.local_state.reported_load >= max_load
-            self.seen.refused[
+            self.counts.refused[
                 "load"
                 if reported
                 else "notice"
@@ -68,33 +68,33 @@
         before = server.local_state.probed_at
         super().request_report(server)
         if server.local_state.probed_at != before:
-            self.seen.probes[server.id_hash, int(self.host.now)] += 1
-            self.seen.cold[server.id_hash, int(self.host.now)] += server.local_state.warm_at > self.host.now
+            self.counts.probes[server.id_hash, int(self.host.now)] += 1
+            self.counts.cold[server.id_hash, int(self.host.now)] += server.local_state.warm_at > self.host.now
 
     def on_probe_result(self, server: Server, result: choice.Result) -> None:
         super().on_probe_result(server, result)
         if result.report and self.load_field is not None:
-            self.seen.loads[server.zone].append(result.report[self.load_field])
+            self.counts.loads[server.zone].append(result.report[self.load_field])
 
     def record_failure(self, server: Server) -> None:
         was_healthy = self.healthy(server)
         super().record_failure(server)
-        self.seen.failures += 1
-        self.seen.marks += was_healthy and not self.healthy(server)
+        self.counts.failures += 1
+        self.counts.marks += was_healthy and not self.healthy(server)
 
     def send(self, call: Call, server: Server) -> None:
         super().send(call, server)
-        self.seen.calls[self.settings.zone] += 1
-        self.seen.crossed[self.settings.zone] += server.zone != self.settings.zone
+        self.counts.calls[self.settings.zone] += 1
+        self.counts.crossed[self.settings.zone] += server.zone != self.settings.zone
 
 
-def counting(seen: Seen) -> type[choice.Balancer]:
-    """Returns a class of balancers that count what they do in `seen`."""
+def counting(counts: RunCounts) -> type[choice.Balancer]:
+    """Returns a class of balancers that count what they do in `counts`."""
 
     class Counting(choice.Balancer):
         def __init__(self, settings: choice.Settings, seed: int, host: choice.Host):
             super().__init__(settings, seed, host)
-            self.selection = type("SelectionStage", (CountingSelection,), {"seen": seen})(self)
+            self.selection = type("SelectionStage", (CountingSelection,), {"counts": counts})(self)
             chain.link(self.answer, self.listing, self.effect, self.zone, self.selection)
 
     return Counting
@@ -114,10 +114,10 @@
     return (leg for server in balancer.fleet for leg in server.local_state.established_legs)
 
 
-def play(lines: Iterable[str]) -> Seen:
+def play(lines: Iterable[str]) -> RunCounts:
     """Plays the recorded batches and returns the counts. Raises WireError."""
-    seen = Seen()
-    hosts: defaultdict[str, Adapter] = defaultdict(lambda: Adapter(counting(seen)))
+    counts = RunCounts()
+    hosts: defaultdict[str, Adapter] = defaultdict(lambda: Adapter(counting(counts)))
     start = sample_at = None
     nominal: dict[int, float] = {}
     for process, batch in batches(iter(lines)):
@@ -126,7 +126,7 @@
         for name, values in batch:
             for _, _, _, weight, _, machine, _ in wire.entries(values[1]) if name == "Pool" else ():
                 nominal[machine] = max(weight, nominal.get(machine, 0.0))
-                seen.held[machine].append(weight)
+                counts.held[machine].append(weight)
         if any(host.instances for host in hosts.values()) and (sample_at is None or now >= sample_at):
             start, sample_at = start or now, now + SAMPLE_INTERVAL_SECONDS
             groups = {
@@ -135,31 +135,31 @@
                 for one in host.instances.values()
                 for leg in legs(one.balancer)
             }
-            seen.spread.append((round(now - start), len({one[:2] for one in groups}), len(groups)))
-    for machine, weights in seen.held.items():
+            counts.spread.append((round(now - start), len({one[:2] for one in groups}), len(groups)))
+    for machine, weights in counts.held.items():
         weights[:] = sorted(nominal[machine] / weight - 1 for weight in weights if weight)
-    return seen
+    return counts
 
 
-def report(seen: Seen) -> Iterator[str]:
+def report(counts: RunCounts) -> Iterator[str]:
     """Yields the lines of the report."""
-    for zone, count in sorted(seen.calls.items()):
-        loads = sorted(seen.loads[zone]) or [0.0]
+    for zone, count in sorted(counts.calls.items()):
+        loads = sorted(counts.loads[zone]) or [0.0]
         part = [f"{loads[len(loads) * tenth // 10]:.2f}" for tenth in (1, 5, 9)]
         yield (
-            f"zone {zone}: {count} legs from it, {seen.crossed[zone] / count:.2f} of them to others; "
-            f"its servers' load in {len(seen.loads[zone])} reports at a tenth, half, nine tenths: "
+            f"zone {zone}: {count} legs from it, {counts.crossed[zone] / count:.2f} of them to others; "
+            f"its servers' load in {len(counts.loads[zone])} reports at a tenth, half, nine tenths: "
             f"{' '.join(part)}"
         )
-    yield f"lots without room: {dict(seen.refused.most_common())}"
-    yield f"failures {seen.failures}, marks {seen.marks}"
+    yield f"lots without room: {dict(counts.refused.most_common())}"
+    yield f"failures {counts.failures}, marks {counts.marks}"
     yield (
-        f"probes {sum(seen.probes.values())}; most in a second to one server "
-        f"{max(seen.probes.values(), default=0)}, to a cold one {max(seen.cold.values(), default=0)}"
+        f"probes {sum(counts.probes.values())}; most in a second to one server "
+        f"{max(counts.probes.values(), default=0)}, to a cold one {max(counts.cold.values(), default=0)}"
     )
-    for machine, held in sorted(seen.held.items()):
+    for machine, held in sorted(counts.held.items()):
         yield f"machine {machine}: calls a core {held[len(held) // 2]:.1f}, at most {held[-1]:.1f}"
-    for second, groups, holders in seen.spread:
+    for second, groups, holders in counts.spread:
         yield f"second {second}: {groups} groups by zone, {holders / max(1, groups):.2f} servers each"
 
 
