--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -696,7 +696,7 @@
 
 
 class Balancer(model.OptionalEvents):
-    """The decisions of one instance. Its host calls the methods that bellrack/model.py lists."""
+    """The decisions of one instance. Its host calls the methods that bellrack/model.py lists for events."""
 
     def __init__(self, settings: Settings, seed: int, host: Host):
         self.settings, self.host = settings, host
@@ -835,9 +835,9 @@
                 self.fleet.append(server)
             self.update_capacity(server)
             if server.started_at != server.local_state.started_at:  # restarted under the same id
-                # In the first list the start counts as reported when it was. Otherwise, after a restart of
-                # this balancer, half-warm servers would count as just started, though other balancers knew
-                # them.
+                # In the first list a start counts as reported when it happened. Otherwise, after a restart of
+                # this balancer, half-warm servers would count as just started, though other balancers have
+                # known them for long.
                 self.on_server_start(server, server.started_at if first else self.host.now, server.started_at)
                 server.local_state.started_at = server.started_at
                 if first:
--- a/bellrack/simulator/adapter.py
+++ b/bellrack/simulator/adapter.py
@@ -111,11 +111,11 @@
             getattr(self, "_on_" + name.lower())(*values)
 
     def _on_inbound(self, xid, affinity, remaining, group, cost, customer, bits, priority):
-        call = self._book(xid, affinity, remaining, group, customer, bits, priority)
+        call = self._open_call(xid, affinity, remaining, group, customer, bits, priority)
         self.balancer.on_call(call)
 
     def _on_preexisting(self, xid, affinity, customer, server, group, remaining, cost, priority, bits):
-        call = self._book(xid, affinity, remaining, group, customer, bits, priority)
+        call = self._open_call(xid, affinity, remaining, group, customer, bits, priority)
         self.resume_leg(self.begin_leg(call, self.server(server)))
 
     def _on_flowing(self, xid, server, took, number):
@@ -167,7 +167,7 @@
             rows.append((number, STATES[status], pack, area, hint or 1.0, since / 1e6, machine))
         self.apply_entries(rows, kind != DELTA)
 
-    def _book(self, xid, affinity, remaining, group, customer, bits, priority) -> Call:
+    def _open_call(self, xid, affinity, remaining, group, customer, bits, priority) -> Call:
         if xid in self._calls:
             raise WireError(f"Inbound.xid: call {xid} is open already")
         if priority >= len(self.settings.types):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -59,6 +59,7 @@
         self.end(call, "released")
 
     def end(self, call, how):
+        """Records the final answer of a call."""
         assert not call.done, "a second final answer"
         call.done = True
         self.done.append((call, how, self.now))
@@ -187,6 +188,7 @@
         self.reader, self.writer = reader, writer
 
     def say(self, text):
+        """Sends a line."""
         self.writer.write(text.encode() + b"\r\n")
 
     async def line(self):
@@ -198,6 +200,7 @@
         return got.decode().removesuffix("\r\n") if got else "fin"
 
     def end(self, how):
+        """Closes the connection, with a reset if `how` is "rst"."""
         if how == "rst":
             self.writer.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
@@ -231,7 +234,7 @@
         }
         self.count, self.known, self.entries, self.control = servers, known, [], control
         self.apart = apart  # whether each server has its own zone and cell
-        self.patience = patience  # with discovery that pushes and says nothing at the start
+        self.patience = patience  # seconds that the node waits at its start for discovery to push a list
         self.numbers = itertools.count(1)
         self.arrived, self.questions = asyncio.Queue(), asyncio.Queue()
 
@@ -290,9 +293,11 @@
         self.serving = serving
 
     def served(self, number):
+        """Returns the callback for connections to the server with this number."""
         return lambda *both: self.arrived.put_nowait((number, Peer(*both)))
 
     def entry(self, number, place, state="in_service", started=0, zone="a"):
+        """Returns the list entry of a server at the address `place`."""
         zone, cell = ("ab"[number], number) if self.apart else (zone, 0)
         return {
             "instanceId": f"s-{number}",
@@ -306,9 +311,11 @@
         }
 
     async def dial(self):
+        """Connects a client to the node."""
         return Peer(*await asyncio.open_connection(*self.node.address))
 
     async def call(self, values="c=chat,t=acme,d=2000", number=None):
+        """Connects a client that sends a request line with these values."""
         client = await self.dial()
         client.say(f"OPEN {number or next(self.numbers):016x} 7f3a9c21e0b4d655 {values}")
         return client
@@ -319,6 +326,7 @@
         return number, peer, await peer.line()
 
     async def standing(self, values="c=chat,t=acme,d=2000", number=None):
+        """Returns both ends, client and server, of an established connection."""
         client = await self.call(values, number)
         _, server, _ = await self.leg()
         server.say("UP 0011")
@@ -334,6 +342,7 @@
         return peer, target
 
     def desk(self):
+        """Returns the address of the admin listener."""
         return self.node.listeners.admin.sockets[0].getsockname()
 
     async def ask(self, path, body="", method=None):
@@ -344,17 +353,20 @@
         return await self.said(peer)
 
     async def said(self, peer):
+        """Returns the status (0 for none) and the text of an HTTP response."""
         got = await asyncio.wait_for(peer.reader.read(), 5)
         peer.end("fin")
         head, _, text = got.decode().partition("\r\n\r\n")
         return int(head.split()[1]) if head else 0, text
 
     async def figures(self):
+        """Returns the metrics by name."""
         status, text = await self.ask("/_vars")
         assert status == 200
         return {name: int(value) for name, value in (line.split("=") for line in text.splitlines())}
 
     async def until(self, true, seconds=5.0):
+        """Waits until the condition is true, for `seconds` at most."""
         end = self.node.loop.time() + seconds
         while not true():
             assert self.node.loop.time() < end, "the condition did not come true in time"
@@ -375,6 +387,7 @@
         self.order = list(order)
 
     def note(self, link):
+        """Holds back a connection of the order until all of them have an event."""
         part = link.side + " end" * (link.remote_end != "" and f"{link.side} end" in self.order)
         if part not in self.order:
             self.wake(link)
