--- a/bellrack/settings.py
+++ b/bellrack/settings.py
@@ -127,7 +127,7 @@
             positive("messageAimUs", kind.message_aim)
         positive("maxLegs", caps["maxLegs"])
         if not types or peers < 1:
-            raise SettingsError("no traffic types" if not types else f"peersTotal is {peers}, not above 0")
+            raise SettingsError("no traffic types" if not types else f"peersTotal is {peers}")
         return Settings(
             types=types,
             zone=int(raw["az"]),
