--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -65,7 +65,7 @@
         against the end of a line that came in with our end."""
         # A process that ends serves nobody who writes late.
         may_precede_run = self.node.resumed.may_precede_run() and not self.node.shutdown
-        if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):
+        if self.call is None and first_line.should_wait(self.ring.peek(), may_precede_run):
             # Guards against BUSY to a resumed connection whose client is slow to write.
             self.expire_after(RECHECK, self.on_expired)
         elif self.call is None:
--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from bellrack.net import limits, lines, log, metrics
-from bellrack.net.http import CONTINUE, HttpError, Request, answer
+from bellrack.net.http import CONTINUE, HttpError, Request, response
 from bellrack.net.ring import Connection
 
 
@@ -41,7 +41,7 @@
             self.request.feed(self.ring.take(self.ring.held) if self.ring.held else b"")
             if self.request.done:
                 self.called()
-            elif self.request.waits and not waited:
+            elif self.request.awaits_continue and not waited:
                 self.write(CONTINUE)
             elif self.remote_end:
                 self.finish(f"caller-{self.remote_end}", self.remote_end)
@@ -59,7 +59,7 @@
 
     def reply(self, status: int, text: str, reason: str, allow: str = "") -> None:
         self.node.admin_connections.pop(self, None)
-        self.write(answer(status, text, allow))
+        self.write(response(status, text, allow))
         self.finish(reason, status=status)
 
 
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -87,7 +87,7 @@
                 self.finish("listed")
                 if self.address == self.node.discovery.address:
                     self.node.server_list.on_list(lines.listing(lines.parsed(self.body)), fetched=True)
-                    self.node.discovery.confirmed(self.started_at)
+                    self.node.discovery.on_confirmed(self.started_at)
         except lines.LineError as error:
             self.fail(str(error).partition(":")[0])
         if self.remote_end or self.response.done:
@@ -100,7 +100,7 @@
             if news := self.objects.feed(line + end):
                 news = lines.listing(news)
                 discovery.on_line(self, news=True)
-                self.node.server_list.on_list(news, counts=self is not discovery.previous)
+                self.node.server_list.on_list(news, at_current_address=self is not discovery.previous)
             elif self.objects.whole and not self.received_line:
                 discovery.on_line(self, news=False)
                 self.node.server_list.on_unchanged()  # it stands and has nothing new
@@ -110,12 +110,12 @@
                 # an object: what it would have to tell counts as told all the same.
                 self.last_received = self.node.now
                 if self is discovery.current:
-                    discovery.confirmed(self.node.now)
+                    discovery.on_confirmed(self.node.now)
 
     def fail(self, reason: str) -> None:
         if not self.closed:
             self.stop(reason)
-            self.node.discovery.failed(self)
+            self.node.discovery.on_request_failed(self)
 
     def stop(self, reason: str) -> None:
         """No longer wanted."""
@@ -180,14 +180,14 @@
             self.previous.stop("watch-replaced")
             self.previous = None
 
-    def confirmed(self, since: float) -> None:
+    def on_confirmed(self, since: float) -> None:
         """The list is what discovery had then, and was heeded."""
         self.list_age.confirm(since)
         self.node.server_list.confirmed = True
         self.node.balancer.discovery_retry.reset()
         self.update_doubt()
 
-    def failed(self, question: Any) -> None:
+    def on_request_failed(self, question: Any) -> None:
         if question is self.previous:
             self.previous = None  # expected, so not a failure of the list
             return
@@ -260,5 +260,5 @@
             self.node.server_list.mark_doubtful(window)
         ages = self.list_age.is_doubtful(self.node.now, window / 2)
         if ages or self.aging:
-            self.node.server_list.mark_unproved(window / 2 if ages else math.inf)
+            self.node.server_list.mark_untried(window / 2 if ages else math.inf)
         self.aging = ages
--- a/bellrack/net/first_line.py
+++ b/bellrack/net/first_line.py
@@ -16,12 +16,12 @@
 WORD = b"OPEN "
 
 
-def may_begin_resumed(data: bytes) -> bool:
+def may_become_resumed(data: bytes) -> bool:
     """Can these bytes, a line without its end, still become the line of a resumed connection? None can."""
     return WORD.startswith(data) or PART_OF_LINE.fullmatch(data) is not None
 
 
-def may_still_come(data: bytes, may_precede_run: bool) -> bool:
+def should_wait(data: bytes, may_precede_run: bool) -> bool:
     """Is a connection whose time for a first line is over waited for? `data`: what it has sent of the line;
     `may_precede_run`: for all that the process knows, resumed connections may still be on their way."""
-    return may_precede_run and may_begin_resumed(data)
+    return may_precede_run and may_become_resumed(data)
--- a/bellrack/net/http.py
+++ b/bellrack/net/http.py
@@ -6,9 +6,9 @@
 
 from __future__ import annotations
 
-HEAD = 4096  # bytes of the request line and the fields
-BODY = 1024  # bytes; an id is far shorter
-SAID = {
+MAX_HEAD_BYTES = 4096  # bytes of the request line and the fields
+MAX_BODY_BYTES = 1024  # bytes; an id is far shorter
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -26,7 +26,7 @@
     """A request that is answered by this status and nothing else."""
 
     def __init__(self, status: int):
-        super().__init__(SAID[status])
+        super().__init__(REASON_PHRASES[status])
         self.status = status
 
 
@@ -38,7 +38,7 @@
         self.method = self.path = ""
         self.body = b""
         self.length = 0
-        self.waits = False  # the caller sends its body only when told to go on
+        self.awaits_continue = False  # the caller sends its body only when told to go on
         self.done = False
 
     def feed(self, data: bytes) -> None:
@@ -54,7 +54,7 @@
         while self.rest.startswith(b"\r\n"):
             del self.rest[:2]  # an empty line or two may come first (RFC 9112, 2.2)
         at = self.rest.find(b"\r\n\r\n")
-        if at > HEAD or at < 0 and len(self.rest) > HEAD:
+        if at > MAX_HEAD_BYTES or at < 0 and len(self.rest) > MAX_HEAD_BYTES:
             raise HttpError(431)
         if at < 0:
             return
@@ -80,17 +80,17 @@
         length = named.get("content-length", "0")
         if not (length.isascii() and length.isdigit()):
             raise HttpError(400)
-        if len(length) > len(str(BODY)) or int(length) > BODY:
+        if len(length) > len(str(MAX_BODY_BYTES)) or int(length) > MAX_BODY_BYTES:
             raise HttpError(413)
         self.length = int(length)
-        self.waits = named.get("expect", "").lower() == "100-continue"
+        self.awaits_continue = named.get("expect", "").lower() == "100-continue"
         self.method, self.path = words[0], words[1].partition("?")[0]
 
 
-def answer(status: int, text: str, allow: str = "") -> bytes:
+def response(status: int, text: str, allow: str = "") -> bytes:
     """A whole answer; the connection ends after it."""
     body, allowed = text.encode(), f"Allow: {allow}\r\n" if allow else ""
     return (
-        f"HTTP/1.1 {status} {SAID[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n{allowed}"
+        f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n{allowed}"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     ).encode() + body
--- a/bellrack/net/invariants.py
+++ b/bellrack/net/invariants.py
@@ -80,7 +80,7 @@
             elif not client.answered:
                 self.violated(Invariant.EXIT_UNANSWERED, client.request_id)
 
-    def forget(self, server: Server) -> None:
+    def forget_server(self, server: Server) -> None:
         self.cold_sends.pop(server.id_hash, None)
 
 
--- a/bellrack/net/limits.py
+++ b/bellrack/net/limits.py
@@ -76,7 +76,8 @@
     def may_probe(self) -> bool:
         """May one more probe go out? A few have their part of the reserve."""
         return (
-            self.probes_in_flight < (self.reserve // PROBE_RESERVE_DIVISOR if self.crowded() else MAX_PROBES)
+            self.probes_in_flight
+            < (self.reserve // PROBE_RESERVE_DIVISOR if self.reserve_reached() else MAX_PROBES)
             and not self.exhausted()
         )
 
@@ -91,7 +92,7 @@
         if len(self.recent_ids) > MAX_RECENT_IDS:
             del self.recent_ids[next(iter(self.recent_ids))]
 
-    def crowded(self, part: int = 1) -> bool:
+    def reserve_reached(self, part: int = 1) -> bool:
         """No descriptors but the reserve, or that part of it."""
         return self.descriptors + self.sibling_descriptors + self.reserve // part >= self.limit
 
@@ -119,12 +120,12 @@
         writers let go before those that are silent or write no more."""
         spared_for = RESUMED_GRACE_SECONDS if self.expects_resumed() else SILENT_GRACE_SECONDS
         for waiting in (self.evictable, self.partial_lines):
-            while self.crowded(part) and waiting:
+            while self.reserve_reached(part) and waiting:
                 link, since = next(iter(waiting.items()))
                 if now - since < spared_for:
                     break
                 link.evict()
-        return not self.crowded(part)
+        return not self.reserve_reached(part)
 
     @property
     def max_admin_connections(self) -> int:
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -142,7 +142,7 @@
         self.listener = Listener(
             self.node,
             self.socket,
-            lambda: not self.node.limits.crowded(2),
+            lambda: not self.node.limits.reserve_reached(2),
             lambda: ClientConnection(self.node),
         )
 
@@ -172,7 +172,7 @@
     def accept_waiting(self) -> bool:
         """Accept whoever waits. Is nobody left, as far as can be known?"""
         try:
-            while not self.node.limits.crowded(2):
+            while not self.node.limits.reserve_reached(2):
                 self.listener.accept_one()
             return False  # more wait than there are descriptors for
         except (BlockingIOError, InterruptedError):
--- a/bellrack/net/log.py
+++ b/bellrack/net/log.py
@@ -14,13 +14,13 @@
 logger = logging.getLogger("bellrack")
 
 
-class KeyValue(logging.Formatter):
-    """time=... level=... event=... and the event's figures."""
+class KeyValueFormatter(logging.Formatter):
+    """time=... level=... event=... and the event's fields."""
 
     def format(self, record: logging.LogRecord) -> str:
         pairs = {"time": f"{record.created:.3f}", "level": record.levelname.lower()}
         pairs["event"] = record.getMessage()
-        pairs |= getattr(record, "figures", {})
+        pairs |= getattr(record, "fields", {})
         if record.exc_info and record.exc_info[1]:
             pairs["error"] = repr(record.exc_info[1])
             last = record.exc_info[2]
@@ -28,10 +28,10 @@
                 last = last.tb_next
             if last:
                 pairs["at"] = f"{last.tb_frame.f_code.co_filename.rpartition('/')[2]}:{last.tb_lineno}"
-        return " ".join(f"{key}={quoted(value)}" for key, value in pairs.items())
+        return " ".join(f"{key}={quote_value(value)}" for key, value in pairs.items())
 
 
-def quoted(value: object) -> str:
+def quote_value(value: object) -> str:
     text = f"{value:.3f}" if isinstance(value, float) else str(value)
     if text and not any(c in ' "=\\' or not c.isprintable() for c in text):
         return text
@@ -41,7 +41,7 @@
 
 def configure() -> None:
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(KeyValue())
+    handler.setFormatter(KeyValueFormatter())
     logger.addHandler(handler)
     logger.setLevel(logging.INFO)
     logger.propagate = False
@@ -49,13 +49,13 @@
     logging.getLogger("asyncio").addHandler(handler)
 
 
-def event(event: str, **figures: object) -> None:
-    logger.info(event, extra={"figures": figures})
+def event(event: str, **fields: object) -> None:
+    logger.info(event, extra={"fields": fields})
 
 
-def exception(event: str, **figures: object) -> None:
+def exception(event: str, **fields: object) -> None:
     """Within an except clause: what failed and where, on one line."""
-    logger.error(event, exc_info=True, extra={"figures": figures})
+    logger.error(event, exc_info=True, extra={"fields": fields})
 
 
 class Counters(Counter):
--- a/bellrack/net/peer_socket.py
+++ b/bellrack/net/peer_socket.py
@@ -15,7 +15,7 @@
 
     def __init__(self, node: Any):
         self.node, self.transport = node, None
-        self.numbers = {address: number for number, address in enumerate(node.config.peers)}
+        self.peer_numbers = {address: number for number, address in enumerate(node.config.peers)}
 
     @staticmethod
     async def open(node: Any) -> PeerSocket:
@@ -32,7 +32,7 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, sender: tuple[str, int]) -> None:
-        number = self.numbers.get(sender[:2])
+        number = self.peer_numbers.get(sender[:2])
         if number is not None and len(data) <= MAX_DATAGRAM_BYTES:
             self.node.queue(self.node.balancer.on_datagram, number, data)
 
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -25,7 +25,7 @@
         self.versions = ListVersions()  # by those of discovery's present address
         self.machine_types: dict[str, int] = {}  # by name, numbered as the list brings them
         self.confirmed = False  # discovery has told us a list
-        self.loaded = False  # a list from before the start is known
+        self.known_list_loaded = False  # a list from before the start is known
         self.orders: dict[int, CordonOrder] = {}  # by mark: what operators last ordered of a server
 
     @property
@@ -43,18 +43,18 @@
         """Names by mark of the servers that operators took out by hand."""
         return {mark: order.name for mark, order in self.orders.items() if order.cordon}
 
-    def on_list(self, news: lines.Listing, fetched: bool = False, counts: bool = True) -> None:
+    def on_list(self, news: lines.Listing, fetched: bool = False, at_current_address: bool = True) -> None:
         """A list or its changes, as discovery wrote it. `counts`: in the versions of its address now."""
         if fetched and news.version < self.version:
             return  # a watch has told newer since it was asked for
-        if counts:
+        if at_current_address:
             if news.whole and news.version < self.version:
                 self.version = news.version  # discovery itself counts anew
             self.merge_newer(news)
             self.versions.on_watch(max(self.version, news.version))
         else:
             self.merge(news)
-        self.node.hot_restart.publish_news(news, counts)
+        self.node.hot_restart.publish_news(news, at_current_address)
         self.node.readiness.on_list(news.whole or bool(self.node.servers))
         self.node.changed.set()
 
@@ -91,7 +91,7 @@
     def note_known_list(self) -> None:
         """A list from before the start is in hand: does it name any server, and one that may be used?"""
         servers = self.node.servers.values()
-        self.loaded = self.loaded or bool(servers)
+        self.known_list_loaded = self.known_list_loaded or bool(servers)
         self.node.readiness.on_known(any(server.state == model.READY for server in servers))
 
     def merge_newer(self, news: lines.Listing, theirs: ListVersions | None = None) -> None:
@@ -131,7 +131,7 @@
         server = self.node.servers.setdefault(mark, Server(mark))
         server.host_record = server.host_record or Endpoint(entry.name, entry.address)
         server.host_record.address = entry.address or server.host_record.address
-        started = self.started(server.host_record, stamp, newest)
+        started = self.start_time(server.host_record, stamp, newest)
         if server.local_state and (state != server.state or started != server.started_at):
             log.event("server", name=entry.name, state=state, was=server.state, started=started)
         zones, zone = self.node.names.zones, server.zone
@@ -140,11 +140,11 @@
         machine = self.machine_types.setdefault(entry.machine, len(self.machine_types))
         return mark, state, cell, zone, weight or server.weight, started, machine
 
-    def started(self, endpoint: Endpoint, stamp: float, newest: float) -> float:
+    def start_time(self, endpoint: Endpoint, stamp: float, newest: float) -> float:
         """When the server last started, on our clock: another stamp is another start."""
         if endpoint.start is None or endpoint.start.stamp != stamp:
             # What the list known before lacks has started since that was told, whatever its clock says.
-            long_ago = not self.confirmed and not self.loaded
+            long_ago = not self.confirmed and not self.known_list_loaded
             endpoint.start = start_times.latest_start(stamp, self.node.now, long_ago, newest)
         return endpoint.start.time
 
@@ -169,7 +169,7 @@
                 machines.get(server.machine_type, ""),
             )
 
-    def news_after(self, versions: ListVersions) -> Iterator[dict[str, Any]]:
+    def messages_after(self, versions: ListVersions) -> Iterator[dict[str, Any]]:
         """What a process that holds these versions of the list lacks, as messages of discovery's form."""
         ours = self.versions
         if ours.complete > versions.complete:
@@ -199,7 +199,7 @@
         if changed:
             self.node.balancer.refresh_usable()
 
-    def mark_unproved(self, since: float) -> None:
+    def mark_untried(self, since: float) -> None:
         """Servers that took no connection for so long (seconds), nor were tried, get the next call without a
         group: guards against a list that becomes doubtful, and then only servers that took one lately, fewer
         and fewer, may be used. Infinite: the list is young. Groups stay where they are: each server more that
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -46,7 +46,7 @@
             server.host_record.used = self.node.now
         elif self.node.now - server.host_record.used > FORGET_AFTER_SECONDS:
             self.node.forget_server(server)
-            self.node.invariants.forget(server)
+            self.node.invariants.forget_server(server)
             self.node.server_list.forget_order(server.id_hash)
 
     def time_messages(self, server: Server) -> None:
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -137,7 +137,7 @@
     yield from order_replies(node, predecessor)
     theirs = predecessor.list_versions(node.discovery.address)
     if theirs is not None:
-        for news in node.server_list.news_after(theirs):
+        for news in node.server_list.messages_after(theirs):
             yield {"news": news, "discovery": lines.format_address(node.discovery.address)}
 
 
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -54,13 +54,13 @@
     Mutant(
         "silence ends before the run",
         "net/clients.py",
-        "if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):",
+        "if self.call is None and first_line.should_wait(self.ring.peek(), may_precede_run):",
         "if False:",
     ),
     Mutant(
         "silence lasts in service",
         "net/clients.py",
-        "if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):",
+        "if self.call is None and first_line.should_wait(self.ring.peek(), may_precede_run):",
         "if self.call is None:",
     ),
     Mutant(
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -32,7 +32,7 @@
 def tell(host, generation, *entries, reset=False):
     news = {"generation": generation, "reset": reset, "instances": list(entries)}
     host.server_list.on_list(lines.listing(news))
-    host.discovery.confirmed(host.now)
+    host.discovery.on_confirmed(host.now)
 
 
 def host_at(monkeypatch, offset=0.0):
@@ -51,7 +51,7 @@
     host, true = host_at(monkeypatch), time.time()
     tell(host, 1, entry("s-0", 0), entry("s-1", 0), reset=True)
     host.now += 5.0
-    host.discovery.confirmed(host.now)
+    host.discovery.on_confirmed(host.now)
     host.now += 1.0
     tell(host, 2, entry("s-0", true + 6.0 + step))
     stand = host.servers[lines.id_hash("s-0")].local_state
--- a/tests/test_connection_log.py
+++ b/tests/test_connection_log.py
@@ -14,9 +14,9 @@
     monkeypatch.setattr(log.logger, "propagate", True)
     caplog.set_level(logging.INFO, logger="bellrack")
     return lambda: [
-        record.figures
+        record.fields
         for record in caplog.records
-        if record.getMessage() == "ended" and record.figures["side"] == "client"
+        if record.getMessage() == "ended" and record.fields["side"] == "client"
     ]
 
 
@@ -44,6 +44,6 @@
         server.end("fin")
         assert [await client.line(), await client.line()] == ["BYE", "fin"]
         await world.until(lambda: len(ended()) == 1)
-        sides = {r.figures["side"]: r.figures for r in caplog.records if r.getMessage() == "ended"}
+        sides = {r.fields["side"]: r.fields for r in caplog.records if r.getMessage() == "ended"}
         assert sides["client"]["id"] == sides["server"]["id"] == f"{7:016x}"
         assert sides["client"]["connection"] != sides["server"]["connection"]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -240,9 +240,9 @@
         room = limits.Limits(limit)
         control = room.reserve // 2
         room.descriptors = limit - control - 1
-        assert not room.crowded(2) and not room.lacks(1) and room.lacks(2)
+        assert not room.reserve_reached(2) and not room.lacks(1) and room.lacks(2)
         room.descriptors += 1
-        assert room.crowded(2) and room.lacks(1) and not room.exhausted()
+        assert room.reserve_reached(2) and room.lacks(1) and not room.exhausted()
         while room.may_probe():
             room.probes_in_flight += 1
         # Probes, operators, two watches and a fetch of the list, three of a hand-off: all fit at once.
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -49,7 +49,7 @@
     def fail(self, reason):
         if not self.over:
             self.over = True
-            self.node.discovery.failed(self)
+            self.node.discovery.on_request_failed(self)
 
     def stop(self, reason):
         self.over = True
@@ -107,14 +107,14 @@
             call.awaits_response, call.received_line, call.last_received = False, True, call.node.now
             call.node.discovery.on_line(call, news=True)
             call.node.listed(self.drained)
-            call.node.discovery.confirmed(call.node.now)
+            call.node.discovery.on_confirmed(call.node.now)
             self.standing.append(call)
             self.world.after(call.node, 2.0, self.empty_line, call)
 
     def empty_line(self, call):
         if not call.over and call in self.standing:
             call.last_received = call.node.now
-            call.node.discovery.confirmed(call.node.now)
+            call.node.discovery.on_confirmed(call.node.now)
             self.world.after(call.node, 2.0, self.empty_line, call)
 
     def becomes(self, mode):
--- a/tests/test_first_line.py
+++ b/tests/test_first_line.py
@@ -47,18 +47,18 @@
 
 @pytest.mark.parametrize("data", MAY_RESUME)
 def test_what_may_become_a_resumed_line_is_waited_for_before_the_run_only(data):
-    assert first_line.may_still_come(data, may_precede_run=True)
-    assert not first_line.may_still_come(data, may_precede_run=False)
+    assert first_line.should_wait(data, may_precede_run=True)
+    assert not first_line.should_wait(data, may_precede_run=False)
 
 
 @pytest.mark.parametrize("data", NEVER)
 def test_what_can_not_become_a_resumed_line_is_never_waited_for(data):
-    assert not first_line.may_still_come(data, may_precede_run=True)
+    assert not first_line.should_wait(data, may_precede_run=True)
 
 
 @given(st.from_regex(lines.OPEN, fullmatch=True), st.data())
 def test_each_part_of_a_line_in_form_may_become_one(line, data):
-    assert first_line.may_begin_resumed(line[: data.draw(st.integers(0, len(line) - 1))])
+    assert first_line.may_become_resumed(line[: data.draw(st.integers(0, len(line) - 1))])
 
 
 @given(st.binary(max_size=12), st.binary(max_size=12), st.integers(0, len(LINE) - 1))
@@ -67,7 +67,7 @@
     begun = LINE[:at] + junk
     line = begun + rest + b"\r\n"
     if lines.OPEN.fullmatch(line):
-        assert first_line.may_begin_resumed(begun)
+        assert first_line.may_become_resumed(begun)
 
 
 @pytest.mark.parametrize("data", [b"GET / HT", b"OPEN 1 zz"])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -42,5 +42,5 @@
 
 def test_values_are_read_as_the_log_quotes_them():
     text = 'said "no" to a = b'
-    read = fleet.pairs(f"event=mode text={log.quoted(text)} name=n0")
+    read = fleet.pairs(f"event=mode text={log.quote_value(text)} name=n0")
     assert read == {"event": "mode", "text": text, "name": "n0"}
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -319,7 +319,7 @@
     monkeypatch.setenv("TMPDIR", str(folder / "none"))
     async with World(control=True) as world:
         await world.standing()
-        told = [record.figures["offered"] for record in caplog.records if record.msg == "handover"]
+        told = [record.fields["offered"] for record in caplog.records if record.msg == "handover"]
         assert told == ["nothing"]
         assert not world.node.listeners.successor_socket
 
@@ -390,9 +390,9 @@
 def test_descriptors_of_both_are_one_sum():
     room = Limits(200)
     room.descriptors, room.sibling_descriptors = 60, 60
-    assert not room.crowded() and not room.lacks(2)
+    assert not room.reserve_reached() and not room.lacks(2)
     room.sibling_descriptors = 100
-    assert room.crowded() and not room.lacks(2)
+    assert room.reserve_reached() and not room.lacks(2)
     room.sibling_descriptors = 115  # clients' connections leave half the reserve, here 24, to control
     assert room.lacks(2) and not room.lacks(1)
 
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -119,6 +119,6 @@
 
 def test_a_log_line_is_key_value_pairs_on_one_line():
     record = logging.LogRecord("bellrack", logging.INFO, "", 0, "ended", None, None)
-    record.figures = {"side": "client", "took": 0.25, "text": 'said "no"\n', "none": ""}
-    text = log.KeyValue().format(record)
+    record.fields = {"side": "client", "took": 0.25, "text": 'said "no"\n', "none": ""}
+    text = log.KeyValueFormatter().format(record)
     assert text.endswith(' level=info event=ended side=client took=0.250 text="said \\"no\\"\\x0a" none=""')
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -623,7 +623,7 @@
                 file.write_text(bad)
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0.03)
-        told = [record.figures["taken"] for record in caplog.records if record.msg == "reload"]
+        told = [record.fields["taken"] for record in caplog.records if record.msg == "reload"]
         assert told == ["nothing"] * 4 and asked.empty() and world.node.server_list.version == 90
         file.write_text(text)
         for _ in range(2):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -193,7 +193,7 @@
         for wrong, raw in spoilt(world.raw | {"limits": {"sockets": 90}}):
             assert await file.read(raw) == (0, 1), wrong
             assert (vars(node.settings), node.names, node.config, node.limits.limit) == before, wrong
-        told = [record.figures["error"] for record in caplog.records if record.msg == "reload"]
+        told = [record.fields["error"] for record in caplog.records if record.msg == "reload"]
         assert len(told) > 30 and not node.counters["faults"]
         assert await file.read(changed(world.raw, other={})) == (1, 0)
 
