--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -53,9 +53,9 @@
 class CountedList(ServerList):
     """Counts the lines of discovery that came."""
 
-    def on_list(self, news: lines.Listing, fetched: bool = False, counts: bool = True) -> None:
+    def on_list(self, news: lines.Listing, fetched: bool = False, at_current_address: bool = True) -> None:
         self.node.figures.list_lines += 1
-        super().on_list(news, fetched, counts)
+        super().on_list(news, fetched, at_current_address)
 
 
 class Hollow(Node):
