--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -1,9 +1,10 @@
-"""The list of servers, over HTTP/1.1.
+"""The client of discovery, the service that publishes the list of servers over HTTP/1.1.
 
-Owns the calls to discovery: one standing watch, a younger call beside it while it says nothing, and single
-lists, each on a connection of its own; the change to another address; and what follows when the list in hand
-is doubtful. It never decides when to call where the decisions do, never keeps the list, and takes silence for
-failure. Gaps and ages are worked out in `bellrack/discovery_retry.py`.
+Keeps one watch open: a streaming response to which discovery appends changes. While a watch has no response,
+a hedged request is sent beside it; a watch without data counts as failed. Single lists are fetched on a
+connection each. This module also handles a change of discovery's address, and marks the servers when the list
+may be out of date. The decisions (`bellrack/choice.py`) say when to watch and when to fetch. The list itself
+is kept in `server_list.py`; delays and the age of the list are computed in `bellrack/discovery_retry.py`.
 """
 
 from __future__ import annotations
@@ -16,20 +17,21 @@
 from bellrack.net import lines, log
 from bellrack.net.servers import OutgoingConnection
 
-SILENCE_SECONDS = 4.5  # seconds without a whole line on a watch that has begun: an empty one comes every 2 s
-CHECK_INTERVAL_SECONDS = 0.25  # seconds between looks for that
-WATCH_RETRY_GRACE_SHARE = (
-    0.25  # of the grace of a drain: where lists are pushed a change counts as told while no watch is open
-)
+SILENCE_SECONDS = 4.5  # without a whole line on an open watch; discovery sends an empty line every 2 s
+CHECK_INTERVAL_SECONDS = 0.25  # between checks for silent watches
+# The share of the drain grace period after which a lost watch is reopened where discovery pushes its lists: a
+# change counts as received there even while no watch is open.
+WATCH_RETRY_GRACE_SHARE = 0.25
 
 
 class DiscoveryRequest(OutgoingConnection):
-    """One call to discovery: a watch, or a list."""
+    """One request to discovery, for a watch or a single list, on a connection of its own."""
 
     side = "discovery"
-    has_priority = True  # list changes go first in a batch
+    has_priority = True  # list changes are processed first in a batch
 
     def __init__(self, node: Any, address: tuple[str, int], watch: bool):
+        """Starts to connect to `address`. `watch`: request a watch, otherwise a single list."""
         super().__init__(node)
         self.address, self.watch = address, watch
         self.response, self.body, self.request_sent = lines.HttpResponseReader(), b"", False
@@ -37,27 +39,28 @@
         self.objects, self.received_line = lines.JsonObjectReader(), False
         self.open(address, discovery_retry.CONNECT_TIMEOUT_SECONDS)
         if not watch:
-            self.expire_after(
-                SILENCE_SECONDS, self.fail, "list-silent"
-            )  # a watch is looked after for as long as it lasts
+            # Discovery.check_watch looks after watches.
+            self.expire_after(SILENCE_SECONDS, self.fail, "list-silent")
 
     @property
     def reached(self) -> bool:
-        """Discovery took the connection, whatever came of it."""
+        """Whether discovery accepted the connection, whatever happened afterwards."""
         return self.transport is not None
 
     @property
     def service_up(self) -> bool:
-        """Did discovery begin to answer it, or let it wait? One that fails at once found it down."""
+        """Whether discovery began to answer, or let the request wait. A request that fails at once shows that
+        discovery is down."""
         waited = self.node.now - self.request_sent_at > discovery_retry.PROMPT_FAILURE_SECONDS
         return self.reached and (self.response.status == 200 or self.request_sent and waited)
 
     @property
     def awaits_response(self) -> bool:
-        """Has no head yet: it may have to wait for its turn."""
+        """Whether no response head has come yet; the request may still be queued at discovery."""
         return not self.response.status
 
     def ready(self) -> None:
+        """Sends the request once connected, and processes what has been received."""
         if self.reached and not self.request_sent:
             self.request_sent, self.request_sent_at = True, self.node.now
             query = f"?watch=1&after={self.node.server_list.version}" if self.watch else ""
@@ -65,14 +68,15 @@
                 f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: {lines.format_address(self.address)}\r\n"
                 f"Accept: application/json\r\n\r\n".encode()
             )
-        begun = self.response.status
+        status_before = self.response.status
         try:
             while self.ring.held and not self.closed:
                 self.body += self.response.feed(self.ring.take(self.ring.held))
                 if len(self.body) > lines.MOST:
                     raise lines.LineError("too-long")
-            if self.response.status != begun:
-                # Once: guards against a watch taken for silent since its call had to wait for its turn.
+            if self.response.status != status_before:
+                # The head restarts the silence timeout, once. Otherwise a watch whose request had to wait in
+                # discovery's queue would count as silent.
                 self.last_received = self.node.now
             if self.response.status not in (0, 200):
                 self.fail(f"status-{self.response.status}")
@@ -94,6 +98,7 @@
             self.fail(f"list-{self.remote_end or 'done'}")
 
     def process_changes(self) -> None:
+        """Applies the whole lines of a watch that have been received. Raises LineError for malformed ones."""
         discovery = self.node.discovery
         while b"\n" in self.body and not self.closed:
             line, end, self.body = self.body.partition(b"\n")
@@ -103,62 +108,68 @@
                 self.node.server_list.on_list(news, at_current_address=self is not discovery.previous)
             elif self.objects.whole and not self.received_line:
                 discovery.on_line(self, news=False)
-                self.node.server_list.on_unchanged()  # it stands and has nothing new
+                self.node.server_list.on_unchanged()  # the watch is open and the list is up to date
             if self.objects.whole:
                 self.received_line = True
-                # Guards against a watch kept alive by bytes that never make a line, or lines that never make
-                # an object: what it would have to tell counts as told all the same.
+                # Not set for bytes that never end a line, or lines that never complete an object: these must
+                # not keep a watch alive, since changes that it fails to deliver count as received anyway.
                 self.last_received = self.node.now
                 if self is discovery.current:
                     discovery.on_confirmed(self.node.now)
 
     def fail(self, reason: str) -> None:
+        """Ends the request and reports its failure to Discovery, unless it has ended already."""
         if not self.closed:
             self.stop(reason)
             self.node.discovery.on_request_failed(self)
 
     def stop(self, reason: str) -> None:
-        """No longer wanted."""
+        """Ends a request that is no longer needed; this is not a failure."""
         self.drop()
         self.finish(reason, "rst")
 
 
 class Discovery:
-    """The watch, while one stands or is asked for, the call beside it, and lists."""
+    """The requests to discovery: the watch, the hedged request beside it, and single lists."""
 
     def __init__(self, node: Any, address: tuple[str, int], new_request: Callable[..., Any] | None = None):
+        """`new_request` replaces the constructor of DiscoveryRequest and takes the same arguments."""
         self.node, self.address, self.new_request = (
             node,
             address,
-            new_request or (lambda *values: DiscoveryRequest(*values)),
+            new_request or (lambda *args: DiscoveryRequest(*args)),
         )
-        self.current: Any = None  # the watch, or the oldest call for one
-        self.hedged: Any = None  # the call beside one that says nothing
-        self.previous: Any = None  # of the address before, until the new one has told its list
-        self.hedge_at = math.inf  # when the next goes out beside the standing one
+        self.current: Any = None  # the open watch, or the oldest request for one
+        self.hedged: Any = None  # the second request, while the first has no response
+        self.previous: Any = None  # the watch at the previous address, until the new one has sent its list
+        self.hedge_at = math.inf  # when the next hedged request is sent
         self.list_age = discovery_retry.ListAge(node.started_at)
-        self.doubtful = self.aging = False  # the list is doubtful; it is on the way there
+        # Whether the list may be out of date, and whether half the time until then has passed.
+        self.doubtful = self.aging = False
 
     def watch(self, on: bool = True) -> None:
+        """Opens a watch unless there is one, or closes it."""
         if on and self.current:
-            return  # guards against a late retry that ends the watch which a change of address has brought
+            return  # a late retry must not close the watch that a change of address has opened
         self.stop_watches("watch-ended")
         if on:
             self.current = self.new_request(self.node, self.address, True)
             self.hedge_at = self.node.now + self.node.balancer.discovery_retry.hedge_delay()
 
     def stop_watches(self, reason: str) -> None:
-        for question in (self.current, self.hedged):
-            if question:
-                question.stop(reason)
+        """Closes the watch and the hedged request, if any; `reason` is logged."""
+        for request in (self.current, self.hedged):
+            if request:
+                request.stop(reason)
         self.current = self.hedged = None
 
     def fetch(self) -> None:
+        """Requests a single list."""
         self.new_request(self.node, self.address, False)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Another address from now on. Its versions are its own, so the first list is asked for whole; till
-        it has come, the watch at the old address tells what it still has to."""
+        """Uses another address from now on. Versions of the list differ by address, so the first list is
+        requested whole. Until it has come, changes from the watch at the old address are still applied."""
         self.address, self.node.server_list.version = address, 0
         self.node.balancer.discovery_retry.reset()
         if self.current and not self.current.awaits_response:
@@ -166,12 +177,13 @@
         self.stop_watches("watch-replaced")
         self.watch()
 
-    def on_line(self, question: Any, news: bool) -> None:
-        """A call has brought a whole line, about to be heeded. Of two the one that speaks first is the watch;
-        the first list of a new address replaces the old one's."""
-        if question is self.previous:
+    def on_line(self, request: Any, news: bool) -> None:
+        """A watch request has received a whole line, which is applied next. `news`: the line completes a list
+        or changes of one. Of the watch and its hedged request the first to receive a line becomes the watch;
+        the first list of a new address ends the watch at the previous one."""
+        if request is self.previous:
             return
-        if question is self.hedged:
+        if request is self.hedged:
             self.current, self.hedged = self.hedged, self.current
         if self.hedged:
             self.hedged.stop("watch-overtaken")
@@ -181,39 +193,42 @@
             self.previous = None
 
     def on_confirmed(self, since: float) -> None:
-        """The list is what discovery had then, and was heeded."""
+        """The list in use is at least as recent as discovery's at the time `since` (seconds)."""
         self.list_age.confirm(since)
         self.node.server_list.confirmed = True
         self.node.balancer.discovery_retry.reset()
         self.update_doubt()
 
-    def on_request_failed(self, question: Any) -> None:
-        if question is self.previous:
-            self.previous = None  # expected, so not a failure of the list
+    def on_request_failed(self, request: Any) -> None:
+        """A request has failed. With another one still open, the next hedged request is scheduled; otherwise
+        the decisions are told, which schedule the next request."""
+        if request is self.previous:
+            self.previous = None  # expected: not a failure of the list
             return
-        if (
-            question.service_up and not question.received_line
-        ):  # the end of a watch tells nothing of what comes after it
+        # The end of a watch that had received lines does not show whether discovery is up.
+        if request.service_up and not request.received_line:
             self.list_age.on_reached()
-        elif not question.service_up:
-            self.list_age.on_unreachable(question.started_at)
-        if question is self.hedged or question is self.current and self.hedged:
-            # The other one may still be answered; the next beside it goes out as if there were none.
-            self.current = self.hedged if question is self.current else self.current
+        elif not request.service_up:
+            self.list_age.on_unreachable(request.started_at)
+        if request is self.hedged or request is self.current and self.hedged:
+            # The other request may still be answered; the next one beside it goes out when a retry is due.
+            self.current = self.hedged if request is self.current else self.current
             self.hedged = None
             self.node.counters["list_failures"] += 1
-            self.hedge_at = self.node.now + self.node.balancer.discovery_retry.next_delay(question.reached)
+            self.hedge_at = self.node.now + self.node.balancer.discovery_retry.next_delay(request.reached)
             return
-        if question is self.current:
+        if request is self.current:
             self.current = None
-            if not self.node.settings.asks:  # changes come unasked there, so the host holds the watch
+            if not self.node.settings.asks:  # discovery pushes changes: the decisions request no watch
                 self.node.after(WATCH_RETRY_GRACE_SHARE * self.node.settings.drain_grace, self.watch)
-        self.node.server_list.on_failure(question.reached)
+        self.node.server_list.on_failure(request.reached)
 
     def check_watch(self) -> None:
-        """A watch that is cut off says nothing. One that had begun is renewed at once: guards against a drain
-        that is told meanwhile and counts as heard 6 s later. One that has not begun may only wait for its
-        turn, and who gives that up goes to the end of the queue: it is kept, and another sent beside it."""
+        """Detects watches whose connection is dead, which only shows as silence.
+
+        A watch that has received a line is reopened at once: a drain that it misses counts as received 6 s
+        after discovery has it. A request without a response may be queued at discovery, and a new one would
+        go to the end of that queue, so it is kept and a hedged request is sent beside it."""
         self.node.after(CHECK_INTERVAL_SECONDS, self.check_watch)
         now = self.node.now
         if self.previous and now - self.previous.last_received > SILENCE_SECONDS:
@@ -228,13 +243,16 @@
                 self.stop_watches("watch-silent")
                 self.watch()
             else:
-                watch.fail("watch-silent")  # half an answer
+                watch.fail("watch-silent")  # the response broke off before its first whole line
         elif watch and not watch.received_line and now >= self.hedge_at:
             self.send_hedged()
         self.update_doubt()
 
     def send_hedged(self) -> None:
-        """The standing call has not been answered for long."""
+        """Sends a hedged request beside the one that has been without a response for too long.
+
+        At most two are open: the older one keeps its better place in discovery's queue for
+        `hedge_patience` seconds, then the younger takes its place."""
         self.node.counters["list_failures"] += 1
         retry = self.node.balancer.discovery_retry
         if self.hedged and self.node.now - self.current.started_at > retry.hedge_patience:
@@ -245,20 +263,20 @@
         self.hedge_at = self.node.now + retry.hedge_delay()
 
     def update_doubt(self) -> None:
-        """May the list still be used for whatever it names?"""
-        if any(call and not call.received_line and call.service_up for call in (self.current, self.hedged)):
+        """Recomputes whether the list may be out of date, and marks its servers accordingly."""
+        if any(one and not one.received_line and one.service_up for one in (self.current, self.hedged)):
             self.list_age.on_reached()
         window = self.node.balancer.discovery_retry.window()
-        doubts = self.list_age.is_doubtful(self.node.now, window)
-        if doubts != self.doubtful:
-            self.doubtful = doubts
-            self.node.counters["doubtful_lists"] += doubts
-            log.event("list", doubtful=doubts)
-            if not doubts:
+        doubtful = self.list_age.is_doubtful(self.node.now, window)
+        if doubtful != self.doubtful:
+            self.doubtful = doubtful
+            self.node.counters["doubtful_lists"] += doubtful
+            log.event("list", doubtful=doubtful)
+            if not doubtful:
                 self.node.server_list.mark_doubtful(math.inf)
-        if doubts:
+        if doubtful:
             self.node.server_list.mark_doubtful(window)
-        ages = self.list_age.is_doubtful(self.node.now, window / 2)
-        if ages or self.aging:
-            self.node.server_list.mark_untried(window / 2 if ages else math.inf)
-        self.aging = ages
+        aging = self.list_age.is_doubtful(self.node.now, window / 2)
+        if aging or self.aging:
+            self.node.server_list.mark_untried(window / 2 if aging else math.inf)
+        self.aging = aging
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -1,8 +1,8 @@
-"""The list of servers as one process holds it: discovery's news go in here, and on to the decisions.
+"""The list of servers of one process: lists from discovery are merged here and passed on to the decisions.
 
-Owns the versions in hand, what operators ordered of servers by hand, and which servers a doubtful list still
-lets be used. News that is older than what is held of a server does not replace it (`fact_versions.py`). It
-never calls discovery (`discovery.py`) and never chooses a server.
+Keeps the versions of the list, the cordons that operators set by hand, and which servers stay usable while
+the list may be out of date. An older entry never replaces a newer one of the same server
+(`fact_versions.py`). Requests to discovery are made in `discovery.py`; servers are chosen by the decisions.
 """
 
 from __future__ import annotations
@@ -18,117 +18,124 @@
 
 
 class ServerList:
-    """What discovery says is noted in the node's servers; times are the node's, in seconds."""
+    """Merges lists into the records of the node's servers. Times are seconds of the node's clock."""
 
     def __init__(self, node: Any):
         self.node = node
-        self.versions = ListVersions()  # by those of discovery's present address
-        self.machine_types: dict[str, int] = {}  # by name, numbered as the list brings them
-        self.confirmed = False  # discovery has told us a list
-        self.known_list_loaded = False  # a list from before the start is known
-        self.orders: dict[int, CordonOrder] = {}  # by mark: what operators last ordered of a server
+        self.versions = ListVersions()  # of the list at discovery's current address
+        self.machine_types: dict[str, int] = {}  # numbers by name, in the order in which lists name them
+        self.confirmed = False  # discovery has sent a list since the start
+        self.known_list_loaded = False  # a list from before the start names servers
+        self.orders: dict[int, CordonOrder] = {}  # the operators' last order, by server id hash
 
     @property
     def version(self) -> int:
-        """Of the list in hand."""
+        """The version of the list in use."""
         return self.versions.watched
 
     @version.setter
     def version(self, version: int) -> None:
-        """Versions count anew from this one: what was held by others compares with it no more."""
+        """Starts a new sequence of versions: earlier ones are no longer comparable."""
         self.versions = ListVersions(version)
 
     @property
     def cordoned(self) -> dict[int, str]:
-        """Names by mark of the servers that operators took out by hand."""
-        return {mark: order.name for mark, order in self.orders.items() if order.cordon}
+        """Names, by id hash, of the servers that operators cordoned by hand."""
+        return {id_hash: order.name for id_hash, order in self.orders.items() if order.cordon}
 
-    def on_list(self, news: lines.Listing, fetched: bool = False, at_current_address: bool = True) -> None:
-        """A list or its changes, as discovery wrote it. `counts`: in the versions of its address now."""
-        if fetched and news.version < self.version:
-            return  # a watch has told newer since it was asked for
+    def on_list(self, listing: lines.Listing, fetched: bool = False, at_current_address: bool = True) -> None:
+        """Applies a list, or changes of one, from discovery.
+
+        `fetched`: it is the response to a request for a single list. `at_current_address`: its version
+        belongs to the sequence of discovery's current address."""
+        if fetched and listing.version < self.version:
+            return  # a watch has delivered a newer version since the request
         if at_current_address:
-            if news.whole and news.version < self.version:
-                self.version = news.version  # discovery itself counts anew
-            self.merge_newer(news)
-            self.versions.on_watch(max(self.version, news.version))
+            if listing.whole and listing.version < self.version:
+                self.version = listing.version  # discovery has restarted its versions
+            self.merge_newer(listing)
+            self.versions.on_watch(max(self.version, listing.version))
         else:
-            self.merge(news)
-        self.node.hot_restart.publish_news(news, at_current_address)
-        self.node.readiness.on_list(news.whole or bool(self.node.servers))
+            self.merge(listing)
+        self.node.hot_restart.publish_news(listing, at_current_address)
+        self.node.readiness.on_list(listing.whole or bool(self.node.servers))
         self.node.changed.set()
 
-    def on_sibling_news(self, news: lines.Listing) -> None:
-        """What the watch of our other process brought. Our own still brings all since our version."""
-        if news.version > self.version:
-            self.merge_newer(news)
-            self.versions.on_sibling(news.version, news.whole, [lines.id_hash(e.name) for e in news.entries])
+    def on_sibling_news(self, listing: lines.Listing) -> None:
+        """Applies a list, or changes of one, that the sibling process received. The watch of this process
+        still delivers everything after its own version."""
+        if listing.version > self.version:
+            self.merge_newer(listing)
+            self.versions.on_sibling(
+                listing.version, listing.whole, [lines.id_hash(e.name) for e in listing.entries]
+            )
 
-    def on_predecessor_list(self, news: lines.Listing, theirs: ListVersions) -> None:
-        """The whole list of the process before us, at the same address; `theirs`: how recent it is."""
-        self.merge_newer(news, theirs)
-        self.versions.merge(theirs)
+    def on_predecessor_list(self, listing: lines.Listing, versions: ListVersions) -> None:
+        """Applies the whole list of the predecessor, which uses the same address of discovery. `versions`:
+        how recent its entries are."""
+        self.merge_newer(listing, versions)
+        self.versions.merge(versions)
         self.note_known_list()
 
     def on_unchanged(self) -> None:
-        """A watch stands and brings nothing new: what was listed holds."""
+        """A watch is open and reports no change: the list in use is current."""
         self.node.readiness.on_list(bool(self.node.servers))
         self.node.changed.set()
         self.node.balancer.on_servers_listed([])
 
     def on_failure(self, reached: bool) -> None:
-        """Discovery failed; `reached`: it took the connection."""
+        """A request to discovery failed. `reached`: discovery had accepted the connection."""
         self.node.counters["list_failures"] += 1
         self.node.readiness.on_list_failure()
         self.node.changed.set()
         self.node.balancer.on_discovery_failed(reached)
 
-    def load_known_list(self, news: lines.Listing) -> None:
-        """A list from before the start. It may be old."""
-        self.merge(news)
+    def load_known_list(self, listing: lines.Listing) -> None:
+        """Loads a list from before the start, which may be out of date."""
+        self.merge(listing)
         self.note_known_list()
 
     def note_known_list(self) -> None:
-        """A list from before the start is in hand: does it name any server, and one that may be used?"""
+        """Records whether a list from before the start names servers, and whether one of them is ready."""
         servers = self.node.servers.values()
         self.known_list_loaded = self.known_list_loaded or bool(servers)
         self.node.readiness.on_known(any(server.state == model.READY for server in servers))
 
-    def merge_newer(self, news: lines.Listing, theirs: ListVersions | None = None) -> None:
-        """Merge what is not older than what is held of each server. `theirs`: the versions of a whole list
-        some entries of which are later than the list itself."""
-        theirs = theirs or ListVersions(news.version)
+    def merge_newer(self, listing: lines.Listing, versions: ListVersions | None = None) -> None:
+        """Merges the entries that are not older than those held. `versions`: those of a whole list some of
+        whose entries are newer than the list itself."""
+        versions = versions or ListVersions(listing.version)
 
-        def takes(mark: int) -> bool:
-            return self.versions.accepts(mark, theirs.version_of(mark))
+        def accepts(id_hash: int) -> bool:
+            return self.versions.accepts(id_hash, versions.version_of(id_hash))
 
-        entries = [entry for entry in news.entries if takes(lines.id_hash(entry.name))]
-        kept = {mark for mark in self.node.servers if not takes(mark)} if news.whole else ()
-        self.merge(lines.Listing(news.version, news.whole, entries), kept)
+        entries = [entry for entry in listing.entries if accepts(lines.id_hash(entry.name))]
+        retained = {id_hash for id_hash in self.node.servers if not accepts(id_hash)} if listing.whole else ()
+        self.merge(lines.Listing(listing.version, listing.whole, entries), retained)
 
-    def merge(self, news: lines.Listing, kept: Container[int] = ()) -> None:
-        """`kept`: marks of servers that are not gone although a whole list lacks them."""
+    def merge(self, listing: lines.Listing, retained: Container[int] = ()) -> None:
+        """Merges all entries. `retained`: id hashes of servers that stay although a whole list lacks them."""
         self.node.counters["list_lines"] += 1
-        newest = start_times.newest(entry.row[3] for entry in news.entries)
-        rows = [row for entry in news.entries if (row := self.record_entry(entry, newest))]
-        self.node.apply_entries(rows, news.whole, kept)
+        newest = start_times.newest(entry.row[3] for entry in listing.entries)
+        rows = [row for entry in listing.entries if (row := self.record_entry(entry, newest))]
+        self.node.apply_entries(rows, listing.whole, retained)
         for server in map(self.node.servers.get, self.cordoned):
-            if (
-                server and not server.cordoned
-            ):  # forgotten meanwhile, or told by our other process: it stays out
+            # The record is new, or the sibling has set the cordon: it holds all the same.
+            if server and not server.cordoned:
                 self.node.balancer.on_cordoned(server, True)
 
     def record_entry(
         self, entry: lines.Entry, newest: float
     ) -> tuple[int, str, int, int, float, float, int] | None:
-        """An entry as the decisions read it; None of a server that is gone and was never known. `newest`: the
-        newest stamp of a start among the entries that came with it."""
+        """Updates the record of an entry's server and returns the row that the decisions read: id hash,
+        state, cell, zone, weight, start time and machine type; None for a server that is gone and was never
+        known. `newest`: the newest start stamp among the entries that came with this one."""
         state, cell, weight, stamp = entry.row
         self.node.counters["bad_weights"] += weight is None
-        mark = lines.id_hash(entry.name)
-        if entry.address is None and mark not in self.node.servers:
+        id_hash = lines.id_hash(entry.name)
+        if entry.address is None and id_hash not in self.node.servers:
             return None
-        server = self.node.servers.setdefault(mark, Server(mark))
+        server = self.node.servers.setdefault(id_hash, Server(id_hash))
         server.host_record = server.host_record or Endpoint(entry.name, entry.address)
         server.host_record.address = entry.address or server.host_record.address
         started = self.start_time(server.host_record, stamp, newest)
@@ -138,23 +145,23 @@
         if entry.zone:
             zone = zones.setdefault(entry.zone, len(zones))
         machine = self.machine_types.setdefault(entry.machine, len(self.machine_types))
-        return mark, state, cell, zone, weight or server.weight, started, machine
+        return id_hash, state, cell, zone, weight or server.weight, started, machine
 
     def start_time(self, endpoint: Endpoint, stamp: float, newest: float) -> float:
-        """When the server last started, on our clock: another stamp is another start."""
+        """The time of the server's last start on the node's clock; a different stamp is another start."""
         if endpoint.start is None or endpoint.start.stamp != stamp:
-            # What the list known before lacks has started since that was told, whatever its clock says.
+            # A server that the list from before the start lacks has started since, whatever its stamp says.
             long_ago = not self.confirmed and not self.known_list_loaded
             endpoint.start = start_times.latest_start(stamp, self.node.now, long_ago, newest)
         return endpoint.start.time
 
     def to_message(self) -> dict[str, Any]:
-        """The list in hand, in the form that discovery sends a whole one."""
+        """The list in use, in the form of a whole list from discovery."""
         listed = [s for s in self.node.servers.values() if s.host_record and s.state != model.GONE]
         return lines.list_message(self.entry_rows(listed))
 
     def entry_rows(self, servers: Iterable[Server]) -> Iterator[tuple]:
-        """What the entry of each has, as `lines.list_message` writes it."""
+        """The rows of these servers' entries, for `lines.list_message`."""
         zones = {index: name for name, index in self.node.names.zones.items()}
         machines = {index: name for name, index in self.machine_types.items()}
         for server in servers:
@@ -170,26 +177,30 @@
             )
 
     def messages_after(self, versions: ListVersions) -> Iterator[dict[str, Any]]:
-        """What a process that holds these versions of the list lacks, as messages of discovery's form."""
+        """The entries that a process with these versions of the list lacks, as messages in the form of
+        discovery's."""
         ours = self.versions
         if ours.complete > versions.complete:
             yield self.to_message() | {"generation": ours.complete}
         for version in sorted(set(ours.newer.values())):
-            marks = [
-                mark for mark, later in ours.newer.items() if later == version > versions.version_of(mark)
+            id_hashes = [
+                id_hash
+                for id_hash, later in ours.newer.items()
+                if later == version > versions.version_of(id_hash)
             ]
-            servers = [s for s in map(self.node.servers.get, marks) if s and s.host_record]
+            servers = [s for s in map(self.node.servers.get, id_hashes) if s and s.host_record]
             if servers:
                 yield lines.list_message(self.entry_rows(servers), version, whole=False)
 
-    def forget_order(self, mark: int) -> None:
-        """Of a server that is forgotten: guards against a record for each one that was ever put back."""
-        if mark in self.orders and not self.orders[mark].cordon:
-            del self.orders[mark]
+    def forget_order(self, id_hash: int) -> None:
+        """Drops the order of a server whose record is dropped, unless it is a cordon. Otherwise one record
+        would stay for each server that was ever uncordoned."""
+        if id_hash in self.orders and not self.orders[id_hash].cordon:
+            del self.orders[id_hash]
 
     def mark_doubtful(self, window: float) -> None:
-        """The list may lack what counts as told: new connections go only to servers that took one within the
-        window (seconds). Infinite: the list is good again."""
+        """The list may lack changes that count as received: new connections go only to servers that accepted
+        one within the last `window` seconds. Infinite: the list is up to date again."""
         since = max(self.node.now - window, self.node.discovery.list_age.proofs_valid_from)
         changed = False
         for server in self.node.servers.values():
@@ -200,39 +211,43 @@
             self.node.balancer.refresh_usable()
 
     def mark_untried(self, since: float) -> None:
-        """Servers that took no connection for so long (seconds), nor were tried, get the next call without a
-        group: guards against a list that becomes doubtful, and then only servers that took one lately, fewer
-        and fewer, may be used. Infinite: the list is young. Groups stay where they are: each server more that
-        has one pays its price."""
+        """Servers that neither accepted nor were sent a connection for `since` seconds get the next call
+        without a group. Otherwise, once the list becomes doubtful, only the servers that accepted one lately
+        would be usable, and they become fewer and fewer. Infinite: the list is recent.
+
+        Calls of a group are not redirected: each further server that holds a group has a cost."""
         for server in self.node.servers.values():
             server.needs_attempt = self.node.now - max(server.last_accepted, server.last_attempted) > since
 
     def cordon(self, name: str, out: bool) -> bool:
-        """Take a server out by hand, or put it back; no if none of that name is or was listed."""
-        mark = lines.id_hash(name)
-        server = self.node.servers.get(mark)
+        """Cordons a server by hand, or uncordons it if `out` is false. Returns False if no server of that
+        name is listed or cordoned."""
+        id_hash = lines.id_hash(name)
+        server = self.node.servers.get(id_hash)
         listed = server is not None and server.state != model.GONE and server.host_record is not None
-        if mark not in self.cordoned and not listed:
+        if id_hash not in self.cordoned and not listed:
             return False
         self.on_order(CordonOrder(name, out, self.node.clock() - self.node.anchor))
         return True
 
     def on_order(self, order: CordonOrder) -> None:
-        """What operators ordered here, or at our other process, of a server that need not be listed yet."""
-        mark = lines.id_hash(order.name)
-        held = self.orders.get(mark)
+        """Applies an order of operators, given here or at the sibling process, unless a later one is held.
+        The server need not be listed yet."""
+        id_hash = lines.id_hash(order.name)
+        held = self.orders.get(id_hash)
         if held and not supersedes(order.version, held.version):
             return
-        self.orders[mark] = order
-        if server := self.node.servers.get(mark):
+        self.orders[id_hash] = order
+        if server := self.node.servers.get(id_hash):
             self.node.balancer.on_cordoned(server, order.cordon)
 
 
 def load_known(node: Any) -> None:
-    """The list that the configuration brings."""
+    """Loads the list that the configuration contains (`known`), if it is valid."""
     if node.config.known_error:
         log.event("known", taken="nothing", error=node.config.known_error)
     if node.config.known:
         node.server_list.load_known_list(node.config.known)
-        if node.servers:  # guards against a list that was lost and, by its version, is never told again
+        # If no server is known the version stays 0. Otherwise discovery would never send the whole list.
+        if node.servers:
             node.server_list.version = node.config.known.version
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -140,7 +140,7 @@
     ),
     Mutant(
         "what the sibling was told is not heeded",
-        (("net/server_list.py", "        if news.version > self.version:\n", "        if False:\n"),),
+        (("net/server_list.py", "        if listing.version > self.version:\n", "        if False:\n"),),
         "drain",
         ("drain",),
     ),
