--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -1,4 +1,4 @@
-"""A look at all servers once a second: whose messages are late, and whose connections have gone silent."""
+"""Checks all servers once a second: reports late messages, ends silent connections, drops unused records."""
 
 from __future__ import annotations
 
@@ -9,29 +9,28 @@
 from bellrack.net import log
 from bellrack.net.servers import Endpoint
 
-CHECK_INTERVAL_SECONDS = 1.0  # seconds between notices of late messages, as the decisions expect them
-FORGET_AFTER_SECONDS = (
-    60.0  # seconds after which a server that is gone and holds nothing of ours is forgotten
-)
-REPORT_PRECEDENCE_SECONDS = (
-    1.5  # seconds for which a server's own word on its messages stands before what we timed
-)
-LATE_NOTICE_SHARE = 1 / 3  # of the shortest message aim: lines slower than this are told of
+CHECK_INTERVAL_SECONDS = 1.0  # the interval at which the decisions expect reports of late messages
+FORGET_AFTER_SECONDS = 60.0  # until the record of a server that is gone and has no open legs is dropped
+REPORT_PRECEDENCE_SECONDS = 1.5  # for which a delay reported by the server itself replaces measured ones
+LATE_NOTICE_SHARE = 1 / 3  # of the shortest message aim: delays above it are reported
 
 
 class ServerWatch:
+    """The periodic check of a node's servers."""
+
     def __init__(self, node: Any):
         self.node = node
 
     def check(self) -> None:
+        """Checks every server, and schedules the next check."""
         node = self.node
         node.after(CHECK_INTERVAL_SECONDS, self.check)
-        if judged := node.balancer.overload.verdicts:
+        if verdicts := node.balancer.overload.verdicts:
             if not node.counters["late_seen"]:
                 log.event(
                     "late-seen", notices=node.counters["late_notices"], promised=node.names.reports_delay
                 )
-            node.counters["late_seen"] = judged
+            node.counters["late_seen"] = verdicts
         for server in list(node.servers.values()):
             self.forget_unused(server)
             if server.host_record.legs:
@@ -41,7 +40,8 @@
                 server.host_record.took.clear()
 
     def forget_unused(self, server: Server) -> None:
-        """Guards against records that grow with each machine that is replaced."""
+        """Drops the record of a server that has been gone for long. Otherwise the records would grow with
+        each machine that is replaced."""
         if server.state != model.GONE or server.local_state.open_legs:
             server.host_record.used = self.node.now
         elif self.node.now - server.host_record.used > FORGET_AFTER_SECONDS:
@@ -50,6 +50,8 @@
             self.node.server_list.forget_order(server.id_hash)
 
     def time_messages(self, server: Server) -> None:
+        """Reports the measured delay of a server's messages to the decisions while they are late, and once
+        afterwards, unless the server itself has reported a delay recently."""
         node, endpoint = self.node, server.host_record
         delay = endpoint.look(node.now)
         late = delay > LATE_NOTICE_SHARE * node.settings.shortest_message_aim
@@ -61,6 +63,7 @@
             node.balancer.on_delay_reported(next(iter(endpoint.legs)).leg, delay)
         endpoint.late = late
 
-    def end_silent(self, place: Endpoint) -> None:
-        for link in [link for link in place.legs if link.silent()]:
-            link.client.move("server-silent", model.RESET)
+    def end_silent(self, endpoint: Endpoint) -> None:
+        """Moves the clients whose server connection has gone silent."""
+        for connection in [connection for connection in endpoint.legs if connection.silent()]:
+            connection.client.move("server-silent", model.RESET)
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -96,8 +96,8 @@
     Mutant(
         "silent ones go at once",
         "net/limits.py",
-        "spared_for = RESUMED_GRACE_SECONDS if self.expects_resumed() else SILENT_GRACE_SECONDS",
-        "spared_for = SILENT_GRACE_SECONDS",
+        "grace = RESUMED_GRACE_SECONDS if self.expects_resumed() else SILENT_GRACE_SECONDS",
+        "grace = SILENT_GRACE_SECONDS",
     ),
     Mutant(
         "ignores descriptors",
