--- a/bellrack/net/http.py
+++ b/bellrack/net/http.py
@@ -1,13 +1,12 @@
-"""HTTP/1.1 requests as they come in, and answers as they go out.
+"""Parsing of HTTP/1.1 requests and formatting of responses, for one request per connection.
 
-Owns the form of both, for callers that ask one thing a connection. It never touches a socket, knows no path,
-and holds no more than a head and a body of bounded size.
+Does no I/O and knows no paths. The size of a request's head and of its body is bounded.
 """
 
 from __future__ import annotations
 
-MAX_HEAD_BYTES = 4096  # bytes of the request line and the fields
-MAX_BODY_BYTES = 1024  # bytes; an id is far shorter
+MAX_HEAD_BYTES = 4096  # the request line and the header fields
+MAX_BODY_BYTES = 1024  # a server's id, the only content, is far shorter
 REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
@@ -23,7 +22,7 @@
 
 
 class HttpError(ValueError):
-    """A request that is answered by this status and nothing else."""
+    """A request that is answered with the status `status` only."""
 
     def __init__(self, status: int):
         super().__init__(REASON_PHRASES[status])
@@ -31,19 +30,20 @@
 
 
 class Request:
-    """One request: `feed` it what comes, in pieces of any size, until it is done."""
+    """A parser of one request: `feed` it the received bytes, in pieces of any size, until it is `done`."""
 
     def __init__(self) -> None:
-        self.rest = bytearray()
+        self.rest = bytearray()  # received and not parsed yet
         self.method = self.path = ""
         self.body = b""
         self.length = 0
-        self.awaits_continue = False  # the caller sends its body only when told to go on
+        self.awaits_continue = False  # the client sends the body only after `100 Continue`
         self.done = False
 
     def feed(self, data: bytes) -> None:
+        """Parses further bytes. Raises HttpError for a malformed or too large request."""
         if self.done:
-            return  # one call to a connection: what follows is nobody's
+            return  # one request per connection: what follows is ignored
         self.rest += data
         if not self.method:
             self._head()
@@ -52,43 +52,43 @@
 
     def _head(self) -> None:
         while self.rest.startswith(b"\r\n"):
-            del self.rest[:2]  # an empty line or two may come first (RFC 9112, 2.2)
-        at = self.rest.find(b"\r\n\r\n")
-        if at > MAX_HEAD_BYTES or at < 0 and len(self.rest) > MAX_HEAD_BYTES:
+            del self.rest[:2]  # empty lines may precede the request line (RFC 9112, 2.2)
+        head_end = self.rest.find(b"\r\n\r\n")
+        if head_end > MAX_HEAD_BYTES or head_end < 0 and len(self.rest) > MAX_HEAD_BYTES:
             raise HttpError(431)
-        if at < 0:
+        if head_end < 0:
             return
-        first, *fields = self.rest[:at].decode("latin-1").split("\r\n")
-        del self.rest[: at + 4]
-        words = first.split(" ")
+        request_line, *fields = self.rest[:head_end].decode("latin-1").split("\r\n")
+        del self.rest[: head_end + 4]
+        words = request_line.split(" ")
         if len(words) != 3 or not words[0].isalpha() or not words[2].startswith("HTTP/1."):
             raise HttpError(400)
-        named = {}
+        headers = {}
         for field in fields:
             name, colon, value = field.partition(":")
             if (
                 not colon
                 or not name
                 or name != name.strip()
-                or name.lower() in named
+                or name.lower() in headers
                 and name.lower() == "content-length"
             ):
                 raise HttpError(400)
-            named[name.lower()] = value.strip()
-        if "transfer-encoding" in named:
+            headers[name.lower()] = value.strip()
+        if "transfer-encoding" in headers:
             raise HttpError(411)
-        length = named.get("content-length", "0")
+        length = headers.get("content-length", "0")
         if not (length.isascii() and length.isdigit()):
             raise HttpError(400)
         if len(length) > len(str(MAX_BODY_BYTES)) or int(length) > MAX_BODY_BYTES:
             raise HttpError(413)
         self.length = int(length)
-        self.awaits_continue = named.get("expect", "").lower() == "100-continue"
+        self.awaits_continue = headers.get("expect", "").lower() == "100-continue"
         self.method, self.path = words[0], words[1].partition("?")[0]
 
 
 def response(status: int, text: str, allow: str = "") -> bytes:
-    """A whole answer; the connection ends after it."""
+    """A whole response, after which the connection is closed. `allow`: the methods allowed, with a 405."""
     body, allowed = text.encode(), f"Allow: {allow}\r\n" if allow else ""
     return (
         f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: text/plain; charset=utf-8\r\n{allowed}"
--- a/bellrack/net/invariants.py
+++ b/bellrack/net/invariants.py
@@ -1,8 +1,8 @@
 """The rules of the operators' pages as invariants that a process checks while it runs.
 
-Each violation is counted as `violation_NAME`, among the counters at `/_vars` and at exit, and leaves one log
-line with the request's id. The checks are independent of the decisions: they judge by the accounting of the
-request and by what was written, at the moment of the write. One that fails before a write prevents it.
+Each violation is counted as `violation_NAME`, among the counters at `/_vars` and at exit, and is logged in
+one line with the request's id. The checks are independent of the decisions: they use the accounting of the
+request and what was written, at the moment of the write. A check that fails before a write prevents it.
 """
 
 from __future__ import annotations
@@ -17,38 +17,43 @@
 from bellrack.model import Leg, Server, Settings
 from bellrack.net import log
 
-FEW_CALLS = 30  # under so many calls the bound of a cold server has a factor of three
+FEW_CALLS = 30  # below this number of requests the bound of a cold server has a factor of three
 
 
 class Invariant(enum.Enum):
     """What must never happen; the numbers are the rules in the order of PROTOCOL.md."""
 
     ANSWERED_TWICE = "answered_twice"  # 1: a second final answer
-    CLOSED_UNANSWERED = "closed_unanswered"  # 1: a request was read, and its connection ended with no answer
+    CLOSED_UNANSWERED = "closed_unanswered"  # 1: a request's connection was closed without an answer
     EXIT_UNANSWERED = "exit_unanswered"  # 1: the same at the end of the process
-    EXIT_STANDING = "exit_standing"  # 1: the process ended with a connection that is up and was not moved
-    SENT_FOR_NOBODY = "sent_for_nobody"  # 1: an attempt for a client that has gone or has its answer
-    SECOND_COPY = "second_copy"  # 2: an attempt while an earlier one is out
+    EXIT_STANDING = "exit_standing"  # 1: the process ended with an established connection that was not moved
+    SENT_FOR_NOBODY = "sent_for_nobody"  # 1: an attempt for a client that has left or has its answer
+    SECOND_COPY = "second_copy"  # 2: an attempt while an earlier one is open
     REPEATED_ONCE_ONLY = "repeated_once_only"  # 2: an earlier attempt may have run
-    REPEATED_LATE = "repeated_late"  # 2: repeats are no longer dropped
-    REPEATED_ELSEWHERE = "repeated_elsewhere"  # 2: another group drops repeats
-    SENT_TO_UNUSABLE = "sent_to_unusable"  # 3: the server drains, has gone or is detached
-    COLD_BUDGET = "cold_budget"  # 4: more than a cold server bears, from this process alone
-    SERVED_UNREADY = "served_unready"  # a request placed before there was a list that may be used
+    REPEATED_LATE = "repeated_late"  # 2: the servers no longer drop repeats
+    REPEATED_ELSEWHERE = "repeated_elsewhere"  # 2: the server is not in the group that drops repeats
+    SENT_TO_UNUSABLE = "sent_to_unusable"  # 3: the server is draining, gone or detached
+    COLD_BUDGET = "cold_budget"  # 4: this process alone sent more than a cold server can take
+    SERVED_UNREADY = "served_unready"  # a request was sent before there was a usable list
 
 
 class Invariants:
+    """The checks of one process, called where it writes a request, closes a connection or exits."""
+
     def __init__(self, counters: log.Counters, settings: Settings):
         self.counters, self.settings = counters, settings
-        self.cold_sends: dict[int, deque[float]] = {}  # by server: when it was sent to while cold, in seconds
+        self.cold_sends: dict[int, deque[float]] = {}  # times of sends to cold servers (seconds), by id hash
 
     def violated(self, invariant: Invariant, request_id: str, **detail: object) -> None:
+        """Counts and logs a violation."""
         self.counters[f"violation_{invariant.value}"] += 1
         log.event("violation", rule=invariant.value, id=request_id, **detail)
 
     def may_write(self, leg: Leg, request_id: str, now: float, answered: bool, allowed: float) -> bool:
-        """Checks an attempt at the moment at which its first line would go out; `now` in seconds. `allowed`:
-        requests that the settings allow its server in `fall_time`, if that is cold."""
+        """Checks an attempt just before its first line is written, and returns whether it may be written.
+
+        `now`: seconds. `answered`: the client has its final answer. `allowed`: the number of requests that
+        the settings allow the server within `fall_time` seconds, if it is cold."""
         broken = list(broken_by(leg, now, answered))
         for invariant in broken:
             self.violated(invariant, request_id, server=f"{leg.server.id_hash:016x}")
@@ -57,7 +62,8 @@
         return not broken
 
     def check_cold(self, server: Server, request_id: str, now: float, allowed: float) -> None:
-        """The bound for the whole tier: what this process alone may send lies far under it."""
+        """Counts a send to a cold server and checks the sends of this process against the bound of the whole
+        tier. The share of one process is far lower than that bound."""
         sends = self.cold_sends.setdefault(server.id_hash, deque())
         while sends and sends[0] <= now - self.settings.fall_time:
             sends.popleft()
@@ -66,12 +72,12 @@
             self.violated(Invariant.COLD_BUDGET, request_id, server=f"{server.id_hash:016x}", sent=len(sends))
 
     def check_close(self, client: Any) -> None:
-        """A client's connection ends by our will."""
+        """Checks a client's connection that this process is about to close."""
         if client.call and not client.answered and not client.remote_end:
             self.violated(Invariant.CLOSED_UNANSWERED, client.request_id)
 
     def check_exit(self, clients: Any) -> None:
-        """The process ends now: nobody that it has taken in may be left without an answer, or up."""
+        """Checks at exit that each request has its answer and no connection is still established."""
         for client in list(clients):
             if client.closed or client.call is None or client.remote_closed():
                 continue
@@ -81,11 +87,12 @@
                 self.violated(Invariant.EXIT_UNANSWERED, client.request_id)
 
     def forget_server(self, server: Server) -> None:
+        """Drops what is kept of a server that is gone."""
         self.cold_sends.pop(server.id_hash, None)
 
 
 def broken_by(leg: Leg, now: float, answered: bool) -> Iterator[Invariant]:
-    """The invariants that writing this attempt's first line now would break."""
+    """The invariants that writing this attempt's first line now would violate."""
     call = leg.call
     if answered or call.done:
         yield Invariant.SENT_FOR_NOBODY
@@ -108,7 +115,7 @@
 
 
 def slow_start_bound(calls: float) -> float:
-    """Requests that a cold server bears in a window in which the settings allow so many calls.
+    """The most requests that a cold server may get in a window in which the settings allow `calls`.
 
     STANDING.md: "N + 2 x root of N + 2 (N under 30: N + 3 x root of N + 3)"."""
     root = math.sqrt(calls)
--- a/bellrack/net/peer_socket.py
+++ b/bellrack/net/peer_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket between the balancers of a tier."""
+"""The UDP socket through which the balancers of a tier exchange datagrams."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from bellrack.net.config import Config
 
-MAX_DATAGRAM_BYTES = 256  # bytes; PROTOCOL.md, "Between balancers": a longer one voids the run
+MAX_DATAGRAM_BYTES = 256  # PROTOCOL.md, "Between balancers": a longer one invalidates the run
 
 
 class PeerSocket(asyncio.DatagramProtocol):
-    """Datagrams from and to the peers that the configuration names, by their numbers in it."""
+    """Sends and receives datagrams of the peers in the configuration. Peers are numbered in its order."""
 
     def __init__(self, node: Any):
         self.node, self.transport = node, None
@@ -19,7 +19,7 @@
 
     @staticmethod
     async def open(node: Any) -> PeerSocket:
-        """Listen at the configuration's `peer_listen`. Raises OSError."""
+        """Opens the socket at the configuration's `peer_listen`. Raises OSError."""
         _, protocol = await node.loop.create_datagram_endpoint(
             lambda: PeerSocket(node),
             local_addr=node.config.peer_listen,
@@ -32,6 +32,7 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, sender: tuple[str, int]) -> None:
+        """Passes a datagram on to the decisions; drops those of unknown senders and too long ones."""
         number = self.peer_numbers.get(sender[:2])
         if number is not None and len(data) <= MAX_DATAGRAM_BYTES:
             self.node.queue(self.node.balancer.on_datagram, number, data)
@@ -39,9 +40,9 @@
     def error_received(self, error: Exception) -> None: ...
 
     def send(self, peer: int | None, data: bytes) -> None:
-        """To one peer, or to all if it is None."""
+        """Sends to one peer, or to all if `peer` is None."""
         config: Config = self.node.config
-        # Guards against a tier that is larger than the list of its addresses in this file.
+        # The tier may have more balancers than the configuration has addresses.
         address = config.peers_all if peer is None else (config.peers[peer : peer + 1] or [None])[0]
         if address:
             self.transport.sendto(data, address)
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -1,7 +1,7 @@
 """Resumed connections of one process: carries out on sockets what `resumption.py` decides.
 
-Owns those that are not up yet. An attempt is an ordinary server connection; it ends here and not at the
-decisions, which hear of a resumed connection only once it is up.
+Keeps the ones that are not established yet. An attempt is an ordinary server connection, but its end is
+handled here: the decisions are told of a resumed connection only once it is established.
 """
 
 from __future__ import annotations
@@ -16,27 +16,30 @@
 
 
 class ResumedConnections:
-    """Those that are not up yet, by the connection of their client."""
+    """The resumed connections that are not established yet, by their client's connection."""
 
     def __init__(self, node: Any, started: float, evidence: float):
+        """`started`: when the process started; `evidence`: see StartupWindow. Both in seconds."""
         self.node = node
         self.window = StartupWindow(started, evidence)
         self.pending: dict[Any, Resumption] = {}
 
     def expects_more(self) -> bool:
+        """Whether further resumed connections are to be expected."""
         return self.window.expects_more(self.node.now, len(self.pending))
 
     def may_precede_run(self) -> bool:
+        """Whether the run may not have begun yet, so that silent connections may be resumed ones."""
         return self.window.may_precede_run(self.node.now, len(self.pending))
 
     def holds_back_move(self, leg: Leg) -> bool:
-        """May the run not have begun? It begins when all resumed connections are up at once, and one that is
-        moved before would hold it up. What operators ordered by hand is carried out."""
+        """Whether the leg must not be moved yet. The run begins when all resumed connections are established
+        at once, and moving one before would delay it. Legs at cordoned servers are moved all the same."""
         held_back = self.window.holds_back_moves(self.node.now, len(self.pending))
         return held_back and not leg.server.cordoned
 
     def admit(self, client: Any, client_waits: float | None) -> None:
-        """A first line with `at=` has come. `client_waits`: for how many seconds, as it says."""
+        """A first line with `at=` has come. `client_waits`: for how many seconds the client says it waits."""
         self.window.on_resumed(self.node.now)
         resumption = Resumption(self.node.now, lines.id_hash(client.request_line.id), client_waits)
         self.pending[client] = resumption
@@ -44,6 +47,7 @@
         self.proceed(client, resumption)
 
     def proceed(self, client: Any, resumption: Resumption) -> None:
+        """Carries out the next action of a resumption, unless it is over."""
         if not resumption.pending:
             return
         client.forget_if_closed()
@@ -61,33 +65,36 @@
                 self.node.release(client.call)
 
     def descriptors_free(self) -> bool:
-        """Connections that have said nothing make room, as for any request."""
+        """Whether there are descriptors for an attempt. Silent connections are ended for it if necessary, as
+        for any request."""
         self.node.limits.make_room(self.node.now)
         return not self.node.limits.lacks(limits.DESCRIPTORS_PER_ATTEMPT)
 
-    def on_attempt_ended(self, link: ServerConnection, kind: str) -> None:
-        """An attempt ended before it was up; `kind` is a result of `model`."""
-        client = link.client
+    def on_attempt_ended(self, connection: ServerConnection, kind: str) -> None:
+        """An attempt ended before it was established. `kind`: a result of `model`."""
+        client = connection.client
         resumption = self.pending.get(client)
         if resumption is None:
-            return  # its client has left
-        if kind == model.COMPLETED:  # its server has served it to its end and said so: that was its answer
+            return  # the client has left
+        if kind == model.COMPLETED:  # the server has served it to the end, and has answered it by saying so
             client.call.done = True
             return
         resumption.on_attempt_failed(self.node.now, kind == model.TIMEOUT, kind not in model.NEVER_RAN)
         self.proceed(client, resumption)
 
     def on_established(self, client: Any) -> None:
+        """The client's resumed connection is established, if it was one."""
         if resumption := self.pending.pop(client, None):
             resumption.on_established()
 
     def discard(self, client: Any) -> None:
-        """Nothing is owed to it any more."""
+        """The client has its answer, has left, or was handed to another process."""
         if resumption := self.pending.pop(client, None):
             resumption.on_closed()
 
     def answer_all(self) -> None:
-        """The process ends: trying again is harmless where no server can have heard of it."""
+        """Answers all clients at shutdown. A call is rejected, which invites a retry, only if no server can
+        have received it; others are released."""
         for client, resumption in list(self.pending.items()):
             if resumption.may_have_run or client.server_connection and client.server_connection.written:
                 self.node.release(client.call)
--- a/bellrack/net/transient.py
+++ b/bellrack/net/transient.py
@@ -1,7 +1,6 @@
-"""Errors of the machine that pass: what to try again, and for how long.
+"""Transient errors of the local machine: which operations to retry, and for how long.
 
-A socket or a file that cannot be had for a moment says nothing of a server, a client or a configuration.
-Times are seconds.
+That a socket or a file is unavailable for a moment is not the fault of a server, a client or a configuration.
 """
 
 from __future__ import annotations
@@ -11,9 +10,9 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
-Made = TypeVar("Made")
+T = TypeVar("T")
 
-# The machine has no descriptor, buffer, port or route at present, or a call was interrupted.
+# The machine has no descriptor, buffer, port or route at present, or a system call was interrupted.
 LOCAL_ERRNOS = frozenset(
     (
         errno.EINTR,
@@ -28,29 +27,30 @@
 )
 DISK_ERRNOS = frozenset((errno.EIO, errno.ENOSPC, errno.EDQUOT))
 
-RETRY_INTERVAL_SECONDS = 0.02  # from a failure to the next try
-CONNECT_RETRY_SECONDS = 0.25  # for which a connection is tried again: a request has other servers to go to
-START_RETRY_SECONDS = 5.0  # for which a start is: nine in ten restarted balancers are ready within 10 s
-FOLDER_RETRY_INTERVAL_SECONDS = 0.25  # from a failure of a folder to the next try
+RETRY_INTERVAL_SECONDS = 0.02  # from a failure to the next attempt
+CONNECT_RETRY_SECONDS = 0.25  # for which connecting is retried; a request can go to other servers
+START_RETRY_SECONDS = 5.0  # for which starting is retried; nine in ten restarts must be ready within 10 s
+FOLDER_RETRY_INTERVAL_SECONDS = 0.25  # the same for operations on a directory
 
 
 def is_transient(error: OSError) -> bool:
-    """May the same call succeed in a moment?"""
+    """Whether the same operation may succeed in a moment."""
     return error.errno in LOCAL_ERRNOS or error.errno in DISK_ERRNOS
 
 
 def is_local(error: OSError) -> bool:
-    """Is it our machine's, and no word of the other side?"""
+    """Whether the error comes from the local machine and tells nothing about the remote side."""
     return error.errno in LOCAL_ERRNOS
 
 
-async def retry(make: Callable[[], Awaitable[Made]], seconds: float = START_RETRY_SECONDS) -> Made:
-    """What `make` returns, tried again while it fails for what passes. Raises its OSError after that time."""
+async def retry(operation: Callable[[], Awaitable[T]], seconds: float = START_RETRY_SECONDS) -> T:
+    """Returns the result of `operation`, which is retried for `seconds` while it fails with transient errors.
+    Raises its OSError after that, or at once if it is not transient."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     while True:
         try:
-            return await make()
+            return await operation()
         except OSError as error:
             if not is_transient(error) or loop.time() >= end:
                 raise
