--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -1,8 +1,8 @@
-"""A crowd of clients that hold descriptors and want nothing, as a process of its own.
+"""A process of clients that hold descriptors of a balancer without making a request.
 
-`crowd.py PORT COUNT HOW`: `silent` says nothing and is slow to notice its end; `slow` writes a byte a second
-of a line that never ends; `again` comes again at once when let go. All come again, so the crowd lasts until
-the process is ended.
+`crowd.py PORT COUNT HOW`: `silent` sends nothing and is slow to notice that it was disconnected; `slow`
+writes one byte per second of a line that never ends; `again` reconnects at once after it was disconnected.
+All clients reconnect until the process is killed.
 """
 
 import selectors
@@ -10,42 +10,43 @@
 import sys
 import time
 
-AGAIN = {"silent": 1.0, "slow": 0.3, "again": 0.0}  # seconds from its end until one comes again
+RECONNECT_SECONDS = {"silent": 1.0, "slow": 0.3, "again": 0.0}  # from the end of a connection to the next
 
 
 def main(port: int, count: int, how: str) -> None:
-    selector, back, wrote = selectors.DefaultSelector(), [], time.monotonic()
+    """Runs `count` clients of 127.0.0.1:`port`; prints a line once all have begun to connect."""
+    selector, to_reconnect, last_write = selectors.DefaultSelector(), [], time.monotonic()
 
-    def dial() -> None:
+    def connect() -> None:
         sock = socket.socket()
         sock.setblocking(False)
         sock.connect_ex(("127.0.0.1", port))
         selector.register(sock, selectors.EVENT_READ)
 
     for _ in range(count):
-        dial()
-    print("there", flush=True)
+        connect()
+    print("connecting", flush=True)
     while True:
         for key, _ in selector.select(0.02):
             try:
-                said = key.fileobj.recv(4096)
+                data = key.fileobj.recv(4096)
             except OSError:
-                said = b""
-            if not said:
+                data = b""
+            if not data:
                 selector.unregister(key.fileobj)
-                back.append((time.monotonic() + AGAIN[how], key.fileobj))
+                to_reconnect.append((time.monotonic() + RECONNECT_SECONDS[how], key.fileobj))
         now = time.monotonic()
-        for when, sock in [one for one in back if one[0] <= now]:
-            back.remove((when, sock))
+        for when, sock in [entry for entry in to_reconnect if entry[0] <= now]:
+            to_reconnect.remove((when, sock))
             sock.close()
-            dial()
-        if how == "slow" and now - wrote >= 1.0:
-            wrote = now
+            connect()
+        if how == "slow" and now - last_write >= 1.0:
+            last_write = now
             for key in list(selector.get_map().values()):
                 try:
                     key.fileobj.send(b"O")
                 except OSError:
-                    continue  # its end is read
+                    continue  # the end of the connection is read above
 
 
 if __name__ == "__main__":
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,5 +1,5 @@
-"""A machine's wall clock may be stepped by seconds or an hour, either way: ours, a server's, discovery's.
-What is measured in time stays measured by the monotonic clock."""
+"""The wall clock of a machine (the balancer's, a server's, discovery's) may be stepped by seconds or an hour
+in either direction. Durations must not be affected, since they are measured by the monotonic clock."""
 
 import asyncio
 import contextlib
@@ -12,8 +12,8 @@
 from bellrack.net import lines, node, turns
 from bellrack.net.config import parse_config
 
-STEPS = [-3600.0, -5.0, 0.0, 5.0, 3600.0]
-RAMP = 20.0  # seconds, as raw_settings has it
+STEPS_SECONDS = [-3600.0, -5.0, 0.0, 5.0, 3600.0]
+RAMP_SECONDS = 20.0  # rampTimeUs of raw_settings
 
 
 def entry(name, started, state="in_service"):
@@ -29,97 +29,100 @@
     }
 
 
-def tell(host, generation, *entries, reset=False):
+def apply_list(host, generation, *entries, reset=False):
+    """Gives the node a list from discovery, or changes of one."""
     news = {"generation": generation, "reset": reset, "instances": list(entries)}
     host.server_list.on_list(lines.listing(news))
     host.discovery.on_confirmed(host.now)
 
 
-def host_at(monkeypatch, offset=0.0):
-    """A node that plays no sockets, on a machine whose wall clock is so many seconds off at its start."""
-    real = time.time
-    monkeypatch.setattr(turns.time, "time", lambda: real() + offset)
+def node_at(monkeypatch, offset=0.0):
+    """A node without sockets that starts while its machine's wall clock is `offset` seconds off."""
+    real_time = time.time
+    monkeypatch.setattr(turns.time, "time", lambda: real_time() + offset)
     raw = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": raw_settings()}
-    made = node.Node(parse_config(raw), asyncio.get_running_loop())
-    monkeypatch.setattr(turns.time, "time", real)
-    return made
+    new_node = node.Node(parse_config(raw), asyncio.get_running_loop())
+    monkeypatch.setattr(turns.time, "time", real_time)
+    return new_node
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", STEPS_SECONDS)
 @played
-async def test_a_start_that_is_told_is_cold_whatever_clock_stamped_it(monkeypatch, step):
-    host, true = host_at(monkeypatch), time.time()
-    tell(host, 1, entry("s-0", 0), entry("s-1", 0), reset=True)
+async def test_newly_listed_start_is_cold_whatever_clock_stamped_it(monkeypatch, step):
+    host, wall_clock = node_at(monkeypatch), time.time()
+    apply_list(host, 1, entry("s-0", 0), entry("s-1", 0), reset=True)
     host.now += 5.0
     host.discovery.on_confirmed(host.now)
     host.now += 1.0
-    tell(host, 2, entry("s-0", true + 6.0 + step))
-    stand = host.servers[lines.id_hash("s-0")].local_state
-    assert stand.warm_at - host.now == pytest.approx(RAMP, abs=1e-6)
+    apply_list(host, 2, entry("s-0", wall_clock + 6.0 + step))
+    state = host.servers[lines.id_hash("s-0")].local_state
+    assert state.warm_at - host.now == pytest.approx(RAMP_SECONDS, abs=1e-6)
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", STEPS_SECONDS)
 @played
-async def test_a_start_that_is_told_again_is_the_same_start(monkeypatch, step):
-    host, stamp = host_at(monkeypatch), time.time() + step
-    tell(host, 1, entry("s-0", 0), entry("s-1", 0), reset=True)
-    tell(host, 2, entry("s-0", stamp))
-    stand = host.servers[lines.id_hash("s-0")].local_state
-    warm_at, stand.tokens_used = stand.warm_at, 41
+async def test_start_listed_again_with_the_same_stamp_is_the_same_start(monkeypatch, step):
+    host, stamp = node_at(monkeypatch), time.time() + step
+    apply_list(host, 1, entry("s-0", 0), entry("s-1", 0), reset=True)
+    apply_list(host, 2, entry("s-0", stamp))
+    state = host.servers[lines.id_hash("s-0")].local_state
+    warm_at, state.tokens_used = state.warm_at, 41
     for generation in (3, 4):
         host.now += 3.0
-        tell(host, generation, entry("s-0", stamp), entry("s-1", 0), reset=generation == 4)
-    assert stand.warm_at == warm_at and stand.tokens_used == 41
+        apply_list(host, generation, entry("s-0", stamp), entry("s-1", 0), reset=generation == 4)
+    assert state.warm_at == warm_at and state.tokens_used == 41
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", STEPS_SECONDS)
 @played
-async def test_who_starts_with_a_clock_that_is_off_takes_no_cold_server_for_warm(monkeypatch, step):
-    host, true = host_at(monkeypatch, offset=step), time.time()
-    tell(host, 7, entry("s-0", true - 1.0), entry("s-1", true - 4.0), entry("s-2", 0), reset=True)
+async def test_process_started_with_a_wrong_clock_takes_no_cold_server_for_warm(monkeypatch, step):
+    host, wall_clock = node_at(monkeypatch, offset=step), time.time()
+    apply_list(
+        host, 7, entry("s-0", wall_clock - 1.0), entry("s-1", wall_clock - 4.0), entry("s-2", 0), reset=True
+    )
     cold = [host.servers[lines.id_hash(name)].local_state.warm_at - host.now for name in ("s-0", "s-1")]
-    assert cold[0] >= RAMP - 1.1 and cold[1] >= RAMP - 4.1
-    assert max(cold) <= RAMP
+    assert cold[0] >= RAMP_SECONDS - 1.1 and cold[1] >= RAMP_SECONDS - 4.1
+    assert max(cold) <= RAMP_SECONDS
     assert host.servers[lines.id_hash("s-2")].local_state.warm_at <= host.now
 
 
-@pytest.mark.parametrize("step", STEPS)
+@pytest.mark.parametrize("step", STEPS_SECONDS)
 @played
-async def test_who_starts_knows_a_server_with_another_stamp_for_cold(monkeypatch, step):
-    """It has started since the list that the process was given, whatever its own clock says."""
-    host, true = host_at(monkeypatch), time.time()
-    known = [entry("s-0", 0), entry("s-1", 0), entry("s-2", true - 2.0)]
+async def test_server_with_another_stamp_than_in_the_known_list_is_cold(monkeypatch, step):
+    """The server has started since the known list was written, whatever its stamp says."""
+    host, wall_clock = node_at(monkeypatch), time.time()
+    known = [entry("s-0", 0), entry("s-1", 0), entry("s-2", wall_clock - 2.0)]
     host.server_list.load_known_list(lines.listing({"generation": 5, "reset": True, "instances": known}))
-    tell(host, 7, entry("s-0", true - 1.0 + step), *known[1:], reset=True)
+    apply_list(host, 7, entry("s-0", wall_clock - 1.0 + step), *known[1:], reset=True)
     s_0, s_1 = (host.servers[lines.id_hash(name)].local_state.warm_at - host.now for name in ("s-0", "s-1"))
-    assert s_0 == pytest.approx(RAMP, abs=1e-6) and s_1 <= 0
+    assert s_0 == pytest.approx(RAMP_SECONDS, abs=1e-6) and s_1 <= 0
 
 
 @pytest.mark.parametrize("step", [0.0, -5.0, -3600.0])
 @played
-async def test_who_starts_takes_no_server_that_is_new_to_it_for_warm(monkeypatch, step):
-    """Its clock is behind, and no list that the process was given names it."""
-    host, true = host_at(monkeypatch), time.time()
+async def test_server_missing_from_the_known_list_is_not_taken_for_warm(monkeypatch, step):
+    """The server's clock is behind, and the known list does not name it."""
+    host, wall_clock = node_at(monkeypatch), time.time()
     host.server_list.load_known_list(
-        lines.listing({"generation": 5, "reset": True, "instances": [entry("s-1", true - 500.0)]})
+        lines.listing({"generation": 5, "reset": True, "instances": [entry("s-1", wall_clock - 500.0)]})
     )
-    tell(host, 7, entry("s-0", true - 1.0 + step), entry("s-1", true - 500.0), reset=True)
-    assert host.servers[lines.id_hash("s-0")].local_state.warm_at >= host.now + RAMP - 1.1
+    apply_list(host, 7, entry("s-0", wall_clock - 1.0 + step), entry("s-1", wall_clock - 500.0), reset=True)
+    assert host.servers[lines.id_hash("s-0")].local_state.warm_at >= host.now + RAMP_SECONDS - 1.1
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
 @played
-async def test_times_that_go_over_in_a_hot_restart_keep_their_distance(folder, monkeypatch, step):  # noqa: F811
+async def test_times_handed_over_in_a_hot_restart_keep_their_distance(folder, monkeypatch, step):  # noqa: F811
     async with World(servers=2, control=True, listen=free()) as world:
         old = world.node
         _, server = await world.standing()
         link = next(iter(next(s for s in old.servers.values() if s.host_record.legs).host_record.legs))
-        link.asked.append(old.clock())  # a line of the client that is still unanswered
+        link.asked.append(old.clock())  # a client line that is still unanswered
         first, second = old.servers.values()
         first.local_state.unhealthy_until, second.local_state.warm_at = old.clock() + 60, old.clock() + 8
         old.resumed.window.started = old.started_at - 11.0
-        real = time.time
-        monkeypatch.setattr(turns.time, "time", lambda: real() + step)
+        real_time = time.time
+        monkeypatch.setattr(turns.time, "time", lambda: real_time() + step)
         async with world.beside() as new:
             known = [new.servers[one.id_hash].local_state for one in (first, second)]
             assert 50 < known[0].unhealthy_until - new.clock() <= 60
--- a/tests/test_connection_log.py
+++ b/tests/test_connection_log.py
@@ -1,4 +1,4 @@
-"""The log tells of each connection by a number from its accept on, also of one that made no request."""
+"""Each connection has a number in the log from its accept on, also one that made no request."""
 
 import logging
 
@@ -9,8 +9,8 @@
 
 
 @pytest.fixture
-def ended(caplog, monkeypatch):
-    """The log lines of connections of clients that have ended, as their figures."""
+def ended_clients(caplog, monkeypatch):
+    """A function that returns the fields of the log lines of client connections that have ended."""
     monkeypatch.setattr(log.logger, "propagate", True)
     caplog.set_level(logging.INFO, logger="bellrack")
     return lambda: [
@@ -21,7 +21,9 @@
 
 
 @played
-async def test_a_connection_without_a_request_is_told_by_number_peer_and_time(monkeypatch, ended):
+async def test_connection_without_a_request_is_logged_with_number_peer_and_duration(
+    monkeypatch, ended_clients
+):
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.1)
     async with World(servers=1) as world:
         world.node.resumed.window.requested = True  # the run has begun
@@ -30,20 +32,20 @@
         clients[0].writer.write(b"OPEN 0000")
         for client in clients:
             assert (await client.line()).startswith("BUSY")
-        told = ended()
-        assert sorted(line["peer"] for line in told) == sorted(f"127.0.0.1:{port}" for port in ports)
-        assert len({line["connection"] for line in told}) == 2
-        assert all(limits.FIRST_LINE_SECONDS <= line["lasted"] < 5 and "id" not in line for line in told)
+        logged = ended_clients()
+        assert sorted(line["peer"] for line in logged) == sorted(f"127.0.0.1:{port}" for port in ports)
+        assert len({line["connection"] for line in logged}) == 2
+        assert all(limits.FIRST_LINE_SECONDS <= line["lasted"] < 5 and "id" not in line for line in logged)
 
 
 @played
-async def test_a_request_and_its_attempt_are_told_by_its_id_and_their_numbers(caplog, ended):
+async def test_request_and_its_attempt_are_logged_with_the_id_and_their_numbers(caplog, ended_clients):
     async with World(servers=1) as world:
         client, server = await world.standing(number=7)
         server.say("BYE")
         server.end("fin")
         assert [await client.line(), await client.line()] == ["BYE", "fin"]
-        await world.until(lambda: len(ended()) == 1)
+        await world.until(lambda: len(ended_clients()) == 1)
         sides = {r.fields["side"]: r.fields for r in caplog.records if r.getMessage() == "ended"}
         assert sides["client"]["id"] == sides["server"]["id"] == f"{7:016x}"
         assert sides["client"]["connection"] != sides["server"]["connection"]
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,5 @@
-"""A crowd holds all descriptors that it can get while discovery is down: who still gets one, in real life."""
+"""Connections that send nothing useful take all descriptors they can get while discovery is down. The control
+reserve must still be usable, in real processes."""
 
 import asyncio
 import contextlib
@@ -17,26 +18,26 @@
 from bellrack.net import limits, listeners
 
 ROOT = Path(__file__).parent.parent
-CHILD = 400  # of a crowd in one process, which may have but 1,024 descriptors itself
-PATIENCE = 20.0  # seconds; nothing here measures time
+CLIENTS_PER_PROCESS = 400  # a process of the crowd may have only 1,024 descriptors itself
+TIMEOUT_SECONDS = 20.0  # generous: no test here measures time
 
 
 async def until(true, what):
-    for _ in range(int(PATIENCE / 0.02)):
+    for _ in range(int(TIMEOUT_SECONDS / 0.02)):
         if true():
             return
         await asyncio.sleep(0.02)
     raise AssertionError(f"never: {what}")
 
 
-class Discovery:
-    """It counts the tries; down, it resets each."""
+class FakeDiscovery:
+    """A discovery that counts the attempts to connect and resets them while it is down."""
 
     def __init__(self):
-        self.up, self.tries, self.entries, self.watches = False, 0, [], []
+        self.up, self.attempts, self.entries, self.watches = False, 0, [], []
 
-    async def come(self, reader, writer):
-        self.tries += 1
+    async def on_connection(self, reader, writer):
+        self.attempts += 1
         peer = Peer(reader, writer)
         if not self.up:
             peer.end("rst")
@@ -55,7 +56,7 @@
 
 
 class Process:
-    """`bellrack serve`, and the most descriptors that it was seen to hold."""
+    """A `bellrack serve` process. `most`: the highest number of descriptors that it was seen to hold."""
 
     def __init__(self, path, raw):
         self.path, self.raw, self.most, self.admin = path, raw, 0, bound_socket()
@@ -91,7 +92,7 @@
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
     async def ask(self, path):
-        """Status and text; nought where nobody answers."""
+        """The status and the text of an admin request; 0 and no text if there is no response."""
         with contextlib.suppress(ConnectionError):
             peer = Peer(*await asyncio.open_connection(*self.admin.getsockname()))
             peer.writer.write(b"GET %s HTTP/1.1\r\n\r\n" % path.encode())
@@ -102,7 +103,7 @@
         return 0, ""
 
     async def answers(self, path, wanted):
-        for _ in range(int(PATIENCE / 0.02)):
+        for _ in range(int(TIMEOUT_SECONDS / 0.02)):
             status, text = await self.ask(path)
             if wanted in (status, text) or status == 200 and str(wanted) in text.splitlines():
                 return
@@ -120,30 +121,35 @@
 
 @contextlib.asynccontextmanager
 async def crowd(port, count, how):
-    there = [
+    """Runs `count` clients of crowd.py; `how` is their behaviour."""
+    processes = [
         await asyncio.create_subprocess_exec(
             sys.executable,
             str(ROOT / "tests" / "crowd.py"),
             str(port),
-            str(min(CHILD, count - begun)),
+            str(min(CLIENTS_PER_PROCESS, count - offset)),
             how,
             stdout=asyncio.subprocess.PIPE,
         )
-        for begun in range(0, count, CHILD)
+        for offset in range(0, count, CLIENTS_PER_PROCESS)
     ]
     try:
-        for one in there:
-            assert await asyncio.wait_for(one.stdout.readline(), PATIENCE) == b"there\n"
+        for process in processes:
+            assert await asyncio.wait_for(process.stdout.readline(), TIMEOUT_SECONDS) == b"connecting\n"
         yield
     finally:
-        for one in there:
-            one.kill()
-            await one.wait()
+        for process in processes:
+            process.kill()
+            await process.wait()
 
 
-async def story(folder, limit, hard, how):
-    discovery, clients, up = Discovery(), bound_socket(), asyncio.Queue()
-    lister = await asyncio.start_server(discovery.come, "127.0.0.1")
+async def fill_and_hand_over(folder, limit, hard, how):
+    """Fills a process with a crowd, then checks its admin port, discovery, a hot restart and recovery.
+
+    `limit`: the configured sockets; `hard`: the rlimit, None for the machine's. Returns the most descriptors
+    that each of the two processes held."""
+    discovery, clients, up = FakeDiscovery(), bound_socket(), asyncio.Queue()
+    lister = await asyncio.start_server(discovery.on_connection, "127.0.0.1")
 
     async def serve(reader, writer):
         if (await Peer(reader, writer).line()).startswith("OPEN"):
@@ -180,8 +186,8 @@
         async with crowd(clients.getsockname()[1], allowed + 100, how):
             filled = allowed - min(limits.RESERVED_DESCRIPTORS, 3 * allowed // 8) - 2
             await until(lambda: first.most >= filled, "a process that is full up to its reserve")
-            tries = discovery.tries
-            await until(lambda: discovery.tries >= tries + 3, "tries of discovery while it is full")
+            attempts = discovery.attempts
+            await until(lambda: discovery.attempts >= attempts + 3, "connections to discovery while full")
             for _ in range(3):
                 assert (await first.ask("/_ready"))[0] == 200
             discovery.up = True
@@ -189,11 +195,12 @@
             await first.answers("/_vars", "members=3")
             started.append(await second.start(hard))
             await second.answers("/_ready", 200)
-            await first.answers("/_ready", 503)  # the second has the door
+            await first.answers("/_ready", 503)  # the second process listens now
             assert await first.end(signal.SIGTERM) == 0
             await second.answers("/_vars", "members=3")
             assert (await second.ask("/_ready"))[0] == 200
-        for number in range(60):  # who was let go leaves room; a sound client may be told to come again
+        # The ended crowd frees its descriptors step by step; until then a client may be told to retry.
+        for number in range(60):
             client = Peer(*await asyncio.open_connection(*clients.getsockname()))
             client.say(f"OPEN {number + 1:016x} 7f3a9c21e0b4d655 c=chat,t=acme,d=2000")
             if (told := await client.line()) == "UP 1":
@@ -218,13 +225,16 @@
         [("again", 20000, 64), ("slow", 256, None), ("silent", 1024, None)],
     ],
 )
-def test_a_crowd_that_fills_everything_leaves_control_its_descriptors(tmp_path, capsys, cases):
-    async def all_of_them():  # beside one another: most of each is waiting
+def test_crowd_that_exhausts_descriptors_leaves_the_control_reserve_usable(tmp_path, capsys, cases):
+    async def all_of_them():  # concurrently, since they mostly wait
         folders = [tmp_path / str(number) for number in range(len(cases))]
         for folder in folders:
             folder.mkdir()
         return await asyncio.gather(
-            *[story(folder, limit, hard, how) for folder, (how, limit, hard) in zip(folders, cases)]
+            *[
+                fill_and_hand_over(folder, limit, hard, how)
+                for folder, (how, limit, hard) in zip(folders, cases)
+            ]
         )
 
     found = asyncio.run(asyncio.wait_for(all_of_them(), 120))
@@ -235,37 +245,37 @@
         assert max(most) <= min(limit, hard or limit)
 
 
-def test_outsiders_never_take_the_half_of_the_reserve_that_is_for_control():
+def test_clients_and_probes_never_use_the_control_half_of_the_reserve():
     for limit in (64, 256, 1024):
-        room = limits.Limits(limit)
-        control = room.reserve // 2
-        room.descriptors = limit - control - 1
-        assert not room.reserve_reached(2) and not room.lacks(1) and room.lacks(2)
-        room.descriptors += 1
-        assert room.reserve_reached(2) and room.lacks(1) and not room.exhausted()
-        while room.may_probe():
-            room.probes_in_flight += 1
-        # Probes, operators, two watches and a fetch of the list, three of a hand-off: all fit at once.
-        assert room.probes_in_flight >= 2 and room.max_admin_connections >= 4
-        assert room.probes_in_flight + room.max_admin_connections + 3 + 3 <= control
+        node_limits = limits.Limits(limit)
+        control = node_limits.reserve // 2
+        node_limits.descriptors = limit - control - 1
+        assert not node_limits.reserve_reached(2) and not node_limits.lacks(1) and node_limits.lacks(2)
+        node_limits.descriptors += 1
+        assert node_limits.reserve_reached(2) and node_limits.lacks(1) and not node_limits.exhausted()
+        while node_limits.may_probe():
+            node_limits.probes_in_flight += 1
+        # All fit at once: probes, admin connections, two watches and a list fetch, three of a hand-off.
+        assert node_limits.probes_in_flight >= 2 and node_limits.max_admin_connections >= 4
+        assert node_limits.probes_in_flight + node_limits.max_admin_connections + 3 + 3 <= control
 
 
 @played
-async def test_who_finds_no_descriptor_waits_with_the_kernel_and_is_served_when_there_is_one():
+async def test_client_waits_in_the_listen_queue_until_a_descriptor_is_free():
     async with World(sockets=900) as world:
-        room, before = world.node.limits, world.node.limits.descriptors
-        room.descriptors = room.limit - room.reserve // 2  # held by others
+        node_limits, before = world.node.limits, world.node.limits.descriptors
+        node_limits.descriptors = node_limits.limit - node_limits.reserve // 2  # as if held by others
         client = await world.call()
         await world.until(lambda: not world.node.listeners.listener.reading)
         assert not world.node.clients and not world.node.counters["crowded"]
-        room.descriptors = before
+        node_limits.descriptors = before
         _, server, _ = await world.leg()
         server.say("UP 1")
         assert await client.line() == "UP 1"
 
 
 @played
-async def test_a_kernel_without_descriptors_closes_the_door_for_an_instant_alone(monkeypatch):
+async def test_accept_failing_with_emfile_pauses_the_listener_only_briefly(monkeypatch):
     async with World() as world:
         failed, take = [], listeners.Listener.accept_one
 
--- a/tests/test_first_line.py
+++ b/tests/test_first_line.py
@@ -1,4 +1,4 @@
-"""A connection that stops before its first line is whole is owed its end within 3 s, but where its bytes may
+"""A connection that stops before its first line is whole must be answered within 3 s, unless its bytes may
 still become the line of a resumed connection and the run may not have begun (docs/network.md, "Resumed
 connections")."""
 
@@ -21,7 +21,7 @@
     b"OPEN 00000000000000ff 7f3a9c21e0b4d655 c=chat,at",
     LINE[:-1],
 )
-NEVER = (
+CANNOT_RESUME = (
     b"GET / HT",
     b"P",
     b"PING",
@@ -40,72 +40,72 @@
 
 
 @pytest.fixture
-def quick(monkeypatch):
+def short_timeouts(monkeypatch):
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.2)
     monkeypatch.setattr(clients, "RECHECK", 0.02)
 
 
 @pytest.mark.parametrize("data", MAY_RESUME)
-def test_what_may_become_a_resumed_line_is_waited_for_before_the_run_only(data):
+def test_possible_resumed_line_is_waited_for_only_before_the_run(data):
     assert first_line.should_wait(data, may_precede_run=True)
     assert not first_line.should_wait(data, may_precede_run=False)
 
 
-@pytest.mark.parametrize("data", NEVER)
-def test_what_can_not_become_a_resumed_line_is_never_waited_for(data):
+@pytest.mark.parametrize("data", CANNOT_RESUME)
+def test_data_that_cannot_become_a_resumed_line_is_never_waited_for(data):
     assert not first_line.should_wait(data, may_precede_run=True)
 
 
 @given(st.from_regex(lines.OPEN, fullmatch=True), st.data())
-def test_each_part_of_a_line_in_form_may_become_one(line, data):
+def test_each_prefix_of_a_valid_line_may_become_a_resumed_line(line, data):
     assert first_line.may_become_resumed(line[: data.draw(st.integers(0, len(line) - 1))])
 
 
 @given(st.binary(max_size=12), st.binary(max_size=12), st.integers(0, len(LINE) - 1))
-def test_what_no_line_in_form_can_follow_is_told_apart(junk, rest, at):
-    """Whatever comes later: if a line in form may follow, its beginning was taken for one."""
-    begun = LINE[:at] + junk
-    line = begun + rest + b"\r\n"
+def test_prefix_with_a_valid_continuation_is_recognized(malformed, rest, at):
+    """If any continuation makes the bytes a valid line, they must count as a possible beginning of one."""
+    prefix = LINE[:at] + malformed
+    line = prefix + rest + b"\r\n"
     if lines.OPEN.fullmatch(line):
-        assert first_line.may_become_resumed(begun)
+        assert first_line.may_become_resumed(prefix)
 
 
 @pytest.mark.parametrize("data", [b"GET / HT", b"OPEN 1 zz"])
 @played
-async def test_at_a_process_that_nobody_has_asked_junk_has_its_end_in_time(quick, data):
+async def test_malformed_data_is_answered_in_time_before_any_request(short_timeouts, data):
     async with World(servers=1) as world:
-        client, begun = await world.dial(), world.node.clock()
+        client, opened_at = await world.dial(), world.node.clock()
         client.writer.write(data)
         assert [await client.line(), await client.line()] == ["BUSY 1500", "fin"]
         assert (
-            world.node.clock() - begun >= limits.FIRST_LINE_SECONDS
+            world.node.clock() - opened_at >= limits.FIRST_LINE_SECONDS
             and not world.node.resumed.window.requested
         )
 
 
 @played
-async def test_junk_of_a_connection_that_was_silent_for_long_has_its_end_too(quick):
+async def test_malformed_data_after_long_silence_is_answered(short_timeouts):
     async with World(servers=1) as world:
-        client, begun = await world.dial(), world.node.clock()
-        await world.until(lambda: world.node.clock() > begun + 3 * limits.FIRST_LINE_SECONDS)
+        client, opened_at = await world.dial(), world.node.clock()
+        await world.until(lambda: world.node.clock() > opened_at + 3 * limits.FIRST_LINE_SECONDS)
         assert world.node.clients
         client.writer.write(b"GET / HT")
         assert await client.line() == "BUSY 1500"
 
 
 @played
-async def test_half_a_line_in_form_has_its_end_once_a_request_has_come(quick):
+async def test_partial_line_is_answered_once_a_request_has_come(short_timeouts):
     async with World(servers=1) as world:
-        client, begun = await world.dial(), world.node.clock()
+        client, opened_at = await world.dial(), world.node.clock()
         client.writer.write(LINE[:30])
-        await world.until(lambda: world.node.clock() > begun + 3 * limits.FIRST_LINE_SECONDS)
+        await world.until(lambda: world.node.clock() > opened_at + 3 * limits.FIRST_LINE_SECONDS)
         assert world.node.clients
         await world.standing()
         assert await client.line() == "BUSY 1500"
 
 
 @played
-async def test_half_a_line_in_form_has_its_end_where_no_resumed_one_is_admitted_any_more(quick):
+async def test_partial_line_is_answered_when_resumed_connections_are_no_longer_admitted(short_timeouts):
     async with World(servers=1) as world:
         world.node.resumed.window.started -= 1000.0
         client = await world.dial()
@@ -115,8 +115,8 @@
 
 @pytest.mark.parametrize("data", [b"", LINE[:30]])
 @played
-async def test_at_a_process_that_ends_nobody_who_writes_late_is_waited_for(quick, data):
-    """Not until its last moment, which is over 3 s after SIGTERM."""
+async def test_late_writers_are_not_waited_for_during_shutdown(short_timeouts, data):
+    """Such a client is answered before the last moment of the shutdown, which is over 3 s after SIGTERM."""
     async with World(servers=1) as world:
         client = await world.dial()
         client.writer.write(data)
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -1,5 +1,5 @@
-"""The machine fails for a moment: accept, socket, connect, writes of files. Nobody is lost by it, no server
-is blamed for it, and what was taken on is still done."""
+"""Transient errors of the local machine in accept, socket, connect and file operations. No client is lost, no
+server counts as failing because of them, and the failed operation is retried."""
 
 import asyncio
 import errno
@@ -16,18 +16,18 @@
 from bellrack.net import lines, listeners, node, servers, shutdown, sibling
 from bellrack.net.config import parse_config
 
-LOCAL = [errno.ENFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH]
+LOCAL_ERRNOS = [errno.ENFILE, errno.ENOBUFS, errno.EADDRNOTAVAIL, errno.ENETUNREACH]
 
 
-def failing(honest, error, times=1, match=lambda *args, **named: True):
-    """The honest function, but for its first calls that match."""
+def failing(original, error, times=1, match=lambda *args, **named: True):
+    """Wraps a function so that its first `times` matching calls raise `error`."""
     left = [times]
 
     def call(*args, **named):
         if left[0] and match(*args, **named):
             left[0] -= 1
             raise OSError(error, os.strerror(error))
-        return honest(*args, **named)
+        return original(*args, **named)
 
     call.left = left
     return call
@@ -35,22 +35,22 @@
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.ENOBUFS, errno.ENFILE])
 @played
-async def test_asked_to_end_it_answers_who_waits_behind_one_that_cannot_be_accepted(monkeypatch, error):
+async def test_shutdown_answers_queued_clients_after_a_failed_accept(monkeypatch, error):
     monkeypatch.setattr(shutdown, "STAY", 0.0)
     async with World() as world:
         waiting = []
-        honest = world.node.listeners.socket
-        door = mock.Mock(wraps=honest)
-        door.accept.side_effect = failing(honest.accept, error)
+        original = world.node.listeners.socket
+        listening_socket = mock.Mock(wraps=original)
+        listening_socket.accept.side_effect = failing(original.accept, error)
 
-        def come_and_leave():
+        def connect_and_shut_down():
             for number in range(5):
                 waiting.append(socket.create_connection(world.node.address))
                 waiting[-1].sendall(b"OPEN %016x 7f3a9c21e0b4d655 c=chat,t=acme,d=2000\r\n" % (number + 1))
-            monkeypatch.setattr(world.node.listeners.listener, "sockets", [door])
+            monkeypatch.setattr(world.node.listeners.listener, "sockets", [listening_socket])
             world.node.begin_shutdown()
 
-        world.node.queue(come_and_leave)
+        world.node.queue(connect_and_shut_down)
         await world.until(lambda: len(waiting) == 5)
         for sock in waiting:
             client = Peer(*await asyncio.open_connection(sock=sock))
@@ -59,22 +59,24 @@
         await asyncio.wait_for(world.serving, 2)
 
 
-@pytest.mark.parametrize("error", LOCAL)
+@pytest.mark.parametrize("error", LOCAL_ERRNOS)
 @pytest.mark.parametrize("where", ["socket", "connect"])
 @played
-async def test_a_request_outlives_a_moment_without_sockets(monkeypatch, where, error):
+async def test_request_survives_a_transient_lack_of_sockets(monkeypatch, where, error):
     async with World() as world:
         client = await world.dial()
         await world.until(lambda: world.node.clients)
         if where == "socket":
-            made = failing(socket.socket, error, times=3, match=lambda *args, **named: "fileno" not in named)
-            monkeypatch.setattr(servers.socket, "socket", made)
+            failing_call = failing(
+                socket.socket, error, times=3, match=lambda *args, **named: "fileno" not in named
+            )
+            monkeypatch.setattr(servers.socket, "socket", failing_call)
         else:
-            made = failing(world.node.loop.sock_connect, error, times=3)
-            monkeypatch.setattr(world.node.loop, "sock_connect", made)
+            failing_call = failing(world.node.loop.sock_connect, error, times=3)
+            monkeypatch.setattr(world.node.loop, "sock_connect", failing_call)
         client.say("OPEN 00000000000000a1 7f3a9c21e0b4d655 c=chat,t=acme,d=2000")
         _, server, line = await world.leg()
-        assert line.startswith("OPEN ") and made.left == [0]
+        assert line.startswith("OPEN ") and failing_call.left == [0]
         server.say("UP 1")
         assert await client.line() == "UP 1"
         (known,) = world.node.servers.values()
@@ -84,20 +86,20 @@
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.ENOBUFS])
 @pytest.mark.parametrize("what", ["create_server", "datagram"])
 @played
-async def test_it_starts_when_the_machine_has_sockets_again(monkeypatch, error, what):
+async def test_start_is_retried_until_sockets_are_available(monkeypatch, error, what):
     async with World() as world:
         extra = {"control": "127.0.0.1:0"}
         if what == "create_server":
-            made = failing(socket.create_server, error, times=2)
-            monkeypatch.setattr(listeners.socket, "create_server", made)
+            failing_call = failing(socket.create_server, error, times=2)
+            monkeypatch.setattr(listeners.socket, "create_server", failing_call)
         else:
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
                 sock.bind(("127.0.0.1", 0))
                 extra |= {"peer_listen": "{}:{}".format(*sock.getsockname())}
-            made = failing(world.node.loop.create_datagram_endpoint, error, times=2)
-            monkeypatch.setattr(world.node.loop, "create_datagram_endpoint", made)
+            failing_call = failing(world.node.loop.create_datagram_endpoint, error, times=2)
+            monkeypatch.setattr(world.node.loop, "create_datagram_endpoint", failing_call)
         second, serving = await world.start(**extra)
-        assert made.left == [0]
+        assert failing_call.left == [0]
         await world.until(second.can_serve)
         second.finished.set()
         await serving
@@ -105,10 +107,10 @@
 
 @pytest.mark.parametrize("error", [errno.EADDRINUSE, errno.EACCES])
 @played
-async def test_an_address_that_cannot_be_had_is_no_moment(monkeypatch, error):
-    made = failing(socket.create_server, error, times=1000)
+async def test_unusable_listen_address_is_not_retried(monkeypatch, error):
+    failing_call = failing(socket.create_server, error, times=1000)
     async with World() as world:
-        monkeypatch.setattr(listeners.socket, "create_server", made)
+        monkeypatch.setattr(listeners.socket, "create_server", failing_call)
         second = node.Node(parse_config(world.raw), world.node.loop)
         with pytest.raises(OSError):
             await asyncio.wait_for(second.serve(), 3)
@@ -116,14 +118,14 @@
 
 @pytest.mark.parametrize("error", [errno.EIO, errno.ENFILE, errno.ENOSPC])
 @played
-async def test_a_reload_is_owed_when_the_file_cannot_be_read_for_a_moment(tmp_path, monkeypatch, error):
+async def test_reload_is_retried_when_the_file_is_unreadable_for_a_moment(tmp_path, monkeypatch, error):
     async with World() as world:
         path = tmp_path / "config.json"
         settings = raw_settings() | {"caps": raw_settings()["caps"] | {"maxLegs": 2}}
         path.write_text(json.dumps(world.raw | {"settings": settings}))
         world.node.config.path = str(path)
-        made = failing(open, error, times=2)
-        monkeypatch.setattr(configuration, "open", made, raising=False)
+        failing_call = failing(open, error, times=2)
+        monkeypatch.setattr(configuration, "open", failing_call, raising=False)
         world.node.queue(node.reload.reload, world.node)
         await world.until(lambda: world.node.settings.max_legs == 2)
         assert world.node.counters["config_reloads"] == 1
@@ -132,9 +134,9 @@
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("call", ["rename", "chmod"])
 @played
-async def test_the_meeting_place_is_made_when_the_folder_takes_files_again(folder, monkeypatch, call, error):  # noqa: F811
-    made = failing(getattr(os, call), error, times=2)
-    monkeypatch.setattr(sibling.os, call, made)
+async def test_successor_socket_is_created_once_the_folder_is_writable(folder, monkeypatch, call, error):  # noqa: F811
+    failing_call = failing(getattr(os, call), error, times=2)
+    monkeypatch.setattr(sibling.os, call, failing_call)
     async with World(control=True, listen=free()) as world:
         await world.until(lambda: world.node.listeners.successor_socket)
         assert [path.name for path in folder.iterdir()] == [
@@ -146,14 +148,14 @@
 
 
 @played
-async def test_a_successor_gets_all_that_is_written_in_pieces(folder, monkeypatch):  # noqa: F811
-    honest = socket.send_fds
+async def test_successor_receives_state_that_is_written_in_pieces(folder, monkeypatch):  # noqa: F811
+    original = socket.send_fds
 
     def short(sock, buffers, fds, *rest):
         whole = b"".join(buffers)
         if whole.startswith(b'{"version"'):
-            return honest(sock, [whole[:100]], fds, *rest)
-        return honest(sock, buffers, fds, *rest)
+            return original(sock, [whole[:100]], fds, *rest)
+        return original(sock, buffers, fds, *rest)
 
     monkeypatch.setattr(sibling.socket, "send_fds", short)
     async with World(servers=2, control=True, listen=free()) as world:
@@ -164,15 +166,17 @@
 
 
 @pytest.mark.parametrize("error", [errno.ETIMEDOUT, errno.EHOSTUNREACH])
-@pytest.mark.parametrize("effect, told", [("retryable", "UP 2"), ("fragile", "ERR")])
+@pytest.mark.parametrize("effect, answer", [("retryable", "UP 2"), ("fragile", "ERR")])
 @played
-async def test_a_broken_connection_may_have_run_whatever_it_shows_as(monkeypatch, error, effect, told):
+async def test_broken_connection_counts_as_possibly_run_whatever_its_error(
+    monkeypatch, error, effect, answer
+):
     async with World(servers=2, effect=effect) as world:
         client = await world.call()
         await world.leg()
         (link,) = [one.call.legs[0].host_record for one in world.node.clients]
-        link.transport._fatal_error(OSError(error, os.strerror(error)))  # what asyncio makes of it
-        if told.startswith("UP"):
+        link.transport._fatal_error(OSError(error, os.strerror(error)))  # as asyncio reports the error
+        if answer.startswith("UP"):
             _, second, _ = await world.leg()
-            second.say(told)
-        assert await client.line() == told
+            second.say(answer)
+        assert await client.line() == answer
