--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -61,7 +61,7 @@
         self.node.readiness.on_list(listing.whole or bool(self.node.servers))
         self.node.changed.set()
 
-    def on_sibling_news(self, listing: lines.Listing) -> None:
+    def on_sibling_list(self, listing: lines.Listing) -> None:
         """Applies a list, or changes of one, that the sibling process received. The watch of this process
         still delivers everything after its own version."""
         if listing.version > self.version:
