--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -17,7 +17,7 @@
 from bellrack.net import lines, log
 from bellrack.net.servers import OutgoingConnection
 
-SILENCE_SECONDS = 4.5  # without a whole line on an open watch; discovery sends an empty line every 2 s
+SILENCE_SECONDS = 4.5  # without a whole line until a watch fails; discovery sends an empty one every 2 s
 CHECK_INTERVAL_SECONDS = 0.25  # between checks for silent watches
 # The share of the drain grace period after which a lost watch is reopened where discovery pushes its lists: a
 # change counts as received there even while no watch is open.
@@ -102,12 +102,12 @@
         discovery = self.node.discovery
         while b"\n" in self.body and not self.closed:
             line, end, self.body = self.body.partition(b"\n")
-            if news := self.objects.feed(line + end):
-                news = lines.listing(news)
-                discovery.on_line(self, news=True)
-                self.node.server_list.on_list(news, at_current_address=self is not discovery.previous)
+            if listing := self.objects.feed(line + end):
+                listing = lines.listing(listing)
+                discovery.on_line(self, has_listing=True)
+                self.node.server_list.on_list(listing, at_current_address=self is not discovery.previous)
             elif self.objects.whole and not self.received_line:
-                discovery.on_line(self, news=False)
+                discovery.on_line(self, has_listing=False)
                 self.node.server_list.on_unchanged()  # the watch is open and the list is up to date
             if self.objects.whole:
                 self.received_line = True
@@ -168,7 +168,7 @@
         self.new_request(self.node, self.address, False)
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Uses another address from now on. Versions of the list differ by address, so the first list is
+        """Uses another address from now on. Each address has its own versions, so the first list is
         requested whole. Until it has come, changes from the watch at the old address are still applied."""
         self.address, self.node.server_list.version = address, 0
         self.node.balancer.discovery_retry.reset()
@@ -177,10 +177,10 @@
         self.stop_watches("watch-replaced")
         self.watch()
 
-    def on_line(self, request: Any, news: bool) -> None:
-        """A watch request has received a whole line, which is applied next. `news`: the line completes a list
-        or changes of one. Of the watch and its hedged request the first to receive a line becomes the watch;
-        the first list of a new address ends the watch at the previous one."""
+    def on_line(self, request: Any, has_listing: bool) -> None:
+        """A watch request has received a whole line, which is applied next. `has_listing`: the line completes
+        a list or changes of one. Of the watch and its hedged request the first to receive a line becomes the
+        watch; the first list of a new address ends the watch at the previous one."""
         if request is self.previous:
             return
         if request is self.hedged:
@@ -188,7 +188,7 @@
         if self.hedged:
             self.hedged.stop("watch-overtaken")
             self.hedged = None
-        if self.previous and news:
+        if self.previous and has_listing:
             self.previous.stop("watch-replaced")
             self.previous = None
 
--- a/bellrack/net/first_line.py
+++ b/bellrack/net/first_line.py
@@ -1,8 +1,8 @@
 """How long a connection may be without a whole first line.
 
 A client that stops in the middle of a request must be answered within 3 s (STANDING.md, "What production
-adds"). A resumed connection may take longer to write its line (DEPLOY.md, "Limits"), but only before the run,
-and only if the bytes so far can still become such a line. No clock and no I/O.
+adds"). A resumed connection may take longer to write its line (DEPLOY.md, "Limits"), but only before the run
+(the ordinary traffic) and only if the bytes so far can still become such a line. No clock and no I/O.
 """
 
 from __future__ import annotations
--- a/bellrack/net/http.py
+++ b/bellrack/net/http.py
@@ -46,11 +46,11 @@
             return  # one request per connection: what follows is ignored
         self.rest += data
         if not self.method:
-            self._head()
+            self._parse_head()
         if self.method and len(self.rest) >= self.length:
             self.body, self.done = bytes(self.rest[: self.length]), True
 
-    def _head(self) -> None:
+    def _parse_head(self) -> None:
         while self.rest.startswith(b"\r\n"):
             del self.rest[:2]  # empty lines may precede the request line (RFC 9112, 2.2)
         head_end = self.rest.find(b"\r\n\r\n")
--- a/bellrack/net/invariants.py
+++ b/bellrack/net/invariants.py
@@ -17,7 +17,7 @@
 from bellrack.model import Leg, Server, Settings
 from bellrack.net import log
 
-FEW_CALLS = 30  # below this number of requests the bound of a cold server has a factor of three
+FEW_CALLS = 30  # below this number of allowed requests the bound of a cold server has a factor of three
 
 
 class Invariant(enum.Enum):
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -1,6 +1,7 @@
 """Resumed connections of one process: carries out on sockets what `resumption.py` decides.
 
-Keeps the ones that are not established yet. An attempt is an ordinary server connection, but its end is
+See there for what a resumed connection is, and when the run (the ordinary traffic) begins. This module keeps
+the connections that are not established yet. An attempt is an ordinary server connection, but its end is
 handled here: the decisions are told of a resumed connection only once it is established.
 """
 
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -219,15 +219,15 @@
         for server in self.node.servers.values():
             server.needs_attempt = self.node.now - max(server.last_accepted, server.last_attempted) > since
 
-    def cordon(self, name: str, out: bool) -> bool:
-        """Cordons a server by hand, or uncordons it if `out` is false. Returns False if no server of that
-        name is listed or cordoned."""
+    def cordon(self, name: str, on: bool) -> bool:
+        """Cordons a server by hand, or uncordons it if `on` is false. Returns False if no server of that name
+        is listed or cordoned."""
         id_hash = lines.id_hash(name)
         server = self.node.servers.get(id_hash)
         listed = server is not None and server.state != model.GONE and server.host_record is not None
         if id_hash not in self.cordoned and not listed:
             return False
-        self.on_order(CordonOrder(name, out, self.node.clock() - self.node.anchor))
+        self.on_order(CordonOrder(name, on, self.node.clock() - self.node.anchor))
         return True
 
     def on_order(self, order: CordonOrder) -> None:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -31,8 +31,8 @@
 
 def apply_list(host, generation, *entries, reset=False):
     """Gives the node a list from discovery, or changes of one."""
-    news = {"generation": generation, "reset": reset, "instances": list(entries)}
-    host.server_list.on_list(lines.listing(news))
+    message = {"generation": generation, "reset": reset, "instances": list(entries)}
+    host.server_list.on_list(lines.listing(message))
     host.discovery.on_confirmed(host.now)
 
 
@@ -116,22 +116,24 @@
     async with World(servers=2, control=True, listen=free()) as world:
         old = world.node
         _, server = await world.standing()
-        link = next(iter(next(s for s in old.servers.values() if s.host_record.legs).host_record.legs))
-        link.asked.append(old.clock())  # a client line that is still unanswered
+        connection = next(iter(next(s for s in old.servers.values() if s.host_record.legs).host_record.legs))
+        connection.asked.append(old.clock())  # a client line that is still unanswered
         first, second = old.servers.values()
         first.local_state.unhealthy_until, second.local_state.warm_at = old.clock() + 60, old.clock() + 8
         old.resumed.window.started = old.started_at - 11.0
         real_time = time.time
         monkeypatch.setattr(turns.time, "time", lambda: real_time() + step)
         async with world.beside() as new:
-            known = [new.servers[one.id_hash].local_state for one in (first, second)]
-            assert 50 < known[0].unhealthy_until - new.clock() <= 60
-            assert 5 < known[1].warm_at - new.clock() <= 8
+            states = [new.servers[one.id_hash].local_state for one in (first, second)]
+            assert 50 < states[0].unhealthy_until - new.clock() <= 60
+            assert 5 < states[1].warm_at - new.clock() <= 8
             assert 10.5 < new.started_at - new.resumed.window.started < 12
             old.begin_shutdown()
             await world.until(lambda: new.counters["taken_over"])
-            taken = next(iter(next(s for s in new.servers.values() if s.host_record.legs).host_record.legs))
-            assert 0 <= new.clock() - taken.asked[0] < 5 and 0 <= new.clock() - taken.leg.sent < 5
+            handed_over = next(
+                iter(next(s for s in new.servers.values() if s.host_record.legs).host_record.legs)
+            )
+            assert 0 <= new.clock() - handed_over.asked[0] < 5 and 0 <= new.clock() - handed_over.leg.sent < 5
             with contextlib.suppress(ConnectionError):
                 server.end("fin")
             await world.first_ends(world.serving)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -22,12 +22,12 @@
 TIMEOUT_SECONDS = 20.0  # generous: no test here measures time
 
 
-async def until(true, what):
+async def until(condition, description):
     for _ in range(int(TIMEOUT_SECONDS / 0.02)):
-        if true():
+        if condition():
             return
         await asyncio.sleep(0.02)
-    raise AssertionError(f"never: {what}")
+    raise AssertionError(f"never: {description}")
 
 
 class FakeDiscovery:
@@ -56,16 +56,16 @@
 
 
 class Process:
-    """A `bellrack serve` process. `most`: the highest number of descriptors that it was seen to hold."""
+    """A `bellrack serve` process. `max_held`: the highest number of descriptors that it was seen to hold."""
 
     def __init__(self, path, raw):
-        self.path, self.raw, self.most, self.admin = path, raw, 0, bound_socket()
+        self.path, self.raw, self.max_held, self.admin = path, raw, 0, bound_socket()
         path.write_text(json.dumps(raw | {"control": written(self.admin)}))
 
-    async def start(self, hard):
-        def limited():
-            if hard:
-                resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
+    async def start(self, rlimit):
+        def set_rlimit():
+            if rlimit:
+                resource.setrlimit(resource.RLIMIT_NOFILE, (rlimit, rlimit))
 
         with open(self.path.with_suffix(".log"), "wb") as log:
             self.process = await asyncio.create_subprocess_exec(
@@ -77,7 +77,7 @@
                 cwd=ROOT,
                 stderr=log,
                 env=os.environ | {"TMPDIR": str(self.path.parent)},
-                preexec_fn=limited,
+                preexec_fn=set_rlimit,
             )
         self.counting = asyncio.create_task(self.count())
         return self
@@ -85,7 +85,7 @@
     async def count(self):
         with contextlib.suppress(OSError):
             while True:
-                self.most = max(self.most, self.held())
+                self.max_held = max(self.max_held, self.held())
                 await asyncio.sleep(0.002)
 
     def held(self):
@@ -108,7 +108,7 @@
             if wanted in (status, text) or status == 200 and str(wanted) in text.splitlines():
                 return
             await asyncio.sleep(0.02)
-        raise AssertionError(f"{path} never told {wanted}; last {status} {text!r}")
+        raise AssertionError(f"{path} never answered {wanted}; last {status} {text!r}")
 
     async def end(self, how=signal.SIGKILL):
         if self.process.returncode is None:
@@ -143,13 +143,13 @@
             await process.wait()
 
 
-async def fill_and_hand_over(folder, limit, hard, how):
+async def fill_and_hand_over(folder, limit, rlimit, how):
     """Fills a process with a crowd, then checks its admin port, discovery, a hot restart and recovery.
 
-    `limit`: the configured sockets; `hard`: the rlimit, None for the machine's. Returns the most descriptors
-    that each of the two processes held."""
+    `limit`: the configured sockets; `rlimit`: of descriptors, None to keep it. Returns the highest numbers of
+    descriptors that the two processes held."""
     discovery, clients, up = FakeDiscovery(), bound_socket(), asyncio.Queue()
-    lister = await asyncio.start_server(discovery.on_connection, "127.0.0.1")
+    discovery_server = await asyncio.start_server(discovery.on_connection, "127.0.0.1")
 
     async def serve(reader, writer):
         if (await Peer(reader, writer).line()).startswith("OPEN"):
@@ -173,19 +173,19 @@
         "listen": written(clients),
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": limit},
-        "discovery": written(lister.sockets[0]),
+        "discovery": written(discovery_server.sockets[0]),
         "settings": raw_settings(**rules),
         "known": {"generation": 41, "reset": True, "instances": discovery.entries[:1]},
     }
-    allowed = min(limit, hard or limit)
+    allowed = min(limit, rlimit or limit)
     first, second = (Process(folder / f"{name}.json", raw) for name in ("first", "second"))
     started = []
     try:
-        started.append(await first.start(hard))
+        started.append(await first.start(rlimit))
         await first.answers("/_ready", 200)
         async with crowd(clients.getsockname()[1], allowed + 100, how):
             filled = allowed - min(limits.RESERVED_DESCRIPTORS, 3 * allowed // 8) - 2
-            await until(lambda: first.most >= filled, "a process that is full up to its reserve")
+            await until(lambda: first.max_held >= filled, "a process that is full up to its reserve")
             attempts = discovery.attempts
             await until(lambda: discovery.attempts >= attempts + 3, "connections to discovery while full")
             for _ in range(3):
@@ -193,7 +193,7 @@
             discovery.up = True
             await until(lambda: discovery.watches, "a watch while it is full")
             await first.answers("/_vars", "members=3")
-            started.append(await second.start(hard))
+            started.append(await second.start(rlimit))
             await second.answers("/_ready", 200)
             await first.answers("/_ready", 503)  # the second process listens now
             assert await first.end(signal.SIGTERM) == 0
@@ -203,18 +203,18 @@
         for number in range(60):
             client = Peer(*await asyncio.open_connection(*clients.getsockname()))
             client.say(f"OPEN {number + 1:016x} 7f3a9c21e0b4d655 c=chat,t=acme,d=2000")
-            if (told := await client.line()) == "UP 1":
+            if (answer := await client.line()) == "UP 1":
                 break
             await asyncio.sleep(0.05)
-        assert told == "UP 1"
+        assert answer == "UP 1"
         for one in started:
-            said = one.path.with_suffix(".log").read_text()
-            assert "event=fault" not in said and "Too many open files" not in said
-        return first.most, second.most
+            log_text = one.path.with_suffix(".log").read_text()
+            assert "event=fault" not in log_text and "Too many open files" not in log_text
+        return first.max_held, second.max_held
     finally:
         for one in started:
             await one.end()
-        for sock in (clients, lister, server):
+        for sock in (clients, discovery_server, server):
             sock.close()
 
 
@@ -232,17 +232,19 @@
             folder.mkdir()
         return await asyncio.gather(
             *[
-                fill_and_hand_over(folder, limit, hard, how)
-                for folder, (how, limit, hard) in zip(folders, cases)
+                fill_and_hand_over(folder, limit, rlimit, how)
+                for folder, (how, limit, rlimit) in zip(folders, cases)
             ]
         )
 
-    found = asyncio.run(asyncio.wait_for(all_of_them(), 120))
+    held_by_case = asyncio.run(asyncio.wait_for(all_of_them(), 120))
     with capsys.disabled():
-        for (how, limit, hard), most in zip(cases, found):
-            print(f"\n{how} crowd, limit {limit}, rlimit {hard}: at most {most[0]} and {most[1]} descriptors")
-    for (_, limit, hard), most in zip(cases, found):
-        assert max(most) <= min(limit, hard or limit)
+        for (how, limit, rlimit), most in zip(cases, held_by_case):
+            print(
+                f"\n{how} crowd, limit {limit}, rlimit {rlimit}: at most {most[0]} and {most[1]} descriptors"
+            )
+    for (_, limit, rlimit), most in zip(cases, held_by_case):
+        assert max(most) <= min(limit, rlimit or limit)
 
 
 def test_clients_and_probes_never_use_the_control_half_of_the_reserve():
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -114,7 +114,7 @@
                 True,
                 request.node.now,
             )
-            request.node.discovery.on_line(request, news=True)
+            request.node.discovery.on_line(request, has_listing=True)
             request.node.apply_list(self.drained)
             request.node.discovery.on_confirmed(request.node.now)
             self.watches.append(request)
@@ -435,7 +435,7 @@
     monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.025)
 
 
-def news(world, number=0, version=50):
+def drain_chunk(world, number=0, version=50):
     """A chunk with the change that a server is draining."""
     entry = world.entry(number, world.entries[number]["hostPort"], "terminating")
     return chunk(json.dumps({"generation": version, "reset": False, "instances": [entry]}) + "\n")
@@ -466,7 +466,7 @@
             if first and said in (b"", HEAD)
             else (second_request, first_request)
         )
-        delivers.writer.write(HEAD * (delivers is second_request or not said) + news(world))
+        delivers.writer.write(HEAD * (delivers is second_request or not said) + drain_chunk(world))
         await drained(world)
         assert await reset.line() == "rst"
         assert world.node.discovery.current.received_line and world.node.discovery.hedged is None
@@ -482,7 +482,7 @@
         await world.until(lambda: world.node.counters["list_failures"] == 2)
         world.node.discovery.hedge_at = float("inf")
         await world.until(lambda: world.node.discovery.current and not world.node.discovery.hedged)
-        second_request.writer.write(HEAD + news(world))
+        second_request.writer.write(HEAD + drain_chunk(world))
         await drained(world)
         assert world.questions.empty()
 
@@ -515,7 +515,7 @@
         second_request, _ = await world.question()
         second_request.writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         third_request, _ = await world.question()
-        third_request.writer.write(HEAD + news(world))
+        third_request.writer.write(HEAD + drain_chunk(world))
         await drained(world)
         assert world.node.counters["list_failures"] == 2
 
@@ -545,7 +545,7 @@
         listener, fillers = full_listener()
         world.node.queue(world.node.discovery.change_address, listener.getsockname())
         await world.until(lambda: world.node.counters["list_failures"] >= 3)
-        old.writer.write(news(world, 1, 51))  # changes from the old address are still applied
+        old.writer.write(drain_chunk(world, 1, 51))  # changes from the old address are still applied
         await drained(world, 1)
         assert not world.node.discovery.list_age.reached and world.node.server_list.version == 0
         for filler in fillers:
@@ -558,7 +558,7 @@
             new = await asyncio.wait_for(asked.get(), 5)
             if (await new.line()).startswith("GET"):  # the others are the fillers and abandoned requests
                 break
-        new.writer.write(HEAD + news(world, 0, 3))
+        new.writer.write(HEAD + drain_chunk(world, 0, 3))
         await drained(world)
         assert world.node.server_list.version == 3 and await old.line() == "rst"
 
@@ -580,7 +580,7 @@
                     # A late refusal, as for a request that waited too long.
                     await asyncio.sleep(2 * discovery_retry.PROMPT_FAILURE_SECONDS)
                     refusal = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
-                    peer.writer.write(HEAD + news(world) if recovered.is_set() else refusal)
+                    peer.writer.write(HEAD + drain_chunk(world) if recovered.is_set() else refusal)
 
         placed_on = []
 
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -21,15 +21,15 @@
 
 def failing(original, error, times=1, match=lambda *args, **named: True):
     """Wraps a function so that its first `times` matching calls raise `error`."""
-    left = [times]
+    remaining = [times]
 
     def call(*args, **named):
-        if left[0] and match(*args, **named):
-            left[0] -= 1
+        if remaining[0] and match(*args, **named):
+            remaining[0] -= 1
             raise OSError(error, os.strerror(error))
         return original(*args, **named)
 
-    call.left = left
+    call.remaining = remaining
     return call
 
 
@@ -76,11 +76,11 @@
             monkeypatch.setattr(world.node.loop, "sock_connect", failing_call)
         client.say("OPEN 00000000000000a1 7f3a9c21e0b4d655 c=chat,t=acme,d=2000")
         _, server, line = await world.leg()
-        assert line.startswith("OPEN ") and failing_call.left == [0]
+        assert line.startswith("OPEN ") and failing_call.remaining == [0]
         server.say("UP 1")
         assert await client.line() == "UP 1"
-        (known,) = world.node.servers.values()
-        assert known.local_state.failure_weight == 1.0 and known.local_state.consecutive_failures == 0
+        (record,) = world.node.servers.values()
+        assert record.local_state.failure_weight == 1.0 and record.local_state.consecutive_failures == 0
 
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.ENOBUFS])
@@ -99,7 +99,7 @@
             failing_call = failing(world.node.loop.create_datagram_endpoint, error, times=2)
             monkeypatch.setattr(world.node.loop, "create_datagram_endpoint", failing_call)
         second, serving = await world.start(**extra)
-        assert failing_call.left == [0]
+        assert failing_call.remaining == [0]
         await world.until(second.can_serve)
         second.finished.set()
         await serving
@@ -151,13 +151,13 @@
 async def test_successor_receives_state_that_is_written_in_pieces(folder, monkeypatch):  # noqa: F811
     original = socket.send_fds
 
-    def short(sock, buffers, fds, *rest):
-        whole = b"".join(buffers)
-        if whole.startswith(b'{"version"'):
-            return original(sock, [whole[:100]], fds, *rest)
+    def send_part(sock, buffers, fds, *rest):
+        message = b"".join(buffers)
+        if message.startswith(b'{"version"'):
+            return original(sock, [message[:100]], fds, *rest)
         return original(sock, buffers, fds, *rest)
 
-    monkeypatch.setattr(sibling.socket, "send_fds", short)
+    monkeypatch.setattr(sibling.socket, "send_fds", send_part)
     async with World(servers=2, control=True, listen=free()) as world:
         assert (await world.ask("/_servers/detach", "s-1"))[0] == 200
         async with world.beside() as new:
@@ -174,8 +174,8 @@
     async with World(servers=2, effect=effect) as world:
         client = await world.call()
         await world.leg()
-        (link,) = [one.call.legs[0].host_record for one in world.node.clients]
-        link.transport._fatal_error(OSError(error, os.strerror(error)))  # as asyncio reports the error
+        (connection,) = [one.call.legs[0].host_record for one in world.node.clients]
+        connection.transport._fatal_error(OSError(error, os.strerror(error)))  # as asyncio reports the error
         if answer.startswith("UP"):
             _, second, _ = await world.leg()
             second.say(answer)
