--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -54,13 +54,13 @@
     Mutant(
         "silence ends before the run",
         "net/clients.py",
-        "if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):",
+        "if self.call is None and first_line.should_wait(self.ring.peek(), may_precede_run):",
         "if False:",
     ),
     Mutant(
         "silence lasts in service",
         "net/clients.py",
-        "if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):",
+        "if self.call is None and first_line.should_wait(self.ring.peek(), may_precede_run):",
         "if self.call is None:",
     ),
     Mutant(
@@ -96,8 +96,8 @@
     Mutant(
         "silent ones go at once",
         "net/limits.py",
-        "spared_for = RESUMED_GRACE_SECONDS if self.expects_resumed() else SILENT_GRACE_SECONDS",
-        "spared_for = SILENT_GRACE_SECONDS",
+        "grace = RESUMED_GRACE_SECONDS if self.expects_resumed() else SILENT_GRACE_SECONDS",
+        "grace = SILENT_GRACE_SECONDS",
     ),
     Mutant(
         "ignores descriptors",
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -42,5 +42,5 @@
 
 def test_quoted_values_of_the_log_are_parsed():
     text = 'said "no" to a = b'
-    read = fleet.pairs(f"event=mode text={log.quoted(text)} name=n0")
+    read = fleet.pairs(f"event=mode text={log.quote_value(text)} name=n0")
     assert read == {"event": "mode", "text": text, "name": "n0"}
