--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -134,7 +134,7 @@
         clients = []
         for number in range(1, 13):
             world.node.anchor += 2.0  # a window later new tokens are issued
-            world.node.discovery.confirmed(world.node.clock())  # and discovery has sent the list meanwhile
+            world.node.discovery.on_confirmed(world.node.clock())  # and discovery has sent the list meanwhile
             for _ in range(4):
                 clients.append(await world.call("c=chat,t=acme,d=50000"))
             await world.until(lambda calls=4 * number: world.node.counters["calls"] == calls)
