--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -142,9 +142,9 @@
 
 
 def order_replies(node: Any, predecessor: Predecessor) -> Iterator[dict[str, Any]]:
-    heard = {order.name: order for order in predecessor.orders()}
+    known_orders = {order.name: order for order in predecessor.orders()}
     for order in node.server_list.orders.values():
-        if order != heard.get(order.name):
+        if order != known_orders.get(order.name):
             yield order_message(order)
 
 
--- a/bellrack/start_signals.py
+++ b/bellrack/start_signals.py
@@ -1,8 +1,9 @@
-"""Signals that reach a process before its loop runs, or after it: none of an operator's ends the process, and
-a reload that comes before is owed.
+"""Signal handling outside the life of the event loop: while the process starts and after the loop is closed.
 
-Imported and installed before anything that takes long to import. What comes sooner, while the interpreter
-starts, is ignored by `run` of the deploy file: the configuration is read after that.
+SIGHUP and SIGUSR1 never end the process: one that arrives before the loop runs is recorded and carried out
+later. The module is imported and installed before any import that takes long. Signals that arrive even
+earlier, while the interpreter starts, are ignored by the `run` command of the deploy file: the configuration
+is read after that anyway.
 """
 
 from __future__ import annotations
@@ -11,34 +12,38 @@
 import signal
 from typing import Any
 
-HEEDED = (signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT)
+HANDLED_SIGNALS = (signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT)
 
-noted: set[int] = set()  # numbers of the signals that have come and are not carried out yet
+pending: set[int] = set()  # numbers of the signals that have arrived and are not yet carried out
 
 
 def install() -> None:
-    """SIGHUP and SIGUSR1 are noted; SIGTERM ends the process: nobody has come in yet, so nothing is owed."""
+    """Install handlers: SIGHUP and SIGUSR1 are recorded, SIGTERM ends the process at once.
+
+    At this point no connection has been accepted, so the process owes nobody an answer."""
     for number in (signal.SIGHUP, signal.SIGUSR1):
-        signal.signal(number, note)
-    signal.signal(signal.SIGTERM, end)
+        signal.signal(number, record)
+    signal.signal(signal.SIGTERM, exit_at_once)
 
 
-def note(number: int, frame: Any) -> None:
-    noted.add(number)
+def record(number: int, frame: Any) -> None:
+    pending.add(number)
 
 
-def end(number: int, frame: Any) -> None:
+def exit_at_once(number: int, frame: Any) -> None:
     os._exit(0)
 
 
 def claim(number: int) -> bool:
-    """Has this one come? It is carried out now."""
-    came = number in noted
-    noted.discard(number)
-    return came
+    """Return whether this signal has been recorded, and clear it: the caller carries it out."""
+    arrived = number in pending
+    pending.discard(number)
+    return arrived
 
 
 def block() -> None:
-    """The process ends: a further signal is not delivered any more. Closing the loop puts the default actions
-    back, and those would end the process as if it had crashed."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, HEEDED)
+    """Block all handled signals until the process exits.
+
+    Closing the event loop restores the default actions, so a signal that arrived afterwards would end the
+    process as if it had crashed."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -154,7 +154,7 @@
             ),
             (
                 "net/shared_state.py",
-                "        if order != heard.get(order.name):\n",
+                "        if order != known_orders.get(order.name):\n",
                 "        if False:\n",
             ),
         ),
@@ -163,13 +163,19 @@
     ),
     Mutant(
         "SIGHUP ends a process that starts",
-        (("start_signals.py", "signal.signal(number, note)", "signal.signal(number, signal.SIG_DFL)"),),
+        (("start_signals.py", "signal.signal(number, record)", "signal.signal(number, signal.SIG_DFL)"),),
         "restart",
         ("crash",),
     ),
     Mutant(
         "a signal ends a process that has ended its work",
-        (("start_signals.py", "    signal.pthread_sigmask(signal.SIG_BLOCK, HEEDED)\n", "    pass\n"),),
+        (
+            (
+                "start_signals.py",
+                "    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)\n",
+                "    pass\n",
+            ),
+        ),
         "signals",
         ("crash",),
     ),
