--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -1,7 +1,8 @@
-"""A hot restart as one process sees it: its sibling, before or after it, and what passes between them.
+"""A hot restart as one process sees it: the other process (its sibling) and what the two exchange.
 
-Owns which of the two listens, and the state that goes over beside the connections. The Unix socket is
-`sibling.py`, the hand-off of connections `handoff.py`. Without a sibling nothing here does anything.
+Decides which of the two processes listens, and exchanges the state that goes over beside the connections. The
+Unix socket is in `sibling.py`, the hand-off of connections in `handoff.py`, the merging of state in
+`shared_state.py`. Without a sibling nothing here has an effect.
 """
 
 from __future__ import annotations
@@ -13,29 +14,34 @@
 from bellrack.net import handoff, lines, log, shared_state, sibling
 from bellrack.net.fact_versions import CordonOrder
 
-WAIT_FOR_TURN = 8.0  # seconds that a third process waits for the first of two to end: 3.7 s, and its start
-TURN_LOOK = 0.1  # seconds between looks for that
+# A third process waits so long for the first of two to end: that one's shutdown takes 3.7 s, plus a start.
+PREDECESSOR_WAIT_SECONDS = 8.0
+PREDECESSOR_RETRY_SECONDS = 0.1  # between two attempts to connect to the predecessor
 
 
 class HotRestart:
+    """This process's part in a hot restart, as predecessor, as successor, or both in turn."""
+
     def __init__(self, node: Any):
         self.node = node
-        self.sibling: sibling.Sibling | None = None  # our other process, before or after us
-        self.handoff_sender: handoff.HandoffSender | None = (
-            None  # hands connections to it, once it listens in our place
-        )
-        self.handoff_receiver: handoff.HandoffReceiver | None = None  # takes them from it
+        self.sibling: sibling.Sibling | None = None  # the predecessor or the successor
+        # Hands connections to the successor; set once that listens in our place.
+        self.handoff_sender: handoff.HandoffSender | None = None
+        # Takes over connections of the predecessor.
+        self.handoff_receiver: handoff.HandoffReceiver | None = None
         self.connecting: asyncio.Task | None = None
         self.reopening: asyncio.Task | None = None
         self.clock_ahead = 0.0  # seconds by which our clock is ahead of the predecessor's
 
     @property
     def has_successor(self) -> bool:
-        """A process came after us and listens in our place."""
+        """Whether a successor listens in our place."""
         return self.handoff_sender is not None
 
     async def find_predecessor(self) -> sibling.Predecessor | None:
-        """Where a process of this balancer serves, its listening socket and what it has learned are ours."""
+        """Connect to the process that serves as this balancer, if there is one, and adopt its state.
+
+        Returns None if there is none."""
         path = self.node.listeners.successor_path
         predecessor = await self.await_predecessor(path) if path else None
         if predecessor:
@@ -43,9 +49,12 @@
         return predecessor
 
     async def await_predecessor(self, path: str) -> sibling.Predecessor | None:
-        """Wait while the process that serves has a sibling already: guards against a third process that would
-        start with nothing handed over, not even which servers are detached."""
-        end = self.node.clock() + WAIT_FOR_TURN
+        """Connect to the predecessor at this path; wait while it is busy with another sibling.
+
+        Otherwise a third process would start with no state at all, not even with the detached servers.
+        Returns None if there is no predecessor, it stays busy for PREDECESSOR_WAIT_SECONDS, or we are asked
+        to end."""
+        end = self.node.clock() + PREDECESSOR_WAIT_SECONDS
         while not self.node.shutdown:
             try:
                 return await asyncio.to_thread(sibling.connect_to_predecessor, path)
@@ -53,16 +62,17 @@
                 if self.node.clock() >= end:
                     log.event("handover", taken="nothing", error=repr(error))
                     break
-            await asyncio.sleep(TURN_LOOK)
+            await asyncio.sleep(PREDECESSOR_RETRY_SECONDS)
         return None
 
     async def take_over(self, predecessor: sibling.Predecessor) -> None:
-        """Start beside the process that serves; we listen in its place once we know the servers."""
-        node, told = self.node, predecessor.told
-        shared_state.adopt(node, told)
-        node.readiness.serve_known_list = False  # there is no haste: the other serves
-        self.connect(predecessor.sock, early=predecessor.rest)
-        for message in shared_state.replies(node, told):
+        """Adopt the predecessor's state and connect to it. This process listens in its place once it is
+        ready."""
+        node, state = self.node, predecessor.state
+        shared_state.adopt(node, state)
+        node.readiness.serve_known_list = False  # the predecessor serves meanwhile
+        self.connect(predecessor.sock, unread=predecessor.unread)
+        for message in shared_state.replies(node, state):
             self.publish(**message)
         self.handoff_receiver = predecessor.handoff_socket and handoff.HandoffReceiver(
             node, predecessor.handoff_socket
@@ -73,79 +83,84 @@
         self,
         sock: socket.socket,
         handoff_sender: handoff.HandoffSender | None = None,
-        early: bytes = b"",
+        unread: bytes = b"",
         unsent: bytes = b"",
     ) -> None:
-        """The Unix socket to the sibling is up; `early`: bytes of it that are already read; `unsent`: bytes
-        that are to go out first."""
-        self.sibling = sibling.Sibling(self.node, handoff_sender, early, unsent)
+        """Start to exchange messages with the sibling over this Unix socket.
+
+        `unread`: bytes of its messages that are already read; `unsent`: bytes to write first."""
+        self.sibling = sibling.Sibling(self.node, handoff_sender, unread, unsent)
         self.connecting = self.node.loop.create_task(
             self.node.loop.create_unix_connection(lambda: self.sibling, sock=sock)
         )
 
     def snapshot(self) -> dict[str, Any]:
-        """What the process that comes after us is given with the listening socket."""
+        """Return the state that a successor gets with the listening socket."""
         return shared_state.snapshot(self.node)
 
     def publish(self, **words: Any) -> None:
-        """Tell the sibling, if there is one."""
+        """Send a message to the sibling, if there is one; the keywords are its keys."""
         if self.sibling:
             self.sibling.send(**words)
 
     def publish_order(self, order: CordonOrder) -> None:
+        """Tell the sibling of an order to detach or attach a server."""
         self.publish(**shared_state.order_message(order))
 
-    def publish_news(self, news: lines.Listing, of_present: bool) -> None:
-        """Two processes are one balancer: what discovery tells the one counts as told to both. `of_present`:
-        in the versions of discovery's present address, not of the one before."""
+    def publish_news(self, news: lines.Listing, of_current: bool) -> None:
+        """Pass news of discovery on to the sibling: the two processes act as one balancer.
+
+        `of_current`: the versions are those of discovery's current address, not of the previous one."""
         if self.sibling:
             discovery = self.node.discovery
-            address = discovery.address if of_present else discovery.previous.address
+            address = discovery.address if of_current else discovery.previous.address
             self.publish(news=lines.update_message(news), discovery=lines.format_address(address))
 
-    def on_message(self, said: dict[str, Any]) -> None:
-        """Of the sibling."""
+    def on_message(self, message: dict[str, Any]) -> None:
+        """Handle a message of the sibling. Unknown keys are ignored: it may be of another version."""
         node = self.node
-        if "held" in said:
-            # What is on its way counts too: guards against hundreds that neither holds for an instant.
-            on_the_way = (
-                int(said.get("passed", 0)) - self.handoff_receiver.passed if self.handoff_receiver else 0
+        if "held" in message:
+            # Descriptors in transit count too: there may be hundreds of them, counted by neither process.
+            in_transit = (
+                int(message.get("passed", 0)) - self.handoff_receiver.passed if self.handoff_receiver else 0
             )
-            node.limits.sibling_descriptors = int(said["held"]) + max(0, on_the_way)
+            node.limits.sibling_descriptors = int(message["held"]) + max(0, in_transit)
             node.limits.make_room(node.now)
-        if "news" in said and said.get("discovery") == lines.format_address(node.discovery.address):
-            node.server_list.on_sibling_news(lines.listing(said["news"]))
-        if "out" in said or "back" in said:
-            given = float(said.get("given", node.clock() - node.anchor))
-            order = CordonOrder(str(said.get("out") or said["back"]), "out" in said, given)
+        if "news" in message and message.get("discovery") == lines.format_address(node.discovery.address):
+            node.server_list.on_sibling_news(lines.listing(message["news"]))
+        if "out" in message or "back" in message:
+            ordered_at = float(message.get("given", node.clock() - node.anchor))
+            order = CordonOrder(str(message.get("out") or message["back"]), "out" in message, ordered_at)
             node.server_list.on_order(order)
-        if "took" in said and self.sibling and self.sibling.handoff_sender:
+        if "took" in message and self.sibling and self.sibling.handoff_sender:
             self.handoff_sender = self.sibling.handoff_sender
             node.listeners.stop_accepting()
-            node.balancer.slow_start.suspend(True)  # two processes are one balancer: it has the budget now
+            node.balancer.slow_start.suspend(True)  # the successor uses the budget now
             log.event("followed")
 
     def on_sibling_lost(self, lost: sibling.Sibling) -> None:
-        """The other process is gone."""
+        """Handle the end of the connection to the sibling: that process has ended."""
         if lost is not self.sibling:
             return
         lost.close()
-        node, followed, self.sibling, self.handoff_sender = self.node, self.has_successor, None, None
+        node, had_successor, self.sibling, self.handoff_sender = self.node, self.has_successor, None, None
         node.limits.sibling_descriptors = 0
         if node.finished.is_set():
             return
-        if followed:
-            # Also while we end ourselves: who waits in the listener has nobody else.
+        if had_successor:
+            # Also during our own shutdown: no other process accepts the connections that wait on the socket.
             node.balancer.slow_start.suspend(False)
             self.reopening = node.loop.create_task(node.listeners.reopen())
             if node.shutdown:
                 node.shutdown.on_successor_lost()
         elif node.listeners.listener is None:
-            # Who came in after it ended waits in the listener for us: as haste as at a start without it.
+            # Connections that arrived after its end wait on the listening socket for us. So we are in as much
+            # of a hurry as at a start without a predecessor.
             node.readiness.serve_known_list = node.settings.asks
             node.changed.set()
 
     def close(self) -> None:
-        for way in (self.sibling, self.handoff_receiver):
-            if way:
-                way.close()
+        """Close the connections to the sibling."""
+        for connection in (self.sibling, self.handoff_receiver):
+            if connection:
+                connection.close()
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -1,8 +1,9 @@
-"""The doors: the sockets that listen, for clients, for operators and for the process that comes after us.
+"""The listening sockets: for clients, for operators (admin address), and the Unix socket for hot restarts.
 
-Owns when each is open, and who is accepted: counted from the moment that the kernel gives the descriptor, and
-left in the kernel's queue when there is none to spare. It never looks at who comes through one, and never
-closes the clients' door while connections wait in it that no other process takes.
+Decides when each is open and when connections are accepted. A descriptor counts as used from the moment the
+kernel returns it; while none is free, connections wait in the kernel's accept queue. The clients' socket is
+not closed while connections wait in its queue that no other process would accept. What the connections carry
+is handled elsewhere.
 """
 
 from __future__ import annotations
@@ -18,7 +19,10 @@
 
 
 class Listener:
-    """Accepts at a socket while it may. asyncio's own accepts until the kernel fails, and counts too late."""
+    """Accepts connections on a listening socket while `may_accept` returns true.
+
+    asyncio's own server accepts until the kernel fails, and would count the descriptors too late.
+    `new_connection` makes the protocol of an accepted connection."""
 
     def __init__(
         self,
@@ -29,18 +33,19 @@
     ):
         self.node, self.may_accept, self.new_connection = node, may_accept, new_connection
         self.sockets = [sock]
-        self.tasks: set[asyncio.Task] = set()  # the last that came, until they are connections
+        self.tasks: set[asyncio.Task] = set()  # accepted sockets that have no transport yet
         self.reading = False
         sock.setblocking(False)
         self.read()
 
     def read(self) -> None:
+        """Watch the socket for new connections."""
         if not self.reading and self.sockets:
             self.reading = True
             self.node.loop.add_reader(self.sockets[0].fileno(), self.accept)
 
     def accept(self) -> None:
-        """Those that wait, as many as may come in at one go."""
+        """Accept waiting connections, at most ACCEPTS_PER_TURN in one turn of the event loop."""
         for _ in range(limits.ACCEPTS_PER_TURN):
             if not self.may_accept():
                 self.pause()
@@ -55,6 +60,7 @@
                 return
 
     def accept_one(self) -> None:
+        """Accept one connection. Raises OSError, BlockingIOError if none waits."""
         sock, _ = self.sockets[0].accept()
         sock.setblocking(False)
         self.node.limits.count_descriptors(1)
@@ -63,15 +69,16 @@
         task.add_done_callback(self.tasks.discard)
 
     async def connect(self, sock: socket.socket) -> None:
+        """Attach an accepted socket to a new connection object."""
         try:
             await self.node.loop.connect_accepted_socket(self.new_connection, sock)
         except OSError:
-            sock.close()  # it has gone again
+            sock.close()  # the client has disconnected already
         finally:
-            self.node.limits.count_descriptors(-1)  # its connection counts itself
+            self.node.limits.count_descriptors(-1)  # from here the connection object counts its descriptor
 
     def pause(self) -> None:
-        """Who waits stays with the kernel until there is room."""
+        """Stop accepting for ACCEPT_RETRY_SECONDS; new connections wait in the kernel's queue."""
         self.stop()
         self.node.after(limits.ACCEPT_RETRY_SECONDS, self.resume)
 
@@ -80,43 +87,49 @@
         self.read()
 
     def stop(self) -> None:
+        """Stop watching the socket."""
         if self.reading:
             self.reading = False
             self.node.loop.remove_reader(self.sockets[0].fileno())
 
     def close(self) -> None:
-        """Accept no more. The socket itself stays open: it is another's to close."""
+        """Stop accepting for good. The socket stays open: its owner closes it."""
         self.stop()
         self.sockets = []
 
 
 class Listeners:
+    """The listening sockets of one process."""
+
     def __init__(self, node: Any):
         self.node = node
-        self.socket: socket.socket | None = None  # the clients' door; held also while the other accepts
-        self.listener: Listener | None = None
+        self.socket: socket.socket | None = None  # for clients; kept open also while the sibling accepts
+        self.listener: Listener | None = None  # for clients; None while this process does not accept
         self.admin: Listener | None = None
         self.successor_socket: sibling.SuccessorSocket | None = None
         self.successor_socket_failed = False
-        self.failed_looks = 0  # at who still waits in the clients' door when it closes for good
-        self.last_in: set[asyncio.Task] = set()  # who waited in the clients' door when it closed for good
-        # Only where operators call may another process of ours be started beside us.
+        self.failed_final_accepts = 0  # failed final accepts on the clients' socket
+        self.final_tasks: set[asyncio.Task] = set()  # connections of the final accepts, not yet set up
+        # A second process may be started beside this one only where there is an admin address.
         self.hot_restart_enabled = node.config.control is not None
         self.successor_path = (
             sibling.socket_path(node.config.name, node.config.listen) if self.hot_restart_enabled else None
         )
 
     async def open_admin(self) -> None:
-        if place := self.node.config.control:
+        """Listen on the admin address, if one is configured. Raises OSError."""
+        if address := self.node.config.control:
             self.node.limits.count_descriptors(1)
-            sock = socket.create_server(place, backlog=limits.MAX_ADMIN_CONNECTIONS)
+            sock = socket.create_server(address, backlog=limits.MAX_ADMIN_CONNECTIONS)
             self.admin = Listener(
                 self.node, sock, lambda: not self.node.limits.exhausted(), lambda: AdminConnection(self.node)
             )
 
-    async def open(self, taken: socket.socket | None) -> None:
-        """Accept from now on, at the door of the process before us if it gave it."""
-        self.socket = taken or socket.create_server(
+    async def open(self, inherited: socket.socket | None) -> None:
+        """Listen for clients from now on. Raises OSError.
+
+        `inherited`: the predecessor's listening socket, or None to open one."""
+        self.socket = inherited or socket.create_server(
             self.node.config.listen, reuse_port=self.hot_restart_enabled
         )
         self.node.limits.count_descriptors(1)
@@ -124,8 +137,9 @@
         self.offer_hot_restart()
 
     def offer_hot_restart(self) -> None:
-        """Be found by the process that comes after us. A folder where that fails costs a log line, and is
-        tried again where it may take files later."""
+        """Open the Unix socket on which a successor process can connect.
+
+        A failure is logged once; one that may be transient is retried later."""
         if not self.successor_path or self.successor_socket or not self.listener:
             return
         try:
@@ -138,6 +152,7 @@
                 self.node.after(transient.FOLDER_RETRY_INTERVAL_SECONDS, self.offer_hot_restart)
 
     def accept(self) -> None:
+        """Start to accept clients."""
         self.socket.listen(limits.LISTEN_BACKLOG)
         self.listener = Listener(
             self.node,
@@ -147,48 +162,54 @@
         )
 
     def stop_accepting(self, for_good: bool = False) -> None:
-        """The other process accepts now. Who has come in stays with us; who waits in the door goes to it. Or
-        nobody does: then we are not found any more."""
+        """Stop accepting clients and successors.
+
+        Accepted connections stay with this process. Connections in the kernel's queue go to the process that
+        accepts on the same socket now. `for_good`: no process takes over, so the path of the Unix socket is
+        removed too."""
         if self.listener:
             self.listener.close()
             self.listener = None
         if self.successor_socket:
             if for_good:
-                self.successor_socket.leave()
+                self.successor_socket.remove_file()
             self.successor_socket.close()
             self.successor_socket = None
 
     def accept_last(self) -> int:
-        """Close the clients' door for good, and take in whoever the machine has accepted there: how many are
-        still on their way in. Guards against the instant between our last look at the door and its end."""
+        """Accept all connections that wait in the kernel's queue, then close the clients' socket for good.
+
+        Otherwise a connection that arrives between the last accept and the close would be reset. Returns how
+        many accepted connections are not yet set up; over 0 if the queue could not be emptied yet."""
         if self.listener:
             if not self.accept_waiting():
                 return 1 + len(self.listener.tasks)
-            self.last_in = self.listener.tasks
+            self.final_tasks = self.listener.tasks
             self.stop_accepting(for_good=True)
             self.socket.close()
-        return len(self.last_in)
+        return len(self.final_tasks)
 
     def accept_waiting(self) -> bool:
-        """Accept whoever waits. Is nobody left, as far as can be known?"""
+        """Accept all waiting connections; return whether the queue is empty, as far as can be known."""
         try:
             while not self.node.limits.crowded(2):
                 self.listener.accept_one()
-            return False  # more wait than there are descriptors for
+            return False  # more connections wait than descriptors are free
         except (BlockingIOError, InterruptedError):
             return True
         except OSError:
-            # One that has gone again, or nothing to be had for a moment: others may wait behind it.
-            self.failed_looks += 1
-            return self.failed_looks >= limits.FINAL_ACCEPT_RETRIES
+            # The connection was aborted, or a resource is short for a moment: others may wait behind it.
+            self.failed_final_accepts += 1
+            return self.failed_final_accepts >= limits.FINAL_ACCEPT_RETRIES
 
     async def reopen(self) -> None:
-        """The other process is gone before its time: guards against a door that nobody answers."""
+        """Accept clients again after the successor ended early; otherwise nobody would answer them."""
         if self.socket and not self.listener:
             self.accept()
             self.offer_hot_restart()
 
     def close(self) -> None:
+        """Close all listening sockets."""
         self.stop_accepting(for_good=True)
         if self.admin:
             (sock,) = self.admin.sockets
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -1,8 +1,10 @@
-"""Two processes that are one balancer for a while: a new version is started beside the one that serves.
+"""The Unix socket between the two processes of a hot restart, on both sides.
 
-Owns the Unix socket between them, the passing of the listening socket, and what each tells the other until
-one is gone. It never decides, never moves a connection that stands, and takes a process of another user for
-nobody. Without the other process all is as if there were none.
+During a hot restart a new process runs beside the one that serves, and the two act as one balancer. This
+module finds the serving process (the predecessor), passes its listening socket and its state to the new one
+(the successor), and carries the messages between the two until one of them ends. It makes no balancing
+decisions and moves no established connection (`handoff.py` does). Processes of other users are refused.
+Without a sibling process nothing changes for the balancer.
 """
 
 from __future__ import annotations
@@ -19,83 +21,95 @@
 
 from bellrack.net import handoff, log, transient
 
-PATIENCE = 1.0  # seconds that the one that starts waits for the one that serves
-TELL_EVERY = 0.25  # seconds between figures told to the other
-BUSY = b'{"busy": true}\n'  # to a process that comes while there is a sibling already
-MAX_MESSAGE_BYTES = 1 << 24  # bytes of one message: 3,200 servers make 1.5 MB
-VERSION = 1  # of what is told with the door; what is unknown in it is left
-PART = 65536  # bytes read at one go
+CONNECT_TIMEOUT_SECONDS = 1.0  # for which a starting process waits for the state of the serving one
+DESCRIPTORS_INTERVAL_SECONDS = 0.25  # between two messages with the number of open descriptors
+BUSY_MESSAGE = b'{"busy": true}\n'  # to a process that connects while there is a sibling already
+MAX_MESSAGE_BYTES = 1 << 24  # of one message: 3,200 servers take 1.5 MB
+VERSION = 1  # of the state that is passed with the listening socket; unknown keys are ignored
+READ_BYTES = 65536  # per receive call
 
 
 def socket_path(name: str, listen: tuple[str, int]) -> str | None:
-    """Where the two meet: common to both processes, and short enough for the kernel; None for nowhere."""
+    """Return the path of the Unix socket on which a balancer's successor connects.
+
+    `name` and `listen` are those of the configuration: both processes derive the same path from them. None if
+    TMPDIR is not set, or the path is too long for the kernel."""
     folder = os.environ.get("TMPDIR")
     if not folder:
         return None
-    mark = hashlib.blake2b(f"{name} {listen}".encode(), digest_size=8).hexdigest()
-    path = os.path.join(folder, f"bellrack-{mark}")
+    digest = hashlib.blake2b(f"{name} {listen}".encode(), digest_size=8).hexdigest()
+    path = os.path.join(folder, f"bellrack-{digest}")
     return path if len(path.encode()) < 100 else None
 
 
 def same_user(sock: socket.socket) -> bool:
-    """Guards against whoever else can write to the folder and would be handed our door."""
+    """Return whether the process at the other end runs as our user.
+
+    Otherwise anyone who can write to the folder would get our listening socket."""
     _, user, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
     return user == os.geteuid()
 
 
 class BusyError(Exception):
-    """The process that serves has a sibling already."""
+    """The serving process has a sibling already, or is ending: the caller may ask again."""
 
 
 class Predecessor:
-    """The process that serves, as the one that starts finds it: its door, what it told, and bytes of what it
-    has begun to say after that."""
+    """What the serving process passed to a starting one.
+
+    `sock`: the connection to it; `listening_socket`: the clients' listening socket; `handoff_socket`: where
+    it hands over connections, None from a version that does not; `state`: its state as a JSON object (see
+    `shared_state.py`); `unread`: bytes of later messages that were read along with the state."""
 
     def __init__(
         self,
         sock: socket.socket,
         listening_socket: socket.socket,
         handoff_socket: socket.socket | None,
-        told: dict,
-        rest: bytes = b"",
+        state: dict,
+        unread: bytes = b"",
     ):
-        self.sock, self.listening_socket, self.handoff_socket, self.told, self.rest = (
+        self.sock, self.listening_socket, self.handoff_socket, self.state, self.unread = (
             sock,
             listening_socket,
             handoff_socket,
-            told,
-            rest,
+            state,
+            unread,
         )
 
 
 def connect_to_predecessor(path: str) -> Predecessor | None:
-    """Ask the process that serves for its door; None if there is none, or it does not answer in time. Raises
-    BusyError if it says so, or has closed its meeting place just now: another process may be found there.
-    Raises OSError for what passes on our own machine."""
+    """Ask the serving process for its listening socket and state.
+
+    Returns None if there is no such process, or it does not answer in time. Raises BusyError if it answers
+    that it is busy, or ends within its message before a descriptor has come: another process may be found
+    there soon. Raises OSError for transient failures of our own machine."""
     sock = socket.socket(socket.AF_UNIX)
     fds: list[int] = []
     try:
-        sock.settimeout(PATIENCE)
+        sock.settimeout(CONNECT_TIMEOUT_SECONDS)
         sock.connect(path)
         if not same_user(sock):
-            raise OSError("another user's")
+            raise OSError("the serving process runs as another user")
         text = b""
-        while b"\n" not in text:  # what it says next may come in the same read
-            part, got, _, _ = socket.recv_fds(sock, PART, 2)
-            fds += got
+        while b"\n" not in text:  # the next message may arrive in the same read
+            part, received_fds, _, _ = socket.recv_fds(sock, READ_BYTES, 2)
+            fds += received_fds
             text += part
             if not part and text:
-                raise BusyError  # cut off in the middle: it has ended, or says so
+                raise BusyError  # closed within a message: the process has ended or is busy
             if not part or len(text) > MAX_MESSAGE_BYTES:
-                raise OSError("cut off")
-        text, _, rest = text.partition(b"\n")
-        told = json.loads(text)
-        if isinstance(told, dict) and told.get("busy"):
+                raise OSError("the state of the serving process is missing or too long")
+        text, _, unread = text.partition(b"\n")
+        state = json.loads(text)
+        if isinstance(state, dict) and state.get("busy"):
             raise BusyError
-        if not fds or not isinstance(told, dict):
-            raise OSError("no door came")
-        door, *ways = (socket.socket(fileno=fd) for fd in fds)
-        return Predecessor(sock, door, ways[0] if ways else None, told, rest)
+        if not fds or not isinstance(state, dict):
+            raise OSError("the serving process sent no listening socket or no state")
+        listening_socket, *handoff_sockets = (socket.socket(fileno=fd) for fd in fds)
+        return Predecessor(
+            sock, listening_socket, handoff_sockets[0] if handoff_sockets else None, state, unread
+        )
     except (OSError, ValueError, BusyError) as error:
         if isinstance(error, BusyError | ConnectionResetError) and not fds:
             sock.close()
@@ -112,51 +126,54 @@
 
 
 class Sibling(asyncio.Protocol):
-    """The other process of this balancer, while there is one: a message is a line, one JSON object."""
+    """The connection to the other process of a hot restart. Each message is a line with one JSON object.
+
+    `handoff_sender`: hands connections to the sibling, where that is our successor; `unread`: bytes of its
+    messages that were read with its state; `unsent`: bytes to write first."""
 
     def __init__(
         self,
         node: Any,
         handoff_sender: handoff.HandoffSender | None = None,
-        early: bytes = b"",
+        unread: bytes = b"",
         unsent: bytes = b"",
     ):
-        self.node, self.handoff_sender, self.rest = (
-            node,
-            handoff_sender,
-            b"",
-        )  # the way over, where it came after us
-        self.early = early  # bytes of it that were read with the door
-        self.unsaid = unsent  # until the connection is up
+        self.node, self.handoff_sender, self.rest = node, handoff_sender, b""
+        self.unread = unread
+        self.unsent = unsent  # written once the transport is there
         self.transport: Any = None
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
         self.node.limits.count_descriptors(1)
-        transport.write(self.unsaid)
-        self.held()
-        self.data_received(self.early)
+        transport.write(self.unsent)
+        self.send_descriptors()
+        self.data_received(self.unread)
 
     def data_received(self, data: bytes) -> None:
-        *whole, self.rest = (self.rest + data).split(b"\n")
+        *complete_lines, self.rest = (self.rest + data).split(b"\n")
         if len(self.rest) > MAX_MESSAGE_BYTES:
             self.transport.abort()
-        for line in whole:
+        for line in complete_lines:
             try:
-                said = json.loads(line)
+                message = json.loads(line)
             except ValueError:
-                said = None
-            if isinstance(said, dict):
-                self.node.queue(self.node.hot_restart.on_message, said, first=True)
+                message = None
+            if isinstance(message, dict):
+                self.node.queue(self.node.hot_restart.on_message, message, first=True)
 
     def connection_lost(self, error: Exception | None) -> None:
         self.node.limits.count_descriptors(-1)
         self.node.queue(self.node.hot_restart.on_sibling_lost, self)
 
     def send(self, **words: Any) -> None:
+        """Send one message; the keywords are the keys of its JSON object.
+
+        Before the transport is there, messages are kept: operators may give orders between the transfer of
+        the listening socket and that moment."""
         line = json.dumps(words).encode() + b"\n"
         if self.transport is None:
-            self.unsaid += line  # guards against what operators say between the door's way over and this
+            self.unsent += line
         elif not self.transport.is_closing():
             self.transport.write(line)
 
@@ -166,75 +183,85 @@
         if self.handoff_sender:
             self.handoff_sender.close()
 
-    def held(self) -> None:
-        """Descriptors count together, so each knows what the other holds."""
+    def send_descriptors(self) -> None:
+        """Tell the sibling how many descriptors this process has open, again and again.
+
+        The limit holds for both processes together, so each has to know the other's count."""
         if not self.transport.is_closing():
             self.send(
                 held=self.node.limits.descriptors,
                 passed=self.handoff_sender.passed if self.handoff_sender else 0,
             )
-            self.node.loop.call_later(TELL_EVERY, self.held)
+            self.node.loop.call_later(DESCRIPTORS_INTERVAL_SECONDS, self.send_descriptors)
 
 
 class SuccessorSocket:
-    """The place where the process that comes after us finds us."""
+    """The Unix socket on which a successor process connects.
+
+    Raises OSError if the socket cannot be opened at this path."""
 
     def __init__(self, node: Any, path: str):
         self.node, self.path = node, path
-        # What lies there is of a process that is gone or has handed over: bound aside and moved in its place.
-        aside = f"{path}.{os.getpid()}"
+        # A file at this path belongs to a process that has ended or has been succeeded. The socket is bound
+        # under a temporary name and renamed, which replaces such a file atomically.
+        temporary_path = f"{path}.{os.getpid()}"
         with contextlib.suppress(FileNotFoundError):
-            os.unlink(aside)
+            os.unlink(temporary_path)
         self.sock = socket.socket(socket.AF_UNIX)
         self.sock.setblocking(False)
         try:
-            self.sock.bind(aside)
-            os.chmod(aside, 0o600)
+            self.sock.bind(temporary_path)
+            os.chmod(temporary_path, 0o600)
             self.sock.listen(1)
-            os.rename(aside, path)
+            os.rename(temporary_path, path)
             self.inode = os.stat(path).st_ino
         except OSError:
             self.sock.close()
             with contextlib.suppress(OSError):
-                os.unlink(aside)
+                os.unlink(temporary_path)
             raise
         node.limits.count_descriptors(1)
         node.loop.add_reader(self.sock.fileno(), self.on_connection)
 
     def on_connection(self) -> None:
+        """Accept a successor; send it the state, the listening socket and a socket for handed-over
+        connections.
+
+        While there is a sibling already, it is told to ask again."""
         try:
             sock, _ = self.sock.accept()
         except OSError:
             return
         try:
             if not same_user(sock):
-                raise OSError("of another user")
+                raise OSError("the connecting process runs as another user")
             if self.node.hot_restart.sibling:
-                self.node.counters["successors_refused"] += 1  # it asks again
+                self.node.counters["successors_refused"] += 1  # the refused process asks again
                 raise OSError(errno.EAGAIN, "another is met already")
-            sock.setblocking(False)  # guards against one that connects and reads nothing
+            sock.setblocking(False)  # otherwise a process that connects and reads nothing would block us
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * MAX_MESSAGE_BYTES)
             text = json.dumps(self.node.hot_restart.snapshot()).encode() + b"\n"
             ours, theirs = handoff.pair()
             with theirs:
                 fds = [self.node.listeners.socket.fileno(), theirs.fileno()]
-                sent = socket.send_fds(sock, [text], fds)  # what it does not take at once follows
+                sent = socket.send_fds(sock, [text], fds)  # the rest of the text is sent by the transport
         except OSError as error:
             log.event("handover", given="nothing", error=error)
             if error.errno == errno.EAGAIN or transient.is_transient(error):
                 with contextlib.suppress(OSError):
-                    sock.sendall(BUSY)
+                    sock.sendall(BUSY_MESSAGE)
             sock.close()
             return
         self.node.hot_restart.connect(sock, handoff.HandoffSender(self.node, ours), unsent=text[sent:])
 
-    def leave(self) -> None:
-        """Nothing is left behind, but for the place of a process that came after us."""
+    def remove_file(self) -> None:
+        """Remove the socket's file, unless a successor has replaced it with its own."""
         with contextlib.suppress(OSError):
             if os.stat(self.path).st_ino == self.inode:
                 os.unlink(self.path)
 
     def close(self) -> None:
+        """Close the socket. Its file stays."""
         self.node.loop.remove_reader(self.sock.fileno())
         self.sock.close()
         self.node.limits.count_descriptors(-1)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -421,9 +421,9 @@
             giving = pool.submit(gives)
             predecessor = sibling.connect_to_predecessor(path)
             giving.result().close()
-    assert predecessor and predecessor.told == {"version": 1}
+    assert predecessor and predecessor.state == {"version": 1}
     host = mock.Mock(**{"limits.descriptors": 0})
-    connection = sibling.Sibling(host, early=predecessor.rest)
+    connection = sibling.Sibling(host, unread=predecessor.unread)
     connection.connection_made(mock.Mock(is_closing=lambda: False))
     connection.data_received(b'sed": 3}\n')
     assert [call.args[1] for call in host.queue.call_args_list] == [{"held": 7}, {"passed": 3}]
