--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -16,19 +16,22 @@
 )  # of the time there is, until the first is moved: the front may still deal it to us again
 LAST_MOVE_SHARE = 0.8  # of that time, until the last is
 MOVE_REST_SHARE = 0.85  # of that time, when all go that have come up meanwhile
-STAY = 1.0  # seconds that we stay at least
-LONGEST, GRACE = 3.0, 0.7  # what is left after that call: the longest guard time, at most, and some more
+MIN_SECONDS = 1.0  # seconds that we stay at least
+MAX_REQUEST_SECONDS, GRACE_SECONDS = (
+    3.0,
+    0.7,
+)  # what is left after that call: the longest guard time, at most, and some more
 ANSWER_BEFORE_END_SECONDS = (
     0.4  # seconds before its end that who still waits is answered: some say that they wait for longer
 )
-MARGIN = 0.2  # seconds before its end that we go, empty or not
-LOOK = 0.05  # seconds between looks for that
+EXIT_BEFORE_END_SECONDS = 0.2  # seconds before its end that we go, empty or not
+CHECK_INTERVAL_SECONDS = 0.05  # seconds between looks for that
 
 
 class Shutdown:
     def __init__(self, node: Any):
         self.node, self.started_at = node, node.now
-        self.time_limit = min(LONGEST, max(node.names.default_timeouts)) + GRACE
+        self.time_limit = min(MAX_REQUEST_SECONDS, max(node.names.default_timeouts)) + GRACE_SECONDS
         standing = [client for client in node.clients if client.paired]
         log.event(
             "leaving",
@@ -86,7 +89,10 @@
     def hand_over(self) -> None:
         """What stands goes to the process after us; what comes up later, or is still to be sent, then."""
         if self.node.hot_restart.handoff_sender:
-            self.node.after(0 if self.node.hot_restart.handoff_sender.give_some() else LOOK, self.hand_over)
+            self.node.after(
+                0 if self.node.hot_restart.handoff_sender.give_some() else CHECK_INTERVAL_SECONDS,
+                self.hand_over,
+            )
 
     def empty(self) -> None:
         gone = self.node.now - self.started_at
@@ -94,8 +100,8 @@
             self.answer_silent()
         # Whoever has come in is owed an answer once its line is whole: also who has said nothing yet, or half
         # a line, who is not told by our answer yet, and who waits in the door.
-        alone = gone >= STAY and not self.node.clients and not self.node.listeners.accept_last()
-        if alone or gone >= self.time_limit - MARGIN:
+        alone = gone >= MIN_SECONDS and not self.node.clients and not self.node.listeners.accept_last()
+        if alone or gone >= self.time_limit - EXIT_BEFORE_END_SECONDS:
             self.node.finished.set()
         else:
-            self.node.after(LOOK, self.empty)
+            self.node.after(CHECK_INTERVAL_SECONDS, self.empty)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -180,7 +180,7 @@
 
 @played
 async def test_asked_to_end_it_waits_for_a_line_that_is_half_there(monkeypatch):
-    monkeypatch.setattr(shutdown, "STAY", 0.1)
+    monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.1)
     async with World() as world:
         slow, silent = await world.dial(), await world.dial()
         slow.writer.write(b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch")
@@ -200,7 +200,7 @@
 
 @played
 async def test_asked_to_end_it_answers_who_waits_in_the_door(monkeypatch):
-    monkeypatch.setattr(shutdown, "STAY", 0.0)
+    monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.0)
     async with World() as world:
         waiting = []
 
@@ -224,7 +224,7 @@
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ECONNABORTED])
 @played
 async def test_asked_to_end_it_ends_also_if_its_door_fails(monkeypatch, error):
-    monkeypatch.setattr(shutdown, "STAY", 0.0)
+    monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.0)
     async with World() as world:
         door = mock.Mock(wraps=world.node.listeners.socket)
         door.accept.side_effect = OSError(error, "no")
@@ -239,7 +239,7 @@
 )
 @played
 async def test_asked_to_end_it_answers_who_waits_for_a_server_that_hangs(monkeypatch, effect, told):
-    monkeypatch.setattr(shutdown, "LONGEST", 0.3)
+    monkeypatch.setattr(shutdown, "MAX_REQUEST_SECONDS", 0.3)
     async with World(effect=effect) as world:
         client = await world.call("c=chat,t=acme,d=30000")  # longer than there is time
         await world.leg()
@@ -267,7 +267,7 @@
 @played
 async def test_asked_to_end_it_answers_who_says_nothing_before_it_goes(monkeypatch, words):
     """Their request may cross our end: some come 0.4 s after the signal and write 2.75 s later."""
-    monkeypatch.setattr(shutdown, "LONGEST", 0.5)
+    monkeypatch.setattr(shutdown, "MAX_REQUEST_SECONDS", 0.5)
     async with World() as world:
         ordinary, _ = await world.standing()
         client = await world.dial()
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.ENOBUFS, errno.ENFILE])
 @played
 async def test_asked_to_end_it_answers_who_waits_behind_one_that_cannot_be_accepted(monkeypatch, error):
-    monkeypatch.setattr(shutdown, "STAY", 0.0)
+    monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.0)
     async with World() as world:
         waiting = []
         honest = world.node.listeners.socket
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -37,7 +37,7 @@
 
 @played
 async def test_who_waits_in_the_listener_is_answered_when_both_processes_end(folder, monkeypatch):  # noqa: F811
-    monkeypatch.setattr(shutdown, "STAY", 0.2)
+    monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.2)
     async with World(control=True, listen=free()) as world:
         first = world.node
         _, server = await world.standing()
