--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -1,7 +1,8 @@
-"""The door for operators: who calls at the control address, and what is answered.
+"""The admin address: HTTP requests of operators and of health checks, and their responses.
 
-Owns the calls and their one answer each. It never decides which server is used, never waits for anything
-before it answers, and never takes a descriptor that calls of clients need beyond its few.
+Each connection carries one request, which is answered at once, without waiting for anything. The number of
+these connections is limited, so that they take no descriptors that clients need. Which server is used is
+decided elsewhere; operators can only detach a server and attach it again.
 """
 
 from __future__ import annotations
@@ -14,16 +15,16 @@
 
 
 class AdminConnection(Connection):
-    """One call of an operator."""
+    """A connection to the admin address: one request, one response."""
 
     side = "control"
-    has_priority = True  # guards against answers that wait behind a rush of clients
+    has_priority = True  # otherwise responses would be delayed during a rush of clients
 
     def made(self) -> None:
         self.request, admin_connections = Request(), self.node.admin_connections
         admin_connections[self] = None
         if len(admin_connections) > self.node.limits.max_admin_connections:
-            # Guards against callers that hold connections with no whole call: the oldest of them goes.
+            # Connections with incomplete requests must not lock others out: the oldest one is closed.
             next(iter(admin_connections)).reply(503, "too many callers\n", "many-callers")
         self.expire_after(limits.ADMIN_REQUEST_SECONDS, self.on_expired)
         self.wake()
@@ -36,51 +37,62 @@
         self.reply(408, "no whole call came\n", "no-whole-call")
 
     def ready(self) -> None:
+        """Read what has arrived, and answer the request once it is complete."""
         try:
-            waited = self.request.method
+            had_head = self.request.method
             self.request.feed(self.ring.take(self.ring.held) if self.ring.held else b"")
             if self.request.done:
-                self.called()
-            elif self.request.waits and not waited:
+                self.handle_request()
+            elif self.request.waits and not had_head:
                 self.write(CONTINUE)
             elif self.remote_end:
                 self.finish(f"caller-{self.remote_end}", self.remote_end)
         except HttpError as error:
             self.reply(error.status, f"{error}\n", f"status-{error.status}")
 
-    def called(self) -> None:
+    def handle_request(self) -> None:
+        """Answer a complete request."""
         path, method = self.request.path, self.request.method
-        if path not in CALLS:
+        if path not in ROUTES:
             self.reply(404, "no such call\n", "unknown-call")
-        elif method != CALLS[path][0]:
-            self.reply(405, f"this is a {CALLS[path][0]}\n", "other-method", CALLS[path][0])
+        elif method != ROUTES[path][0]:
+            self.reply(405, f"this is a {ROUTES[path][0]}\n", "other-method", ROUTES[path][0])
         else:
-            self.reply(*CALLS[path][1](self.node, self.request), path)
+            self.reply(*ROUTES[path][1](self.node, self.request), path)
 
     def reply(self, status: int, text: str, reason: str, allow: str = "") -> None:
+        """Send the response and close the connection.
+
+        `reason`: of its end, for the log; `allow`: the method that the path allows, if that is the error."""
         self.node.admin_connections.pop(self, None)
         self.write(answer(status, text, allow))
         self.finish(reason, status=status)
 
 
 def ready(node: Any, request: Request) -> tuple[int, str]:
+    """Return status and text of `/_ready`: whether this process takes requests."""
     return (200, "ready\n") if node.can_serve() else (503, "not ready\n")
 
 
-def shown(node: Any, request: Request) -> tuple[int, str]:
+def show_metrics(node: Any, request: Request) -> tuple[int, str]:
+    """Return status and text of `/_vars`: all metrics."""
     return 200, metrics.text(metrics.collect(node))
 
 
 def detach(node: Any, request: Request) -> tuple[int, str]:
-    return withhold(node, request, True)
+    """Detach the server that the body names: it gets no new connections."""
+    return cordon(node, request, True)
 
 
 def attach(node: Any, request: Request) -> tuple[int, str]:
-    return withhold(node, request, False)
+    """Attach the server that the body names again."""
+    return cordon(node, request, False)
+
 
+def cordon(node: Any, request: Request, out: bool) -> tuple[int, str]:
+    """Detach (`out`) or attach a server, and tell the sibling process.
 
-def withhold(node: Any, request: Request, out: bool) -> tuple[int, str]:
-    """Taken out twice, or put back when it was not out, is a yes: it is as was asked for."""
+    Repeated orders succeed, as the server is in the requested state."""
     name = request.body.decode("utf-8", "replace").strip()
     if not node.server_list.cordon(name, out):
         return 404, "no such server\n"
@@ -89,9 +101,9 @@
     return 200, "out\n" if out else "back\n"
 
 
-CALLS = {
+ROUTES = {
     "/_ready": ("GET", ready),
-    "/_vars": ("GET", shown),
+    "/_vars": ("GET", show_metrics),
     "/_servers/detach": ("POST", detach),
     "/_servers/attach": ("POST", attach),
 }
--- a/bellrack/net/fact_versions.py
+++ b/bellrack/net/fact_versions.py
@@ -1,8 +1,7 @@
-"""Which of two versions of one fact holds, where two processes of one balancer are told of it apart.
+"""Decides which of two versions of a fact is kept, where the two processes of a hot restart both receive it.
 
-During a hot restart both processes hear discovery, and operators may call either. `supersedes` decides
-wherever two versions of one fact meet: the later one holds, in whatever order they come. Pure: no clock and
-no I/O.
+During a hot restart both processes receive lists of discovery, and operators may send orders to either. The
+later version is kept, in whatever order the two arrive. Pure functions and data: no clock and no I/O.
 """
 
 from __future__ import annotations
@@ -13,63 +12,66 @@
 
 
 def supersedes(offered: Any, held: Any) -> bool:
-    """Does a fact of the version `offered` replace the one held? Equal versions are the same fact."""
+    """Return whether a fact of version `offered` replaces that of version `held`. Equal versions are the
+    same fact."""
     return offered >= held
 
 
 @dataclass(frozen=True)
 class CordonOrder:
-    """What operators last ordered of one server by hand."""
+    """An operator's last order for one server."""
 
     name: str
-    cordon: bool  # taken out, or put back
-    ordered_at: float  # seconds of the machine's monotonic clock, which both processes share
+    cordon: bool  # detach it; false: attach it again
+    ordered_at: float  # seconds on the machine's monotonic clock, which both processes share
 
     @property
     def version(self) -> tuple[float, bool]:
-        """Of two orders of one moment the one that takes the server out is the later."""
+        """Orders by time; of two orders given at the same time, the one that detaches counts as later."""
         return self.ordered_at, self.cordon
 
 
 @dataclass
 class ListVersions:
-    """How recent what is held of each server is, in the versions of one discovery address."""
+    """The version of each server's entry that this process holds, as numbered by one discovery address."""
 
-    watched: int = 0  # up to which our own watch has told everything
-    sibling_complete: int = 0  # of the last whole list that the sibling process was told
-    newer: dict[int, int] = field(default_factory=dict)  # by server mark, where the sibling was told more
+    watched: int = 0  # our own watch has delivered everything up to this version
+    sibling_complete: int = 0  # of the last whole list that the sibling received
+    newer: dict[int, int] = field(default_factory=dict)  # by id hash: newer entries of the sibling
 
     @property
     def complete(self) -> int:
-        """Up to which every server's facts are held."""
+        """The version up to which the entries of all servers are held."""
         return max(self.watched, self.sibling_complete)
 
-    def version_of(self, mark: int) -> int:
-        return max(self.complete, self.newer.get(mark, 0))
+    def version_of(self, id_hash: int) -> int:
+        """Return the version of a server's entry."""
+        return max(self.complete, self.newer.get(id_hash, 0))
 
-    def accepts(self, mark: int, version: int) -> bool:
-        """Does news of this version replace what is held of the server?"""
-        return supersedes(version, self.version_of(mark))
+    def accepts(self, id_hash: int, version: int) -> bool:
+        """Return whether an entry of this version replaces the one held of the server."""
+        return supersedes(version, self.version_of(id_hash))
 
     def on_watch(self, version: int) -> None:
-        """Our own watch has told everything up to this version."""
+        """Record that our own watch has delivered everything up to this version."""
         self.watched = version
-        self._forget_covered()
+        self._drop_covered()
 
-    def on_sibling(self, version: int, whole: bool, marks: Iterable[int]) -> None:
-        """The sibling was told a whole list of this version, or the entries of these servers."""
+    def on_sibling(self, version: int, whole: bool, id_hashes: Iterable[int]) -> None:
+        """Record that the sibling received a whole list of this version, or entries of these servers."""
         if whole:
             self.sibling_complete = max(self.sibling_complete, version)
         else:
-            self.newer |= {mark: version for mark in marks if self.accepts(mark, version)}
-        self._forget_covered()
+            self.newer |= {id_hash: version for id_hash in id_hashes if self.accepts(id_hash, version)}
+        self._drop_covered()
 
     def merge(self, other: ListVersions) -> None:
-        """All that either of the two holds is held from now on."""
+        """Record that this process now also holds what `other` holds."""
         self.sibling_complete = max(self.sibling_complete, other.complete)
-        for mark, version in other.newer.items():
-            self.newer[mark] = max(version, self.newer.get(mark, 0))
-        self._forget_covered()
+        for id_hash, version in other.newer.items():
+            self.newer[id_hash] = max(version, self.newer.get(id_hash, 0))
+        self._drop_covered()
 
-    def _forget_covered(self) -> None:
-        self.newer = {mark: version for mark, version in self.newer.items() if version > self.complete}
+    def _drop_covered(self) -> None:
+        """Drop the entries that `complete` covers."""
+        self.newer = {id_hash: version for id_hash, version in self.newer.items() if version > self.complete}
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -1,17 +1,18 @@
-"""What two processes of one balancer know, made one when the second takes over from the first.
+"""The state that the two processes of a hot restart share, and how it is merged.
 
-`snapshot` is what the predecessor gives, `adopt` merges it into what the successor was told while it waited,
-and `replies` is what the predecessor has to hear in return. Of each fact one version holds:
+`snapshot` makes the predecessor's state, `adopt` merges it into what the successor has learned while it
+waited for its turn, and `replies` makes the messages that tell the predecessor what it lacks. Which version
+of each fact is kept:
 
-| fact | which version holds |
+| fact | version that is kept |
 | --- | --- |
-| a server's entry in the list | the later by discovery's versions (`fact_versions.supersedes`); where the two have different discovery addresses, our own if discovery has told it, else the predecessor's |
-| what operators ordered of a server | the one given last, by the machine's monotonic clock |
-| what was learned of a server, and when it started | the predecessor's, which has seen it longer; nothing where its entry tells of an earlier start than ours |
-| ids that have ended | both |
-| the time in which resumed connections are admitted | the earlier start; the run has begun if either knows it |
+| a server's entry in the list | the later by discovery's versions (`fact_versions.supersedes`); where the two processes have different discovery addresses, our own if discovery has sent us a list, else the predecessor's |
+| an operator's order to detach or attach a server | the latest, by the machine's monotonic clock |
+| what is learned of a server, and when it started | the predecessor's, which has observed it for longer; none where its list has an earlier start of the server than ours |
+| ids of ended connections | those of both |
+| the period in which resumed connections are admitted | the earlier start; an ordinary request has been seen if either process has seen one |
 
-Times go over as seconds on the predecessor's clock; `HotRestart.clock_ahead` shifts them to ours.
+Times are sent as seconds on the predecessor's clock; `HotRestart.clock_ahead` converts them to ours.
 """  # noqa: E501
 
 from __future__ import annotations
@@ -23,11 +24,12 @@
 from bellrack.net import lines, log, sibling
 from bellrack.net.fact_versions import CordonOrder, ListVersions
 
-SAME_CLOCK = 1e-3  # seconds by which two anchors may differ that were read with the clock untouched
+# Two processes that read the offset of the wall clock get values that differ by less, unless it was stepped.
+SAME_CLOCK_SECONDS = 1e-3
 
 
 def snapshot(node: Any) -> dict[str, Any]:
-    """What the process that comes after us is given with the listening socket."""
+    """Return the state that a successor gets with the listening socket, as a JSON object."""
     versions, orders = node.server_list.versions, node.server_list.orders.values()
     return {
         "version": sibling.VERSION,
@@ -35,10 +37,10 @@
         "list_versions": {
             "discovery": lines.format_address(node.discovery.address),
             "complete": versions.complete,
-            "later": {str(mark): version for mark, version in versions.newer.items()},
+            "later": {str(id_hash): version for id_hash, version in versions.newer.items()},
         },
         "learned": node.export_learned(),
-        "out": list(node.server_list.cordoned.values()),  # for versions that do not read the orders
+        "out": list(node.server_list.cordoned.values()),  # for older versions, which ignore "orders"
         "orders": [[order.name, order.cordon, order.ordered_at] for order in orders],
         "seen": [*node.limits.recent_ids, *node.limits.open_ids],
         "started": node.resumed.window.started,
@@ -49,34 +51,40 @@
 
 @dataclass
 class Predecessor:
-    """What a snapshot tells of the process that wrote it."""
+    """Reads a snapshot of the predecessor."""
 
-    told: dict[str, Any]
+    state: dict[str, Any]
 
     def orders(self) -> list[CordonOrder]:
-        """An older version tells no times: whatever was ordered here is later than its orders."""
-        if "orders" in self.told:
-            return [CordonOrder(str(name), bool(out), float(at)) for name, out, at in self.told["orders"]]
-        return [CordonOrder(str(name), True, 0.0) for name in self.told.get("out", ())]
+        """Return the operators' orders that the predecessor knows.
+
+        An older version sends no times; then every order given to this process counts as later."""
+        if "orders" in self.state:
+            return [CordonOrder(str(name), bool(out), float(at)) for name, out, at in self.state["orders"]]
+        return [CordonOrder(str(name), True, 0.0) for name in self.state.get("out", ())]
 
     def list_versions(self, discovery: tuple[str, int]) -> ListVersions | None:
-        """Of its list; None if they are of another discovery address, or not told."""
-        told = self.told.get("list_versions")
-        if told is None or told["discovery"] != lines.format_address(discovery):
+        """Return the versions of its list; None if absent, or if they are those of another discovery
+        address."""
+        sent = self.state.get("list_versions")
+        if sent is None or sent["discovery"] != lines.format_address(discovery):
             return None
-        later = {int(mark): int(version) for mark, version in told["later"].items()}
-        return ListVersions(int(told["complete"]), newer=later)
+        newer = {int(id_hash): int(version) for id_hash, version in sent["later"].items()}
+        return ListVersions(int(sent["complete"]), newer=newer)
+
 
+def adopt(node: Any, state: dict[str, Any]) -> None:
+    """Merge the predecessor's state into the node's.
 
-def adopt(node: Any, told: dict[str, Any]) -> None:
-    """Merge what the predecessor told into what we know. A part in a form of another version is left, and
-    hinders no other: above all not which servers are detached."""
-    predecessor = Predecessor(told)
+    A part that cannot be read, as another version wrote it, is skipped; the other parts are still adopted,
+    above all which servers are detached."""
+    predecessor = Predecessor(state)
     for part in (adopt_clock, adopt_orders, adopt_list, adopt_learned, adopt_requests):
-        guarded(part, node, predecessor)
+        adopt_part(part, node, predecessor)
 
 
-def guarded(part: Callable[[Any, Predecessor], None], node: Any, predecessor: Predecessor) -> None:
+def adopt_part(part: Callable[[Any, Predecessor], None], node: Any, predecessor: Predecessor) -> None:
+    """Call one of the adopt functions; log a part that cannot be read."""
     try:
         part(node, predecessor)
     except (ValueError, TypeError, AttributeError, KeyError) as error:
@@ -84,18 +92,23 @@
 
 
 def adopt_clock(node: Any, predecessor: Predecessor) -> None:
-    """The wall clock may have been stepped between the two starts, to which each clock is anchored."""
-    ahead = node.anchor - float(predecessor.told.get("anchor", node.anchor))
-    node.hot_restart.clock_ahead = ahead if abs(ahead) > SAME_CLOCK else 0.0
+    """Compute by how much our clock is ahead of the predecessor's.
+
+    Each process adds an offset to the monotonic clock that it reads once, at its start, from the wall clock.
+    The wall clock may have been stepped between the two starts."""
+    ahead = node.anchor - float(predecessor.state.get("anchor", node.anchor))
+    node.hot_restart.clock_ahead = ahead if abs(ahead) > SAME_CLOCK_SECONDS else 0.0
 
 
 def adopt_orders(node: Any, predecessor: Predecessor) -> None:
+    """Adopt the operators' orders."""
     for order in predecessor.orders():
         node.server_list.on_order(order)
 
 
 def adopt_list(node: Any, predecessor: Predecessor) -> None:
-    news, server_list = lines.listing(predecessor.told.get("list")), node.server_list
+    """Merge the server list. One without comparable versions is used only if discovery has sent us none."""
+    news, server_list = lines.listing(predecessor.state.get("list")), node.server_list
     theirs = predecessor.list_versions(node.discovery.address)
     if theirs is not None:
         server_list.on_predecessor_list(news, theirs)
@@ -104,36 +117,38 @@
 
 
 def adopt_learned(node: Any, predecessor: Predecessor) -> None:
-    """Not of a server that has started anew since the predecessor heard of it: guards against a cold server
-    that is taken for warm."""
-    learned = dict(predecessor.told.get("learned", {}))
-    entries = lines.listing(predecessor.told.get("list")).entries
+    """Adopt what the predecessor has learned of the servers.
+
+    A server that has restarted since the predecessor was told of it is left out: it is cold, and would be
+    treated as warm."""
+    learned = dict(predecessor.state.get("learned", {}))
+    entries = lines.listing(predecessor.state.get("list")).entries
     stamps = {str(lines.id_hash(entry.name)): entry.row[3] for entry in entries}
     learned["servers"] = {
-        mark: values
-        for mark, values in learned.get("servers", {}).items()
-        if same_start(node.servers.get(int(mark)), stamps.get(mark))
+        id_hash: values
+        for id_hash, values in learned.get("servers", {}).items()
+        if same_start(node.servers.get(int(id_hash)), stamps.get(id_hash))
     }
     node.import_learned(learned, later=node.hot_restart.clock_ahead)
 
 
 def same_start(server: Any, stamp: float | None) -> bool:
-    """Does this stamp of the predecessor's list tell of the server's last start that we know?"""
+    """Return whether this start stamp of the predecessor's list is the one that we have of the server."""
     return server is not None and server.host_record is not None and server.host_record.start.stamp == stamp
 
 
 def adopt_requests(node: Any, predecessor: Predecessor) -> None:
-    """A hot restart does not extend the time in which resumed connections are admitted."""
-    told, window = predecessor.told, node.resumed.window
-    node.limits.recent_ids = dict.fromkeys(told.get("seen", ())) | node.limits.recent_ids
-    window.requested = window.requested or told.get("requested") is True  # the run has begun
-    if "started" in told:
-        window.started = min(window.started, float(told["started"]) + node.hot_restart.clock_ahead)
+    """Adopt recent ids and the period for resumed connections, which a hot restart does not extend."""
+    state, window = predecessor.state, node.resumed.window
+    node.limits.recent_ids = dict.fromkeys(state.get("seen", ())) | node.limits.recent_ids
+    window.requested = window.requested or state.get("requested") is True
+    if "started" in state:
+        window.started = min(window.started, float(state["started"]) + node.hot_restart.clock_ahead)
 
 
-def replies(node: Any, told: dict[str, Any]) -> Iterator[dict[str, Any]]:
-    """Messages of what the predecessor lacks: it heard less than we did while we waited."""
-    predecessor = Predecessor(told)
+def replies(node: Any, state: dict[str, Any]) -> Iterator[dict[str, Any]]:
+    """Yield messages with what the predecessor lacks, as its state shows: we may have been told more."""
+    predecessor = Predecessor(state)
     yield from order_replies(node, predecessor)
     theirs = predecessor.list_versions(node.discovery.address)
     if theirs is not None:
@@ -142,6 +157,7 @@
 
 
 def order_replies(node: Any, predecessor: Predecessor) -> Iterator[dict[str, Any]]:
+    """Yield messages with the operators' orders that the predecessor lacks."""
     known_orders = {order.name: order for order in predecessor.orders()}
     for order in node.server_list.orders.values():
         if order != known_orders.get(order.name):
@@ -149,5 +165,5 @@
 
 
 def order_message(order: CordonOrder) -> dict[str, Any]:
-    """As both processes tell each other what operators ordered."""
+    """Return the message that tells the other process of an operator's order."""
     return {"out" if order.cordon else "back": order.name, "given": order.ordered_at}
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -1,8 +1,8 @@
-"""The way out: from the call to end until the program is empty.
+"""The graceful shutdown of a process, from SIGTERM until it may exit.
 
-Owns when each standing connection is moved, or handed to the process that comes after us, when those that
-still wait are answered, and when the program ends. It takes no call, never cuts off a connection without a
-word, and never waits past the time that is left.
+Decides when each established connection is moved or handed to the successor, when requests that still wait
+are answered, and when the process ends. No connection is closed without a final line, and the process never
+stays longer than the time limit.
 """
 
 from __future__ import annotations
@@ -11,97 +11,105 @@
 
 from bellrack.net import log
 
-FIRST_MOVE_SHARE = (
-    1 / 3
-)  # of the time there is, until the first is moved: the front may still deal it to us again
-LAST_MOVE_SHARE = 0.8  # of that time, until the last is
-MOVE_REST_SHARE = 0.85  # of that time, when all go that have come up meanwhile
-MIN_SECONDS = 1.0  # seconds that we stay at least
-MAX_REQUEST_SECONDS, GRACE_SECONDS = (
-    3.0,
-    0.7,
-)  # what is left after that call: the longest guard time, at most, and some more
-ANSWER_BEFORE_END_SECONDS = (
-    0.4  # seconds before its end that who still waits is answered: some say that they wait for longer
-)
-EXIT_BEFORE_END_SECONDS = 0.2  # seconds before its end that we go, empty or not
-CHECK_INTERVAL_SECONDS = 0.05  # seconds between looks for that
+# Shares of the time limit. The first connection is moved late: earlier, the front may send it here again.
+FIRST_MOVE_SHARE = 1 / 3
+LAST_MOVE_SHARE = 0.8  # when the last of the connections established at the start of the shutdown is moved
+MOVE_REST_SHARE = 0.85  # when all that were established meanwhile are moved
+MIN_SECONDS = 1.0  # the process stays at least so long
+# The time limit is the longest default timeout of a request, at most this, and a grace period.
+MAX_REQUEST_SECONDS = 3.0
+GRACE_SECONDS = 0.7
+# So long before the time limit, requests that still wait are answered: some clients would wait for longer.
+ANSWER_BEFORE_END_SECONDS = 0.4
+EXIT_BEFORE_END_SECONDS = 0.2  # so long before the time limit the process ends, with or without connections
+CHECK_INTERVAL_SECONDS = 0.05  # between two checks whether the process may end
 
 
 class Shutdown:
+    """The shutdown of one process. It starts with the object; times are seconds of the node's clock."""
+
     def __init__(self, node: Any):
         self.node, self.started_at = node, node.now
         self.time_limit = min(MAX_REQUEST_SECONDS, max(node.names.default_timeouts)) + GRACE_SECONDS
-        standing = [client for client in node.clients if client.paired]
+        established = [client for client in node.clients if client.paired]
         log.event(
             "leaving",
-            standing=len(standing),
+            standing=len(established),
             seconds=self.time_limit,
             handed_over=node.hot_restart.has_successor,
         )
         if node.hot_restart.handoff_sender:
             self.hand_over()
         else:
-            self.move_spread(standing)
+            self.move_spread(established)
         node.after(MOVE_REST_SHARE * self.time_limit, self.move_rest)
         node.after(self.time_limit - ANSWER_BEFORE_END_SECONDS, self.answer_rest)
-        self.empty()
+        self.end_if_empty()
 
     @property
     def admits_requests(self) -> bool:
-        """Is a request that comes now still placed? By a process that was followed, while there is time."""
+        """Whether a new request is still sent to a server: with a successor, and while there is time."""
         return (
             self.node.hot_restart.has_successor
             and self.node.now - self.started_at < self.time_limit - ANSWER_BEFORE_END_SECONDS
         )
 
     def on_successor_lost(self) -> None:
-        """Nobody takes what stands any more."""
+        """Move the remaining connections if the regular time for that has passed: nobody takes them over."""
         if self.node.now - self.started_at >= MOVE_REST_SHARE * self.time_limit:
             self.move_rest()
 
-    def move_spread(self, standing: list[Any]) -> None:
-        for index, client in enumerate(standing):
-            # Late, and not at once: guards against clients without a balancer while the one that restarted
-            # before us is not yet back, and against a rush on the others.
-            share = FIRST_MOVE_SHARE + (LAST_MOVE_SHARE - FIRST_MOVE_SHARE) * index / len(standing)
+    def move_spread(self, established: list[Any]) -> None:
+        """Move these connections one by one, spread over the time from FIRST_ to LAST_MOVE_SHARE."""
+        for index, client in enumerate(established):
+            # Late, as the balancer that restarted before us may not be back yet, and clients would find none;
+            # and not all at once, which would be a rush on the others.
+            share = FIRST_MOVE_SHARE + (LAST_MOVE_SHARE - FIRST_MOVE_SHARE) * index / len(established)
             self.node.after(share * self.time_limit, client.move, "leaving")
 
     def move_rest(self) -> None:
+        """Move all remaining established connections."""
         for client in list(self.node.clients):
             client.move("leaving")
 
     def answer_rest(self) -> None:
-        """Guards against a call that is kept, or out at a server that hangs, when our time is over."""
+        """Answer all requests that still wait.
+
+        Otherwise a queued call, or one sent to a server that hangs, would get no answer in time."""
         self.node.resumed.answer_all()
         for client in list(self.node.clients):
             if client.call and not client.call.done:
                 self.node.balancer.on_timer(client.call)
 
     def answer_silent(self) -> None:
-        """Take in who still waits in the listener and answer all that have said nothing, or half a line:
-        guards against a request that crosses the end of the process. Nobody comes in any more."""
+        """Accept what still waits, stop listening, and reject all connections without a whole request.
+
+        Otherwise a request that arrives just as the process ends would have no answer."""
         self.node.listeners.accept_last()
         for client in list(self.node.clients):
             if client.call is None and not client.closed:
                 client.reject_unread("leaving")
 
     def hand_over(self) -> None:
-        """What stands goes to the process after us; what comes up later, or is still to be sent, then."""
+        """Hand established connections to the successor, again and again until the end.
+
+        Connections that are established later, or still have unsent data, go over in a later round."""
         if self.node.hot_restart.handoff_sender:
             self.node.after(
                 0 if self.node.hot_restart.handoff_sender.give_some() else CHECK_INTERVAL_SECONDS,
                 self.hand_over,
             )
 
-    def empty(self) -> None:
-        gone = self.node.now - self.started_at
-        if gone >= self.time_limit - ANSWER_BEFORE_END_SECONDS:
+    def end_if_empty(self) -> None:
+        """End the process if it has no connections left or its time is over; else check again later."""
+        elapsed = self.node.now - self.started_at
+        if elapsed >= self.time_limit - ANSWER_BEFORE_END_SECONDS:
             self.answer_silent()
-        # Whoever has come in is owed an answer once its line is whole: also who has said nothing yet, or half
-        # a line, who is not told by our answer yet, and who waits in the door.
-        alone = gone >= MIN_SECONDS and not self.node.clients and not self.node.listeners.accept_last()
-        if alone or gone >= self.time_limit - EXIT_BEFORE_END_SECONDS:
+        # Each accepted connection is owed an answer once its request is complete. So the process waits also
+        # for those that sent nothing or half a line so far, those whose answer is not yet written out, and
+        # those that still wait to be accepted.
+        empty = elapsed >= MIN_SECONDS and not self.node.clients and not self.node.listeners.accept_last()
+        if empty or elapsed >= self.time_limit - EXIT_BEFORE_END_SECONDS:
             self.node.finished.set()
         else:
-            self.node.after(CHECK_INTERVAL_SECONDS, self.empty)
+            self.node.after(CHECK_INTERVAL_SECONDS, self.end_if_empty)
