--- a/bellrack/__init__.py
+++ b/bellrack/__init__.py
@@ -1,3 +1,3 @@
-"""bellrack: decides where long-lived connections go."""
+"""bellrack: a balancer for long-lived connections."""
 
 __version__ = "0.3.0"
--- a/bellrack/__main__.py
+++ b/bellrack/__main__.py
@@ -28,15 +28,16 @@
 
 
 def main() -> int:
+    """Run the command line; return the exit status."""
     if sys.argv[1:2] == ["serve"]:
-        start_signals.install()  # before what takes long to import
+        start_signals.install()  # before the imports that take long
     if sys.argv[1:2] == ["lab"]:
         return lab(sys.argv[2:])
-    return served(arguments(sys.argv[1:]))
+    return run_command(parse_arguments(sys.argv[1:]))
 
 
-def served(args: dict[str, Any]) -> int:
-    """The commands that read a configuration, and `version`."""
+def run_command(args: dict[str, Any]) -> int:
+    """Run `serve`, `check` or `version`; return the exit status."""
     from bellrack.net.config import read_config
     from bellrack.settings import SettingsError
 
@@ -49,8 +50,8 @@
             raise SettingsError("no configuration: give --config or set BALANCER_CONFIG")
         config = read_config(path) if args["check"] else read_when_possible(path)
         if args["check"]:
-            spoilt = f"; the list there is left: {config.known_error}" if config.known_error else ""
-            print(f"{path}: usable; {len(config.known.entries) if config.known else 0} servers known{spoilt}")
+            note = f"; the list there is left: {config.known_error}" if config.known_error else ""
+            print(f"{path}: usable; {len(config.known.entries) if config.known else 0} servers known{note}")
             return 0
         from bellrack.net.node import run
 
@@ -62,7 +63,9 @@
 
 
 def read_when_possible(path: str) -> Any:
-    """The configuration, however late the file can be read: guards against a start refused for a moment."""
+    """Read the configuration; retry while the file cannot be read, so that a start survives such a moment.
+
+    Raises SettingsError, UnreadableError after START_RETRY_SECONDS."""
     from bellrack.net import transient
     from bellrack.net.config import UnreadableError, read_config
 
@@ -76,9 +79,10 @@
         time.sleep(transient.RETRY_INTERVAL_SECONDS)
 
 
-def arguments(given: list[str]) -> dict[str, Any]:
-    """What docopt makes of them; the daemon's usual two forms are read without it. Guards against starts that
-    pay for reading of what is always the same: hundreds at once share few cores."""
+def parse_arguments(given: list[str]) -> dict[str, Any]:
+    """Parse command-line arguments as docopt does, without it for the two usual forms of `serve`.
+
+    Loading docopt would slow down every start, and hundreds of starts at once may share few cores."""
     path = "".join(given[1:]).removeprefix("--config=")
     if given in (["serve"], ["serve", f"--config={path}"]):
         return {"version": False, "check": False, "FILE": None, "--config": path}
@@ -88,7 +92,9 @@
 
 
 def lab(arguments: list[str]) -> int:
-    """Imported only when asked for: the daemon pays nothing for it."""
+    """Run a lab command; return the exit status.
+
+    The lab is imported only here, so that `serve` does not load it."""
     try:
         from bellrack.lab import cli
     except ModuleNotFoundError as error:
--- a/bellrack/net/config.py
+++ b/bellrack/net/config.py
@@ -1,7 +1,7 @@
-"""What a balancer on sockets is told at its start.
+"""The configuration file of a balancer process.
 
-Owns the reading of the configuration file. It never opens a socket, and whatever makes a file unusable leaves
-it as one SettingsError with a plain text.
+Reads and checks the file; whatever makes it unusable is raised as one SettingsError with a readable text. No
+socket is opened here.
 """
 
 from __future__ import annotations
@@ -26,34 +26,38 @@
 
 @dataclass(eq=False)
 class Config:
+    """A checked configuration. Addresses are pairs of host and port."""
+
     name: str
     listen: tuple[str, int]
     discovery: tuple[str, int]
     seed: int
-    sockets: int
+    sockets: int  # most descriptors that the process may have open
     settings: Settings
     names: ProtocolNames
-    known: Listing | None
+    known: Listing | None  # the server list that the file brings
     peer_listen: tuple[str, int] | None
     peers: list[tuple[str, int]]
     peers_all: tuple[str, int] | None
-    control: tuple[str, int] | None  # where operators call
-    raw: dict[str, Any]  # as it stood in the file, but for the list
-    path: str = ""  # read again on request
+    control: tuple[str, int] | None  # the admin address
+    raw: dict[str, Any]  # the JSON object of the file, without `known`
+    path: str = ""  # of the file, for a reload
     known_error: str = ""  # why `known` could not be read
 
 
 class UnreadableError(SettingsError):
-    """The file cannot be read at present; it may be in a moment."""
+    """The file cannot be read at present; a later attempt may succeed."""
 
 
 def read_config(path: str) -> Config:
-    """Raises SettingsError with a plain text, UnreadableError where that may pass."""
+    """Read a configuration file.
+
+    Raises SettingsError if the file is unusable, UnreadableError if reading it may succeed later."""
     try:
         with open(path, encoding="utf-8") as file:
             raw = json.load(file)
-        if isinstance(raw, dict) and (place := os.environ.get("BALANCER_CONTROL")):
-            raw.setdefault("control", place)
+        if isinstance(raw, dict) and (control := os.environ.get("BALANCER_CONTROL")):
+            raw.setdefault("control", control)
         config = parse_config(raw)
     except OSError as error:
         kind = UnreadableError if transient.is_transient(error) else SettingsError
@@ -65,13 +69,15 @@
 
 
 def reread(config: Config) -> Config:
-    """The file of a configuration as it is now. Stricter than the first reading: what a file had, it has, and
-    the shape of the deployment stays, as all that is under way rests on it."""
+    """Read the file of a configuration again.
+
+    Stricter than the first reading: each key that the file had must still be there, and the shape of the
+    deployment must not change, as open connections depend on it. Raises SettingsError."""
     new = read_config(config.path)
     if new.known_error:
         raise SettingsError(f"{config.path}: known: {new.known_error}")
-    if lacks := first_missing_key(new.raw, config.raw):
-        raise SettingsError(f"{config.path}: no value at '{lacks}', which it had")
+    if missing_key := first_missing_key(new.raw, config.raw):
+        raise SettingsError(f"{config.path}: no value at '{missing_key}', which the file had before")
     for name in ("zone", "asks", "live", "report"):
         if getattr(new.settings, name) != getattr(config.settings, name):
             raise SettingsError(f"{config.path}: another {name} needs a restart")
@@ -81,14 +87,14 @@
 
 
 def parse_config(raw: Any) -> Config:
-    """A configuration from its JSON object."""
+    """Return the configuration that a JSON object describes. Raises SettingsError."""
     if not isinstance(raw, dict):
         raise SettingsError("not an object")
     known, known_error = None, ""
     try:
         known = listing(raw["known"]) if raw.get("known") else None
     except LineError as error:
-        # Guards against a start that fails for a list that discovery tells anew: as if none were known.
+        # An invalid list must not prevent a start: discovery sends a new one. It counts as no list.
         known_error = str(error)
     try:
         return Config(
--- a/bellrack/net/readiness.py
+++ b/bellrack/net/readiness.py
@@ -1,39 +1,45 @@
-"""When a process that starts may say that it is ready: take calls, and answer yes to who asks.
+"""When a starting process is ready: when it accepts clients, and when it reports ready to operators.
 
-Owns the one judgement of what is known of the list at the start. It has no clock and opens nothing: its host
-tells it what happens, and looks again when it says.
+Decides from what is known of the server list at the start. It has no clock and does no I/O: the host reports
+events, and asks again at the time that `next_check` returns.
 """
 
 from __future__ import annotations
 
 
 class Readiness:
-    """A list that may be used is what discovery has said since the start or, where that says nothing in time
-    or fails, the list that was known before, if it names a server that may be used. Without one a process is
-    never ready, however long that lasts: it would turn away whoever comes.
+    """Whether a starting process has a usable server list.
 
-    Times are seconds, all of one clock."""
+    Usable is a list that discovery has sent since the start, or, if discovery sends nothing in time or fails,
+    the list known from before the start, if it has a usable server. Without either a process is never ready,
+    however long that lasts: it would reject every request.
+
+    `started_at`: time of the start; `list_wait`: seconds from then for which discovery is waited for;
+    `serve_known_list`: accept clients with the known list at once. It is set where lists are asked
+    for; where they are pushed, the process is held to the current list from its start on, and has to wait for
+    it. Times are seconds of one clock."""
 
     def __init__(self, started_at: float, list_wait: float, serve_known_list: bool):
-        self.started_at, self.list_wait = started_at, list_wait  # since the start, for discovery's word
-        self.serve_known_list = (
-            serve_known_list  # what is known opens the door unasked: nothing counts as told yet
-        )
+        self.started_at, self.list_wait = started_at, list_wait
+        self.serve_known_list = serve_known_list
         self.has_known_list = self.list_received = self.list_failed = False
 
     def on_known(self, usable: bool) -> None:
-        """A list from before; `usable` if it names a server that takes calls."""
+        """Record a list from before the start; `usable`: it has a server that accepts requests."""
         self.has_known_list = usable
 
-    def on_list(self, named: bool = True) -> None:
-        """Discovery has spoken. Guards against a word that is no list: nothing new where nothing is known."""
-        self.list_received = self.list_received or named
+    def on_list(self, has_list: bool = True) -> None:
+        """Record an answer of discovery.
+
+        `has_list`: there is a list now. False if discovery reports no changes while no list is known."""
+        self.list_received = self.list_received or has_list
 
     def on_list_failure(self) -> None:
+        """Record that a request to discovery has failed."""
         self.list_failed = True
 
     def has_usable_list(self, now: float) -> bool:
-        """Is there a list that may be used, as far as waiting for a newer one goes?"""
+        """Return whether there is a usable list, and no newer one to wait for."""
         return (
             self.list_received
             or self.has_known_list
@@ -41,9 +47,9 @@
         )
 
     def may_open(self, now: float) -> bool:
-        """May the clients' door be opened?"""
+        """Return whether the process may accept clients."""
         return self.has_usable_list(now) or self.serve_known_list and self.has_known_list
 
     def next_check(self) -> float | None:
-        """When time alone will have changed the judgement; None if only what happens can."""
+        """Return the time at which the known list becomes usable, None if there is none."""
         return self.started_at + self.list_wait if self.has_known_list else None
--- a/bellrack/net/start_times.py
+++ b/bellrack/net/start_times.py
@@ -1,10 +1,11 @@
-"""When servers started, on our own clock, from stamps of clocks that may be off.
-
-A list stamps a server's start with the wall clock of some machine. Any wall clock, ours too, may be off by
-seconds or an hour, and may be stepped. So a stamp is taken as a name of a start: another stamp is another
-start. When that was is bounded by what the monotonic clock saw. An error on the one side takes a server for
-colder than it is and costs some load; on the other side it would push over a cold one, so the latest possible
-time is taken: that at which we were told. Pure: no clock and no I/O; times are seconds.
+"""When servers started, on our own clock, derived from start stamps of clocks that may be wrong.
+
+The list stamps the start of a server with the wall clock of some machine. Any wall clock, ours included, may
+be wrong by seconds or by an hour, and may be stepped. So a stamp only identifies a start: a different stamp
+means another start. The time of that start is bounded by what our monotonic clock has seen. An error in one
+direction treats a server as colder than it is, which costs some load; an error in the other direction would
+overload a cold server. So the latest possible time is used: that at which we learned of the start. Pure
+functions: no clock and no I/O. Times are seconds.
 """
 
 from __future__ import annotations
@@ -12,24 +13,24 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-LONG_AGO = 0.0  # the stamp of a server that started long ago (PROTOCOL.md, "Discovery")
+LONG_AGO = 0.0  # stamp and time of a server that started long ago (PROTOCOL.md, "Discovery")
 
 
 @dataclass(frozen=True)
 class Start:
-    """A server's last start: its stamp as listed, and when it was at the earliest, on our clock."""
+    """A server's last start: the stamp in the list, and the time of the start on our clock."""
 
     stamp: float
     time: float
 
 
 def latest_start(stamp: float, now: float, may_be_long_ago: bool, newest_stamp: float) -> Start:
-    """The latest start that this stamp, new to us, can tell of.
+    """Return the latest start that a stamp new to us can stand for.
 
-    `may_be_long_ago`: discovery has told us no list before, nor is one known from before our start, so the
-    server may have started long ago. It is older than the newest one of the list (`newest_stamp`) by the
-    difference of their stamps; how old that one is nobody can tell. Two stamps of clocks that differ, or one
-    that agrees with our own by mistake, are not seen through here."""
+    `now`: the time on our clock. `may_be_long_ago`: this is the first list that we know of, so the server may
+    have started long before it. It is older than the newest server of the list (`newest_stamp`) by the
+    difference of their stamps; the age of that one is unknown, so it counts as started now. Stamps of clocks
+    that differ from each other, and a wrong stamp that happens to agree with our clock, are not detected."""
     if stamp == LONG_AGO:
         return Start(stamp, LONG_AGO)
     if not may_be_long_ago:
@@ -38,4 +39,5 @@
 
 
 def newest(stamps: Iterable[float]) -> float:
+    """Return the newest of these stamps, LONG_AGO if there are none."""
     return max(stamps, default=LONG_AGO)
--- a/bellrack/net/startup.py
+++ b/bellrack/net/startup.py
@@ -1,4 +1,4 @@
-"""The start of a process: when it listens, and when it takes requests."""
+"""The start of a process: when it listens, and when it accepts requests."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 async def wait_until_ready(node: Any, alone: bool) -> None:
-    """Until there is a list that may be used, however late it comes, or the process is asked to end.
+    """Wait until there is a usable server list, however late it comes, or the process is asked to end.
 
-    `alone`: no other process listens for it, so it does for resumed connections once their clients come."""
+    `alone`: there is no predecessor that listens. Then the process listens before it is ready, once clients
+    with resumed connections are due."""
     if not node.readiness.has_known_list:
         log.event("no-list", waits=lines.format_address(node.discovery.address))
     listen_at = node.started_at + resumption.LISTEN_AFTER if alone else math.inf
@@ -29,7 +30,7 @@
 
 
 async def listen_unready(node: Any) -> None:
-    """Resumed connections are admitted from now on; whoever else comes is turned away."""
+    """Listen for resumed connections only; all other requests are rejected. Raises OSError."""
     node.takes_requests = False
     await transient.retry(lambda: node.listeners.open(None))
     log.event("listening", address=lines.format_address(node.listeners.socket.getsockname()), ready=False)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -48,7 +48,7 @@
     start.on_known(False)
     if failed:
         start.on_list_failure()
-    start.on_list(named=False)  # nothing new, where nothing is known
+    start.on_list(has_list=False)  # nothing new, where nothing is known
     for now in (100.0, 102.0, 110.0, 1e9):
         assert not start.may_open(now) and not start.has_usable_list(now)
     assert start.next_check() is None
@@ -398,7 +398,7 @@
 )
 def test_the_daemon_reads_its_arguments_as_its_page_says(given):
     keys = ("version", "check", "FILE", "--config")
-    read, page = program.arguments(given), docopt(program.__doc__, given)
+    read, page = program.parse_arguments(given), docopt(program.__doc__, given)
     assert [read[key] or None for key in keys] == [page[key] or None for key in keys]
 
 
