--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,7 +7,7 @@
 
 import pytest
 from helpers import World, played, raw_settings
-from test_handover import folder, free  # noqa: F401 (a fixture)
+from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
 
 from bellrack.net import lines, node, turns
 from bellrack.net.config import parse_config
@@ -110,7 +110,7 @@
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
 @played
 async def test_times_that_go_over_in_a_hot_restart_keep_their_distance(folder, monkeypatch, step):  # noqa: F811
-    async with World(servers=2, control=True, listen=free()) as world:
+    async with World(servers=2, control=True, listen=reserved_address()) as world:
         old = world.node
         _, server = await world.standing()
         link = next(iter(next(s for s in old.servers.values() if s.host_record.legs).host_record.legs))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -21,7 +21,7 @@
 BOUND: list[socket.socket] = []
 
 
-def free():
+def reserved_address():
     """An address that both processes are told. It stays bound, and nobody listens there by that: guards
     against a connection of another test that is given the same port before they are."""
     sock = socket.socket()
@@ -48,7 +48,7 @@
 
 @played
 async def test_the_door_goes_over_with_whoever_waits_in_it(folder):
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         old, (client, _) = world.node, await world.standing()
         world.node, serving = await world.start()
         waiting = await world.call()
@@ -70,7 +70,7 @@
 
 @played
 async def test_who_has_come_in_and_said_nothing_is_still_placed_by_the_first(folder):
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         old, silent = world.node, await world.dial()
         await world.until(lambda: old.clients)
         world.node, serving = await world.start()
@@ -88,7 +88,7 @@
 
 @played
 async def test_what_stands_goes_over_and_no_byte_is_lost_or_twice(folder):
-    async with World(servers=3, control=True, listen=free()) as world:
+    async with World(servers=3, control=True, listen=reserved_address()) as world:
         old, pairs = world.node, [await world.standing() for _ in range(40)]
         held = {server.id_hash: server.local_state.open_legs for server in old.servers.values()}
         for number, (client, server) in enumerate(pairs):
@@ -124,7 +124,7 @@
 
 @played
 async def test_a_connection_with_lines_still_to_be_sent_goes_over_when_they_are_out(folder):
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         old, (client, server) = world.node, await world.standing()
         line, link = b"x" * 4000 + b"\r\n", next(iter(old.clients))
         while not link.blocked:  # nobody reads at the client
@@ -160,7 +160,7 @@
 
 @played
 async def test_if_the_second_dies_the_first_opens_its_door_again(folder):
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         async with world.beside():
             await world.until(lambda: world.node.hot_restart.has_successor)
         await world.until(lambda: world.node.listeners.listener)
@@ -171,7 +171,7 @@
 
 @played
 async def test_the_second_knows_the_servers_that_the_first_knew(folder):
-    async with World(servers=2, control=True, listen=free()) as world:
+    async with World(servers=2, control=True, listen=reserved_address()) as world:
         world.raw["known"] = {"generation": 3, "reset": True, "instances": []}  # as old as its configuration
         async with world.beside() as second:
             here, there = (
@@ -186,7 +186,7 @@
 
 @played
 async def test_servers_out_by_hand_are_out_at_both_whoever_is_told(folder):
-    async with World(servers=3, control=True, listen=free()) as world:
+    async with World(servers=3, control=True, listen=reserved_address()) as world:
         old = world.node
         assert old.server_list.cordon("s-0", True)
         world.node, serving = await world.start()
@@ -207,7 +207,7 @@
 
 @played
 async def test_the_second_begins_with_what_the_first_has_learned(folder):
-    async with World(servers=2, control=True, listen=free()) as world:
+    async with World(servers=2, control=True, listen=reserved_address()) as world:
         first, _ = world.node.servers.values()
         world.node.balancer.slow_start.proven_load = 17.5
         first.local_state.failure_weight, first.local_state.limit, first.local_state.unhealthy_until = (
@@ -235,7 +235,7 @@
 async def test_who_ends_before_the_second_has_the_door_moves_its_clients(folder, monkeypatch):
     # Guards against connections given to a process that may never get ready.
     monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 60.0)
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         old, (client, _) = world.node, await world.standing()
         world.node = node.Node(parse_config(world.raw), old.loop)
         serving = asyncio.create_task(world.node.serve())
@@ -250,7 +250,7 @@
 async def test_what_another_version_tells_in_its_own_form_stops_no_start(folder, monkeypatch):
     for told in ({"out": [5]}, {"seen": [[]]}, {"list": 5}, {"learned": []}):
         monkeypatch.setattr(hot_restart.HotRestart, "snapshot", lambda self, told=told: told)
-        async with World(control=True, listen=free()) as world, world.beside():
+        async with World(control=True, listen=reserved_address()) as world, world.beside():
             await world.until(lambda: world.node.hot_restart.has_successor)
 
 
@@ -327,7 +327,7 @@
 @played
 async def test_two_real_processes_are_one_balancer(tmp_path):
     async with World(servers=2) as world:
-        listen, desks = free(), [free(), free()]
+        listen, desks = reserved_address(), [reserved_address(), reserved_address()]
         processes = []
         for number, desk in enumerate(desks):
             path = tmp_path / f"{number}.json"
@@ -381,7 +381,7 @@
 
 @played
 async def test_another_users_process_is_given_no_door(folder, monkeypatch):
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         monkeypatch.setattr(sibling, "same_user", lambda sock: False)
         peer = Peer(*await asyncio.open_unix_connection(world.node.listeners.successor_path))
         assert await peer.line() == "fin" and world.node.hot_restart.sibling is None
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -9,7 +9,7 @@
 from helpers import World, played, raw_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_handover import folder, free  # noqa: F401 (a fixture)
+from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
 
 from bellrack import model
 from bellrack.net import fact_versions, hot_restart, lines, shared_state
@@ -60,7 +60,7 @@
 @played
 async def test_a_drain_told_to_a_process_that_waits_is_kept_at_both(folder, monkeypatch, whole):  # noqa: F811
     async with (
-        World(servers=3, control=True, listen=free()) as world,
+        World(servers=3, control=True, listen=reserved_address()) as world,
         waiting_process(world, monkeypatch) as (second, take_over),
     ):
         drained = world.entries[0] | {"lifecycle": "terminating"}
@@ -76,7 +76,7 @@
 @played
 async def test_a_drain_told_only_to_the_one_that_serves_is_kept_at_both(folder, monkeypatch):  # noqa: F811
     async with (
-        World(servers=2, control=True, listen=free()) as world,
+        World(servers=2, control=True, listen=reserved_address()) as world,
         waiting_process(world, monkeypatch) as (second, take_over),
     ):
         tell(world.node, 61, world.entries[0] | {"lifecycle": "terminating"})
@@ -88,7 +88,7 @@
 @played
 async def test_a_server_put_back_at_a_process_that_waits_is_back_at_both(folder, monkeypatch):  # noqa: F811
     async with (
-        World(servers=2, control=True, listen=free()) as world,
+        World(servers=2, control=True, listen=reserved_address()) as world,
         waiting_process(world, monkeypatch) as (second, take_over),
     ):
         assert world.node.server_list.cordon("s-0", True)
@@ -105,7 +105,7 @@
 async def test_a_start_told_to_a_process_that_waits_makes_it_cold_at_both(folder, monkeypatch):  # noqa: F811
     """What the predecessor has learned is of the start before: it would be taken for warm."""
     async with (
-        World(servers=2, control=True, listen=free()) as world,
+        World(servers=2, control=True, listen=reserved_address()) as world,
         waiting_process(world, monkeypatch) as (second, take_over),
     ):
         second.server_list.confirmed = True
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("whole", [False, True])
 @played
 async def test_older_news_of_the_own_watch_changes_nothing_newer(folder, whole):  # noqa: F811
-    async with World(servers=2, control=True, listen=free()) as world, world.beside():
+    async with World(servers=2, control=True, listen=reserved_address()) as world, world.beside():
         drained = world.entries[0] | {"lifecycle": "terminating"}
         message = {"news": {"generation": 60, "reset": False, "instances": [drained]}}
         world.node.hot_restart.on_message(
@@ -134,7 +134,7 @@
 
 @played
 async def test_one_part_of_another_form_hinders_no_other(folder):  # noqa: F811
-    async with World(servers=2, control=True, listen=free()) as world:
+    async with World(servers=2, control=True, listen=reserved_address()) as world:
         told = json.loads(json.dumps(world.node.hot_restart.snapshot()))
         told |= {"orders": [["s-1", True, 5.0]], "list": {"odd": 1}, "learned": 3, "started": "early"}
         second = Node(parse_config(world.raw), world.node.loop)
@@ -145,7 +145,7 @@
 @played
 async def test_the_list_of_an_older_version_is_taken_where_discovery_has_told_none(folder):  # noqa: F811
     """It tells neither the versions of its list nor when operators ordered what."""
-    async with World(servers=2, control=True, listen=free()) as world:
+    async with World(servers=2, control=True, listen=reserved_address()) as world:
         assert world.node.server_list.cordon("s-1", True)
         told = json.loads(json.dumps(world.node.hot_restart.snapshot()))
         del told["list_versions"], told["orders"]
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -10,7 +10,7 @@
 
 import pytest
 from helpers import Peer, World, played, raw_settings
-from test_handover import folder, free  # noqa: F401 (a fixture)
+from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
 
 from bellrack.net import config as configuration
 from bellrack.net import lines, listeners, node, servers, shutdown, sibling
@@ -135,7 +135,7 @@
 async def test_the_meeting_place_is_made_when_the_folder_takes_files_again(folder, monkeypatch, call, error):  # noqa: F811
     made = failing(getattr(os, call), error, times=2)
     monkeypatch.setattr(sibling.os, call, made)
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         await world.until(lambda: world.node.listeners.successor_socket)
         assert [path.name for path in folder.iterdir()] == [
             os.path.basename(world.node.listeners.successor_path)
@@ -156,7 +156,7 @@
         return honest(sock, buffers, fds, *rest)
 
     monkeypatch.setattr(sibling.socket, "send_fds", short)
-    async with World(servers=2, control=True, listen=free()) as world:
+    async with World(servers=2, control=True, listen=reserved_address()) as world:
         assert (await world.ask("/_servers/detach", "s-1"))[0] == 200
         async with world.beside() as new:
             await world.until(lambda: world.node.hot_restart.has_successor)
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -6,7 +6,7 @@
 
 import pytest
 from helpers import Peer, World, played, raw_settings
-from test_handover import folder, free  # noqa: F401 (a fixture)
+from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
 
 from bellrack import choice, model
 from bellrack.lab.scenario import most_requests
@@ -18,7 +18,7 @@
 
 @played
 async def test_a_third_process_waits_for_the_first_to_end(folder):  # noqa: F811
-    async with World(servers=2, control=True, listen=free()) as world:
+    async with World(servers=2, control=True, listen=reserved_address()) as world:
         first = world.node
         assert (await world.ask("/_servers/detach", "s-1"))[0] == 200
         second, serving_second = await world.start()
@@ -38,7 +38,7 @@
 @played
 async def test_who_waits_in_the_listener_is_answered_when_both_processes_end(folder, monkeypatch):  # noqa: F811
     monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.2)
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         first = world.node
         _, server = await world.standing()
         second, serving = await world.start()
@@ -59,7 +59,7 @@
 
 @played
 async def test_what_goes_over_to_a_process_that_ends_is_moved(folder, monkeypatch):  # noqa: F811
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         first, (client, _) = world.node, await world.standing()
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
@@ -74,7 +74,7 @@
 @played
 async def test_who_waits_is_answered_at_once_when_the_predecessor_is_killed(folder, monkeypatch):  # noqa: F811
     monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 60.0)
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         first = world.node
         second = node.Node(parse_config(world.raw), first.loop)
         serving = asyncio.create_task(second.serve())
@@ -99,7 +99,7 @@
 async def test_a_hot_restart_gives_a_half_request_no_more_time(folder, monkeypatch, words):  # noqa: F811
     """STANDING.md: they get their error or close within the 3 s, whichever process ends them."""
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 1.0)
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         first, _ = world.node, await world.standing()
         client = await world.dial()
         client.writer.write(words)
@@ -124,7 +124,7 @@
         await turn.wait()
         return await honest(restart, path)
 
-    async with World(servers=2, control=True, listen=free()) as world:
+    async with World(servers=2, control=True, listen=reserved_address()) as world:
         first = world.node
         monkeypatch.setattr(hot_restart.HotRestart, "await_predecessor", meets)
         second = node.Node(parse_config(world.raw), first.loop)
@@ -147,7 +147,7 @@
 @played
 async def test_what_one_of_two_processes_is_told_the_other_heeds(folder, teller, whole):  # noqa: F811
     """Two processes are one balancer: what the watch of the one brings counts as told to both."""
-    async with World(servers=3, control=True, listen=free()) as world, world.beside() as second:
+    async with World(servers=3, control=True, listen=reserved_address()) as world, world.beside() as second:
         nodes = [world.node, second]
         await world.until(lambda: world.node.hot_restart.has_successor)
         told, other = nodes[teller], nodes[1 - teller]
@@ -194,7 +194,7 @@
 @played
 async def test_a_hot_restart_carries_as_many_servers_as_there_may_be(folder):  # noqa: F811
     """STANDING.md: "3,200 at most"."""
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         first = world.node
         instances = [world.entries[0] | {"instanceId": f"server-{number:08}"} for number in range(3200)]
         first.server_list.on_list(lines.listing({"generation": 60, "reset": True, "instances": instances}))
@@ -273,7 +273,7 @@
 @played
 async def test_a_cold_server_gets_the_budget_of_one_balancer(folder, how):  # noqa: F811
     """The window is longer than the test, so whatever is sent lies in one."""
-    async with World(control=True, listen=free(), obligations=COLD) as world:
+    async with World(control=True, listen=reserved_address(), obligations=COLD) as world:
         start_cold(world.node)
         listed = world.node.server_list.to_message()
         sends = ColdSends(world)
@@ -299,7 +299,7 @@
 
 @played
 async def test_the_predecessor_sends_nothing_more_to_a_cold_server(folder):  # noqa: F811
-    async with World(control=True, listen=free(), obligations=COLD) as world:
+    async with World(control=True, listen=reserved_address(), obligations=COLD) as world:
         first = world.node
         start_cold(first)
         async with world.beside():
