--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes that are one balancer: the door goes over whole, and nothing is lost on the way."""
+"""Hot restarts: the listening socket, the state and the connections go over to the successor without loss."""
 
 import asyncio
 import contextlib
@@ -22,8 +22,9 @@
 
 
 def reserved_address():
-    """An address that both processes are told. It stays bound, and nobody listens there by that: guards
-    against a connection of another test that is given the same port before they are."""
+    """Return an address for both processes. A socket that does not listen stays bound to it.
+
+    Otherwise a connection of another test could get the same port first."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -32,9 +33,9 @@
     return "{}:{}".format(*sock.getsockname())
 
 
-async def until_last(peer):
-    while (told := await peer.line()) != "last":
-        yield told
+async def lines_until_last(peer):
+    while (line := await peer.line()) != "last":
+        yield line
 
 
 @pytest.fixture
@@ -47,14 +48,14 @@
 
 
 @played
-async def test_the_door_goes_over_with_whoever_waits_in_it(folder):
+async def test_successor_accepts_connections_that_wait_on_the_listening_socket(folder):
     async with World(control=True, listen=reserved_address()) as world:
         old, (client, _) = world.node, await world.standing()
         world.node, serving = await world.start()
         waiting = await world.call()
         await world.until(lambda: old.hot_restart.has_successor and old.listeners.listener is None)
         old.hot_restart.handoff_sender.close()
-        old.hot_restart.handoff_sender = None  # as with a second process that takes no connections over
+        old.hot_restart.handoff_sender = None  # as with a successor that takes over no connections
         assert old.can_serve() is False and world.node.can_serve()
         assert (await world.leg())[2].startswith("OPEN 0000000000000002") and waiting
         old.begin_shutdown()
@@ -69,7 +70,7 @@
 
 
 @played
-async def test_who_has_come_in_and_said_nothing_is_still_placed_by_the_first(folder):
+async def test_predecessor_serves_a_silent_connection_that_it_accepted(folder):
     async with World(control=True, listen=reserved_address()) as world:
         old, silent = world.node, await world.dial()
         await world.until(lambda: old.clients)
@@ -81,13 +82,13 @@
         server.say("UP 1")
         assert line.startswith("OPEN 0000000000000007") and await silent.line() == "UP 1"
         server.say("line")
-        assert await silent.line() == "line"  # at the second by now
+        assert await silent.line() == "line"  # by now at the successor
         await world.first_ends(serving)
         assert world.node.counters["taken_over"] == 1
 
 
 @played
-async def test_what_stands_goes_over_and_no_byte_is_lost_or_twice(folder):
+async def test_established_connections_are_handed_over_without_losing_or_repeating_bytes(folder):
     async with World(servers=3, control=True, listen=reserved_address()) as world:
         old, pairs = world.node, [await world.standing() for _ in range(40)]
         held = {server.id_hash: server.local_state.open_legs for server in old.servers.values()}
@@ -123,11 +124,11 @@
 
 
 @played
-async def test_a_connection_with_lines_still_to_be_sent_goes_over_when_they_are_out(folder):
+async def test_connection_with_unsent_lines_is_handed_over_once_they_are_sent(folder):
     async with World(control=True, listen=reserved_address()) as world:
         old, (client, server) = world.node, await world.standing()
         line, link = b"x" * 4000 + b"\r\n", next(iter(old.clients))
-        while not link.blocked:  # nobody reads at the client
+        while not link.blocked:  # the client does not read
             server.writer.write(line * 50)
             await asyncio.sleep(0)
         sent = server.writer.transport.get_write_buffer_size()
@@ -137,8 +138,8 @@
         await world.until(lambda: old.shutdown)
         assert not old.hot_restart.handoff_sender.give(link) and sent
         server.say("last")
-        got = [told async for told in until_last(client)]
-        assert set(got) == {line[:-2].decode()} and len(got) % 50 == 0
+        received = [line async for line in lines_until_last(client)]
+        assert set(received) == {line[:-2].decode()} and len(received) % 50 == 0
         await world.until(lambda: world.node.counters["taken_over"])
         server.say("line")
         assert await client.line() == "line"
@@ -146,7 +147,7 @@
 
 
 @played
-async def test_what_another_version_hands_over_in_its_own_form_is_left(folder):
+async def test_receiver_ignores_malformed_hand_off_messages(folder):
     async with World(control=True) as world:
         ours, theirs = handoff.pair()
         handoff_receiver = handoff.HandoffReceiver(world.node, theirs)
@@ -159,20 +160,21 @@
 
 
 @played
-async def test_if_the_second_dies_the_first_opens_its_door_again(folder):
+async def test_predecessor_accepts_again_when_its_successor_ends(folder):
     async with World(control=True, listen=reserved_address()) as world:
         async with world.beside():
             await world.until(lambda: world.node.hot_restart.has_successor)
         await world.until(lambda: world.node.listeners.listener)
         await world.standing()
-        async with world.beside():  # and can hand it over once more
+        async with world.beside():  # and can hand over once more
             await world.until(lambda: world.node.hot_restart.has_successor)
 
 
 @played
-async def test_the_second_knows_the_servers_that_the_first_knew(folder):
+async def test_successor_adopts_the_list_of_the_predecessor(folder):
     async with World(servers=2, control=True, listen=reserved_address()) as world:
-        world.raw["known"] = {"generation": 3, "reset": True, "instances": []}  # as old as its configuration
+        # The list of the configuration is older than the predecessor's.
+        world.raw["known"] = {"generation": 3, "reset": True, "instances": []}
         async with world.beside() as second:
             here, there = (
                 sorted(
@@ -185,7 +187,7 @@
 
 
 @played
-async def test_servers_out_by_hand_are_out_at_both_whoever_is_told(folder):
+async def test_detach_and_attach_orders_hold_at_both_processes(folder):
     async with World(servers=3, control=True, listen=reserved_address()) as world:
         old = world.node
         assert old.server_list.cordon("s-0", True)
@@ -198,15 +200,14 @@
         assert (await world.ask("/_servers/attach", "s-0"))[0] == 200
         await world.until(lambda: len(new.server_list.cordoned) == 1)
         (server,) = (s for s in new.servers.values() if s.host_record.name == "s-0")
-        assert (
-            not server.cordoned and server.local_state.warm_at > new.now
-        )  # restarted meanwhile, as far as we know
+        # It may have restarted meanwhile, so it counts as cold.
+        assert not server.cordoned and server.local_state.warm_at > new.now
         new.finished.set()
         await serving
 
 
 @played
-async def test_the_second_begins_with_what_the_first_has_learned(folder):
+async def test_successor_adopts_what_the_predecessor_has_learned(folder):
     async with World(servers=2, control=True, listen=reserved_address()) as world:
         first, _ = world.node.servers.values()
         world.node.balancer.slow_start.proven_load = 17.5
@@ -225,15 +226,15 @@
             assert second.balancer.slow_start.baseline_load() >= 17.5 and second.balancer.avoids(
                 second.servers[first.id_hash]
             )
-            for odd in (5, {"x": {}}, {first.id_hash: {"weight": "1"}}, {}):
+            for malformed in (5, {"x": {}}, {first.id_hash: {"weight": "1"}}, {}):
                 with contextlib.suppress(AttributeError, ValueError):
-                    second.import_learned({"servers": odd})
+                    second.import_learned({"servers": malformed})
             assert same.failure_weight == 0.25
 
 
 @played
-async def test_who_ends_before_the_second_has_the_door_moves_its_clients(folder, monkeypatch):
-    # Guards against connections given to a process that may never get ready.
+async def test_predecessor_that_ends_before_its_successor_is_ready_moves_its_clients(folder, monkeypatch):
+    # Otherwise connections would go to a process that may never become ready.
     monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 60.0)
     async with World(control=True, listen=reserved_address()) as world:
         old, (client, _) = world.node, await world.standing()
@@ -247,15 +248,15 @@
 
 
 @played
-async def test_what_another_version_tells_in_its_own_form_stops_no_start(folder, monkeypatch):
-    for told in ({"out": [5]}, {"seen": [[]]}, {"list": 5}, {"learned": []}):
-        monkeypatch.setattr(hot_restart.HotRestart, "snapshot", lambda self, told=told: told)
+async def test_malformed_state_of_a_predecessor_does_not_prevent_a_start(folder, monkeypatch):
+    for state in ({"out": [5]}, {"seen": [[]]}, {"list": 5}, {"learned": []}):
+        monkeypatch.setattr(hot_restart.HotRestart, "snapshot", lambda self, state=state: state)
         async with World(control=True, listen=reserved_address()) as world, world.beside():
             await world.until(lambda: world.node.hot_restart.has_successor)
 
 
 @played
-async def test_a_leg_that_ends_while_it_is_taken_over_leaves_the_books_even(folder, monkeypatch):
+async def test_leg_that_ends_during_its_hand_off_is_not_counted_as_open(folder, monkeypatch):
     monkeypatch.setattr(ring, "HELD", 0.0)
     async with World(control=True) as world:
         line = lines.parse_request_line(b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=chat,t=acme,d=2000\r\n")
@@ -272,13 +273,14 @@
         sides = [socket.socketpair() for _ in range(2)]
         ours, theirs = handoff.pair()
         handoff_receiver, up = handoff.HandoffReceiver(world.node, theirs), handoff.HandoffReceiver.up
-        late = []
-        monkeypatch.setattr(handoff_receiver, "up", late.append)  # long after the server has ended it
+        delayed = []
+        # `up` is called below, after the server has closed the connection.
+        monkeypatch.setattr(handoff_receiver, "up", delayed.append)
         socket.send_fds(ours, [json.dumps(words).encode()], [near.fileno() for near, _ in sides])
-        await world.until(lambda: late)
+        await world.until(lambda: delayed)
         sides[1][1].close()
         await world.until(lambda: world.node.counters["ended_server"])
-        up(handoff_receiver, *late)
+        up(handoff_receiver, *delayed)
         await asyncio.sleep(0.02)
         assert world.node.balancer.open_legs == 0 and not world.node.counters["faults"]
         for sock in (ours, sides[0][0], sides[0][1], sides[1][0]):
@@ -286,27 +288,27 @@
 
 
 @played
-async def test_nobody_at_the_meeting_place_is_as_if_there_were_none(folder):
+async def test_no_predecessor_is_found_where_none_answers_properly(folder):
     path = sibling.socket_path("n0", ("127.0.0.1", 1))
     assert sibling.socket_path("n0", ("127.0.0.1", 2)) != path and path.startswith(str(folder))
     assert sibling.connect_to_predecessor(path) is None
     with socket.socket(socket.AF_UNIX) as dead:
         dead.bind(path)
     assert sibling.connect_to_predecessor(path) is None
-    for said in (b"", b"no json\n", b"[]\n", b"{}\n"):
+    for answer in (b"", b"no json\n", b"[]\n", b"{}\n"):
         os.unlink(path)
         with socket.socket(socket.AF_UNIX) as sock:
             sock.bind(path)
             sock.listen()
-            meeting = asyncio.to_thread(sibling.connect_to_predecessor, path)
-            task = asyncio.create_task(meeting)
+            connecting = asyncio.to_thread(sibling.connect_to_predecessor, path)
+            task = asyncio.create_task(connecting)
             other, _ = await asyncio.to_thread(sock.accept)
-            other.sendall(said)
+            other.sendall(answer)
             other.close()
             assert await task is None
 
 
-def test_a_folder_too_long_for_a_socket_is_no_place_to_meet(monkeypatch):
+def test_no_socket_path_where_the_folder_is_too_long_or_unset(monkeypatch):
     monkeypatch.setenv("TMPDIR", "/tmp/" + "x" * 120)
     assert sibling.socket_path("n0", ("127.0.0.1", 1)) is None
     monkeypatch.delenv("TMPDIR")
@@ -314,24 +316,24 @@
 
 
 @played
-async def test_a_folder_that_is_not_there_costs_a_log_line_and_no_more(folder, monkeypatch, caplog):
+async def test_missing_folder_is_logged_once_and_the_process_serves(folder, monkeypatch, caplog):
     caplog.set_level("INFO", logger="bellrack")
     monkeypatch.setenv("TMPDIR", str(folder / "none"))
     async with World(control=True) as world:
         await world.standing()
-        told = [record.figures["offered"] for record in caplog.records if record.msg == "handover"]
-        assert told == ["nothing"]
+        offered = [record.figures["offered"] for record in caplog.records if record.msg == "handover"]
+        assert offered == ["nothing"]
         assert not world.node.listeners.successor_socket
 
 
 @played
-async def test_two_real_processes_are_one_balancer(tmp_path):
+async def test_hot_restart_of_two_real_processes_keeps_a_connection(tmp_path):
     async with World(servers=2) as world:
-        listen, desks = reserved_address(), [reserved_address(), reserved_address()]
+        listen, admin_addresses = reserved_address(), [reserved_address(), reserved_address()]
         processes = []
-        for number, desk in enumerate(desks):
+        for number, admin_address in enumerate(admin_addresses):
             path = tmp_path / f"{number}.json"
-            path.write_text(json.dumps(world.raw | {"listen": listen, "control": desk}))
+            path.write_text(json.dumps(world.raw | {"listen": listen, "control": admin_address}))
             processes.append(
                 await asyncio.create_subprocess_exec(
                     sys.executable,
@@ -344,7 +346,7 @@
                     stderr=asyncio.subprocess.DEVNULL,
                 )
             )
-            while (await asked(desk))[:1] != b"2":
+            while (await ready_status(admin_address))[:1] != b"2":
                 await asyncio.sleep(0.02)
             if not number:
                 host, _, port = listen.partition(":")
@@ -353,7 +355,7 @@
                 _, server, _ = await world.leg()
                 server.say("UP 1")
                 assert await client.line() == "UP 1"
-        assert (await asked(desks[0]))[:3] == b"503"
+        assert (await ready_status(admin_addresses[0]))[:3] == b"503"
         processes[0].terminate()
         assert await asyncio.wait_for(processes[0].wait(), 5) == 0
         client.say("M 1")
@@ -366,38 +368,38 @@
         assert sorted(path.name for path in tmp_path.iterdir()) == ["0.json", "1.json"]
 
 
-async def asked(desk):
-    """The status of the answer to `/_ready`, as it stands; nothing where nobody listens yet."""
-    host, _, port = desk.partition(":")
+async def ready_status(admin_address):
+    """Return the response to `/_ready` from its status on; empty if nobody listens yet."""
+    host, _, port = admin_address.partition(":")
     try:
         reader, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return b""
     writer.write(b"GET /_ready HTTP/1.1\r\n\r\n")
-    said = await reader.read()
+    response = await reader.read()
     writer.close()
-    return said.partition(b" ")[2]
+    return response.partition(b" ")[2]
 
 
 @played
-async def test_another_users_process_is_given_no_door(folder, monkeypatch):
+async def test_process_of_another_user_gets_no_listening_socket(folder, monkeypatch):
     async with World(control=True, listen=reserved_address()) as world:
         monkeypatch.setattr(sibling, "same_user", lambda sock: False)
         peer = Peer(*await asyncio.open_unix_connection(world.node.listeners.successor_path))
         assert await peer.line() == "fin" and world.node.hot_restart.sibling is None
 
 
-def test_descriptors_of_both_are_one_sum():
-    room = Limits(200)
-    room.descriptors, room.sibling_descriptors = 60, 60
-    assert not room.crowded() and not room.lacks(2)
-    room.sibling_descriptors = 100
-    assert room.crowded() and not room.lacks(2)
-    room.sibling_descriptors = 115  # clients' connections leave half the reserve, here 24, to control
-    assert room.lacks(2) and not room.lacks(1)
+def test_descriptor_limit_holds_for_both_processes_together():
+    limits = Limits(200)
+    limits.descriptors, limits.sibling_descriptors = 60, 60
+    assert not limits.crowded() and not limits.lacks(2)
+    limits.sibling_descriptors = 100
+    assert limits.crowded() and not limits.lacks(2)
+    limits.sibling_descriptors = 115  # half of the reserve, here 24, is kept for admin and discovery
+    assert limits.lacks(2) and not limits.lacks(1)
 
 
-def test_what_is_handed_over_reads_as_a_list():
+def test_list_message_reads_back_as_the_same_entry():
     from bellrack.net import lines
 
     row = ("s-1", ("127.0.0.1", 9), "a", "draining", 3, 1.5, 100.25, "m2")
@@ -406,21 +408,25 @@
     assert entry.row == ("draining", 3, 1.5, 100.25)
 
 
-def test_what_is_said_right_after_the_door_may_come_in_the_same_read(tmp_path):
-    path = str(tmp_path / "meeting")
-    with socket.socket(socket.AF_UNIX) as meeting, socket.socket() as door:
-        meeting.bind(path)
-        meeting.listen()
+def test_messages_read_together_with_the_state_are_not_lost(tmp_path):
+    path = str(tmp_path / "predecessor")
+    with socket.socket(socket.AF_UNIX) as server, socket.socket() as listening_socket:
+        server.bind(path)
+        server.listen()
 
-        def gives():
-            sock, _ = meeting.accept()
-            socket.send_fds(sock, [b'{"version": 1}\n{"held": 7}\n{"pas'], [door.fileno(), door.fileno()])
+        def answer():
+            sock, _ = server.accept()
+            socket.send_fds(
+                sock,
+                [b'{"version": 1}\n{"held": 7}\n{"pas'],
+                [listening_socket.fileno(), listening_socket.fileno()],
+            )
             return sock
 
         with ThreadPoolExecutor(1) as pool:
-            giving = pool.submit(gives)
+            answering = pool.submit(answer)
             predecessor = sibling.connect_to_predecessor(path)
-            giving.result().close()
+            answering.result().close()
     assert predecessor and predecessor.state == {"version": 1}
     host = mock.Mock(**{"limits.descriptors": 0})
     connection = sibling.Sibling(host, unread=predecessor.unread)
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -1,5 +1,7 @@
-"""Hot restarts that cross each other, a kill, or a shutdown: no request and no connection is lost, what was
-detached stays so, and a cold server gets the budget of one balancer."""
+"""Hot restarts that overlap with another restart, a kill or a shutdown.
+
+No request and no connection is lost, detached servers stay detached, and a cold server gets no more
+connections than one balancer may send."""
 
 import asyncio
 import socket
@@ -17,7 +19,7 @@
 
 
 @played
-async def test_a_third_process_waits_for_the_first_to_end(folder):  # noqa: F811
+async def test_third_process_waits_until_the_first_has_ended(folder):  # noqa: F811
     async with World(servers=2, control=True, listen=reserved_address()) as world:
         first = world.node
         assert (await world.ask("/_servers/detach", "s-1"))[0] == 200
@@ -36,17 +38,17 @@
 
 
 @played
-async def test_who_waits_in_the_listener_is_answered_when_both_processes_end(folder, monkeypatch):  # noqa: F811
+async def test_waiting_connection_is_answered_when_both_processes_end(folder, monkeypatch):  # noqa: F811
     monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.2)
     async with World(control=True, listen=reserved_address()) as world:
         first = world.node
         _, server = await world.standing()
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
-        first.hot_restart.handoff_sender.give_some = lambda: False  # its connections end here
+        first.hot_restart.handoff_sender.give_some = lambda: False  # no connection is handed over
         first.begin_shutdown()
         second.begin_shutdown()
-        await asyncio.wait_for(serving, 5)  # the successor is gone, the predecessor not yet
+        await asyncio.wait_for(serving, 5)  # the successor has ended, the predecessor has not
         assert not world.serving.done()
         sock = socket.create_connection(second.address)
         sock.sendall(LINE % 77)
@@ -58,12 +60,13 @@
 
 
 @played
-async def test_what_goes_over_to_a_process_that_ends_is_moved(folder, monkeypatch):  # noqa: F811
+async def test_connection_handed_to_an_ending_process_is_moved(folder, monkeypatch):  # noqa: F811
     async with World(control=True, listen=reserved_address()) as world:
         first, (client, _) = world.node, await world.standing()
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
-        monkeypatch.setattr(shutdown.Shutdown, "move_rest", lambda self: None)  # that look is already over
+        # As if the timer for `move_rest` had fired already.
+        monkeypatch.setattr(shutdown.Shutdown, "move_rest", lambda self: None)
         second.begin_shutdown()
         first.begin_shutdown()
         assert await client.line() == "MOVE"
@@ -72,7 +75,7 @@
 
 
 @played
-async def test_who_waits_is_answered_at_once_when_the_predecessor_is_killed(folder, monkeypatch):  # noqa: F811
+async def test_waiting_connection_is_served_at_once_when_the_predecessor_is_killed(folder, monkeypatch):  # noqa: F811
     monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 60.0)
     async with World(control=True, listen=reserved_address()) as world:
         first = world.node
@@ -82,7 +85,7 @@
         await world.until(lambda: second.hot_restart.sibling and second.hot_restart.sibling.transport)
         address = first.address
         first.listeners.listener.close()
-        first.hot_restart.sibling.transport.abort()  # as the kernel does for a process that is killed
+        first.hot_restart.sibling.transport.abort()  # as the kernel does when a process is killed
         sock = socket.create_connection(address)
         sock.sendall(LINE % 77)
         client = Peer(*await asyncio.open_connection(sock=sock))
@@ -94,39 +97,39 @@
         world.node = second
 
 
-@pytest.mark.parametrize("words", [b"", b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch"])
+@pytest.mark.parametrize("sent", [b"", b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch"])
 @played
-async def test_a_hot_restart_gives_a_half_request_no_more_time(folder, monkeypatch, words):  # noqa: F811
-    """STANDING.md: they get their error or close within the 3 s, whichever process ends them."""
+async def test_hot_restart_does_not_extend_the_deadline_of_an_incomplete_request(folder, monkeypatch, sent):  # noqa: F811
+    """STANDING.md: incomplete requests get an error or a close within 3 s, whichever process answers them."""
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 1.0)
     async with World(control=True, listen=reserved_address()) as world:
         first, _ = world.node, await world.standing()
         client = await world.dial()
-        client.writer.write(words)
+        client.writer.write(sent)
         await world.until(lambda: any(one.call is None for one in first.clients))
-        begun = first.loop.time()
-        await world.until(lambda: first.loop.time() > begun + 0.7)
+        started_at = first.loop.time()
+        await world.until(lambda: first.loop.time() > started_at + 0.7)
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
         first.begin_shutdown()
-        assert (await client.line()).startswith("BUSY") and first.loop.time() < begun + 1.4
+        assert (await client.line()).startswith("BUSY") and first.loop.time() < started_at + 1.4
         assert second.counters["taken_over"]
         await world.first_ends(serving)
         world.node = second
 
 
 @played
-async def test_what_is_detached_at_a_process_that_waits_for_its_turn_stays_so(folder, monkeypatch):  # noqa: F811
-    """Operators are answered by a process that starts, too: what it says is out stays out, at both."""
-    turn, honest = asyncio.Event(), hot_restart.HotRestart.await_predecessor
+async def test_server_detached_at_a_waiting_process_stays_detached_at_both(folder, monkeypatch):  # noqa: F811
+    """A process that waits for its turn accepts operators' orders; they hold at both processes later."""
+    turn, await_predecessor = asyncio.Event(), hot_restart.HotRestart.await_predecessor
 
-    async def meets(restart, path):
+    async def await_turn(restart, path):
         await turn.wait()
-        return await honest(restart, path)
+        return await await_predecessor(restart, path)
 
     async with World(servers=2, control=True, listen=reserved_address()) as world:
         first = world.node
-        monkeypatch.setattr(hot_restart.HotRestart, "await_predecessor", meets)
+        monkeypatch.setattr(hot_restart.HotRestart, "await_predecessor", await_turn)
         second = node.Node(parse_config(world.raw), first.loop)
         serving = asyncio.create_task(second.serve())
         await world.until(lambda: second.listeners.admin and second.servers)
@@ -135,31 +138,31 @@
         await world.until(lambda: first.hot_restart.has_successor)
         try:
             assert second.servers[lines.id_hash("s-1")].cordoned
-            assert second.hot_restart.snapshot()["out"] == ["s-1"]  # for the process after it
+            assert second.hot_restart.snapshot()["out"] == ["s-1"]  # for a later successor
             await world.until(lambda: first.servers[lines.id_hash("s-1")].cordoned)
         finally:
             second.finished.set()
             await serving
 
 
-@pytest.mark.parametrize("teller", [0, 1])
+@pytest.mark.parametrize("receiver", [0, 1])
 @pytest.mark.parametrize("whole", [False, True])
 @played
-async def test_what_one_of_two_processes_is_told_the_other_heeds(folder, teller, whole):  # noqa: F811
-    """Two processes are one balancer: what the watch of the one brings counts as told to both."""
+async def test_list_changes_received_by_one_process_hold_at_the_other(folder, receiver, whole):  # noqa: F811
+    """The two processes act as one balancer: news that discovery sends to one counts for both."""
     async with World(servers=3, control=True, listen=reserved_address()) as world, world.beside() as second:
         nodes = [world.node, second]
         await world.until(lambda: world.node.hot_restart.has_successor)
-        told, other = nodes[teller], nodes[1 - teller]
+        informed, other = nodes[receiver], nodes[1 - receiver]
         drained = world.entries[0] | {"lifecycle": "terminating"}
         gone = {"instanceId": "s-1", "hostPort": "", "lifecycle": "terminated"}
         instances = [drained, world.entries[2]] if whole else [drained, gone]
         news = {"generation": 60, "reset": whole, "instances": instances}
-        told.queue(told.server_list.on_list, lines.listing(news))
-        marks = [lines.id_hash(entry["instanceId"]) for entry in world.entries]
-        await world.until(lambda: other.servers[marks[0]].state == model.DRAINING)
-        assert other.servers[marks[1]].state == model.GONE and other.servers[marks[2]].usable
-        assert other.server_list.version == 41  # its own watch still brings all since then
+        informed.queue(informed.server_list.on_list, lines.listing(news))
+        id_hashes = [lines.id_hash(entry["instanceId"]) for entry in world.entries]
+        await world.until(lambda: other.servers[id_hashes[0]].state == model.DRAINING)
+        assert other.servers[id_hashes[1]].state == model.GONE and other.servers[id_hashes[2]].usable
+        assert other.server_list.version == 41  # its own watch will deliver all later versions
         other.server_list.version = 61
         old = {
             "generation": 60,
@@ -169,31 +172,32 @@
         other.hot_restart.on_message(
             {"news": old, "discovery": lines.format_address(other.discovery.address)}
         )
-        assert other.servers[marks[0]].state == model.DRAINING  # newer is known
+        assert other.servers[id_hashes[0]].state == model.DRAINING  # a newer version is known
         elsewhere = old | {"generation": 90}
         other.hot_restart.on_message({"news": elsewhere, "discovery": "127.0.0.1:9"})
-        assert other.servers[marks[0]].state == model.DRAINING  # another address has versions of its own
+        # Versions of different addresses are not comparable.
+        assert other.servers[id_hashes[0]].state == model.DRAINING
 
 
-@pytest.mark.parametrize("said", [b"{", b'{"busy": tr', b'{"version": 1, "list"'])
+@pytest.mark.parametrize("answer", [b"{", b'{"busy": tr', b'{"version": 1, "list"'])
 @played
-async def test_a_process_that_is_cut_off_in_the_middle_asks_again(folder, said):  # noqa: F811
-    """What a process that serves says may come in part, and then its end: it is asked again."""
+async def test_incomplete_answer_of_a_predecessor_counts_as_busy(folder, answer):  # noqa: F811
+    """The predecessor may end in the middle of its answer: then the successor has to ask again."""
     path = sibling.socket_path("n0", ("127.0.0.1", 1))
     with socket.socket(socket.AF_UNIX) as sock:
         sock.bind(path)
         sock.listen()
-        meeting = asyncio.create_task(asyncio.to_thread(sibling.connect_to_predecessor, path))
+        connecting = asyncio.create_task(asyncio.to_thread(sibling.connect_to_predecessor, path))
         other, _ = await asyncio.to_thread(sock.accept)
-        other.sendall(said)
+        other.sendall(answer)
         other.close()
         with pytest.raises(sibling.BusyError):
-            await meeting
+            await connecting
 
 
 @played
-async def test_a_hot_restart_carries_as_many_servers_as_there_may_be(folder):  # noqa: F811
-    """STANDING.md: "3,200 at most"."""
+async def test_hot_restart_transfers_3200_servers(folder):  # noqa: F811
+    """STANDING.md: at most 3,200 servers."""
     async with World(control=True, listen=reserved_address()) as world:
         first = world.node
         instances = [world.entries[0] | {"instanceId": f"server-{number:08}"} for number in range(3200)]
@@ -205,16 +209,18 @@
             assert second.servers[lines.id_hash("server-00000007")].cordoned
 
 
-RAMP, WINDOW, FACTOR = 60.0, 30.0, 0.8
+RAMP_SECONDS = 60.0
+WINDOW_SECONDS = 30.0
+OVERLOAD_FACTOR = 0.8
 COLD = raw_settings()["obligations"] | {
-    "rampTimeUs": RAMP * 1e6,
-    "overloadFactor": FACTOR,
-    "fallUs": WINDOW * 1e6,
+    "rampTimeUs": RAMP_SECONDS * 1e6,
+    "overloadFactor": OVERLOAD_FACTOR,
+    "fallUs": WINDOW_SECONDS * 1e6,
 }
 
 
-class ColdSends:
-    """Counts what each server is sent, and ends it at once."""
+class CountingServer:
+    """Counts the connections that the servers get, and closes each at once."""
 
     def __init__(self, world):
         self.world, self.count = world, 0
@@ -232,11 +238,11 @@
             await client.line()
 
 
-AGE = 20.0  # seconds
+SERVER_AGE_SECONDS = 20.0
 
 
 def start_cold(host):
-    """Its server has started a while ago, and the list said so at once."""
+    """The server of this node started SERVER_AGE_SECONDS ago, and the list reported that at once."""
     host.now = host.clock()
     host.server_list.on_list(
         lines.listing(
@@ -260,25 +266,27 @@
             }
         )
     )
-    host.anchor += AGE
+    host.anchor += SERVER_AGE_SECONDS
 
 
 def allowed():
-    """What one balancer alone may send in the window: the server is as cold as it gets."""
-    warm = 0.2 + 0.8 * (AGE + 5.0) / RAMP
-    return most_requests(FACTOR * choice.ASSUMED_CONNECTIONS_PER_CAPACITY * warm * WINDOW / RAMP)
+    """Return how many connections a single balancer may send to the server in the window."""
+    warm = 0.2 + 0.8 * (SERVER_AGE_SECONDS + 5.0) / RAMP_SECONDS
+    return most_requests(
+        OVERLOAD_FACTOR * choice.ASSUMED_CONNECTIONS_PER_CAPACITY * warm * WINDOW_SECONDS / RAMP_SECONDS
+    )
 
 
 @pytest.mark.parametrize("how", ["hot restart", "kill", "two hot restarts"])
 @played
-async def test_a_cold_server_gets_the_budget_of_one_balancer(folder, how):  # noqa: F811
-    """The window is longer than the test, so whatever is sent lies in one."""
+async def test_cold_server_gets_the_budget_of_one_balancer_across_restarts(folder, how):  # noqa: F811
+    """The window is longer than the test, so all connections of the test are in one window."""
     async with World(control=True, listen=reserved_address(), obligations=COLD) as world:
         start_cold(world.node)
         listed = world.node.server_list.to_message()
-        sends = ColdSends(world)
-        await sends.ask(10)
-        alone = sends.count
+        counting = CountingServer(world)
+        await counting.ask(10)
+        alone = counting.count
         assert 0 < alone <= allowed()
         ended = []
         for _ in range(2 if how.startswith("two") else 1):
@@ -286,19 +294,19 @@
                 world.node.finished.set()
                 await world.serving
                 world.raw["known"] = listed
-            former = world.serving
+            previous = world.serving
             world.node, world.serving = await world.start()
             if how != "kill":
-                ended.append(former)
-            await sends.ask(10)
-        sends.task.cancel()
-        assert sends.count <= allowed(), f"{alone} by the first alone, {sends.count} in all"
+                ended.append(previous)
+            await counting.ask(10)
+        counting.task.cancel()
+        assert counting.count <= allowed(), f"{alone} by the first alone, {counting.count} in all"
         for one in ended:
             one.cancel()
 
 
 @played
-async def test_the_predecessor_sends_nothing_more_to_a_cold_server(folder):  # noqa: F811
+async def test_predecessor_sends_nothing_to_a_cold_server_while_it_has_a_successor(folder):  # noqa: F811
     async with World(control=True, listen=reserved_address(), obligations=COLD) as world:
         first = world.node
         start_cold(first)
@@ -308,6 +316,6 @@
             first.now = first.clock() + 20
             assert first.balancer.slow_start.available_tokens(server) == 0
         await world.until(lambda: not first.hot_restart.has_successor and first.listeners.listener)
-        first.now = first.clock() + 40  # its successor is gone: the budget is its own again, from now on
+        first.now = first.clock() + 40  # without a successor the budget is its own again
         assert first.balancer.slow_start.available_tokens(server) > 0
         assert sibling.VERSION == 1
