--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The operators' door: its form, its figures and its promise to answer beside whoever holds it."""
+"""The admin address: HTTP parsing, metrics, detaching servers, and answers beside idle connections."""
 
 import asyncio
 import collections
@@ -14,7 +14,7 @@
 
 
 @given(st.lists(st.integers(1, 40)), st.binary(max_size=30))
-def test_a_request_reads_the_same_in_pieces_of_any_size(cuts, body):
+def test_request_parses_the_same_in_pieces_of_any_size(cuts, body):
     text = b"\r\nPOST /_x?y=1 HTTP/1.1\r\nHost: a\r\ncontent-LENGTH: %d\r\n\r\n" % len(body) + body
     request, rest = Request(), text
     for cut in [*cuts, len(text)]:
@@ -39,17 +39,17 @@
         ("G" * 5000, 431),
     ],
 )
-def test_a_bad_request_has_one_status(text, status):
+def test_malformed_request_raises_the_matching_status(text, status):
     with pytest.raises(HttpError) as raised:
         Request().feed(text.encode())
     assert raised.value.status == status
 
 
 @played
-async def test_calls_and_what_is_said_to_bad_ones():
+async def test_responses_to_valid_and_invalid_requests():
     async with World(control=True, patience=60.0) as world:
         question, _ = await world.question()
-        assert (await world.ask("/_ready"))[0] == 503  # nothing was heard of discovery yet
+        assert (await world.ask("/_ready"))[0] == 503  # discovery has not answered yet
         head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         news = '{"generation":42,"reset":false,"instances":[]}\n'
         question.writer.write(f"{head}{len(news):x}\r\n{news}\r\n".encode())
@@ -62,7 +62,7 @@
 
 
 @played
-async def test_figures_are_what_peers_saw():
+async def test_metrics_match_what_clients_and_servers_saw():
     async with World(servers=2, control=True, effect="fragile") as world:
         assert await world.figures() == {
             "completed.chat": 0,
@@ -81,34 +81,34 @@
         failing = await world.call()
         (await world.leg())[1].say("ERR")
         assert await failing.line() == "ERR"
-        told = await world.figures()
-        assert (told["completed.chat"], told["failed.chat"], told["upstream_requests"]) == (1, 1, 2)
-        assert told["pending"] == 1
+        metrics = await world.figures()
+        assert (metrics["completed.chat"], metrics["failed.chat"], metrics["upstream_requests"]) == (1, 1, 2)
+        assert metrics["pending"] == 1
         world.node.begin_shutdown()
         refused = await world.call()
         assert (await refused.line()).startswith("BUSY")
-        told = await world.figures()
-        assert told["rejected.chat"] == 1 and (await world.ask("/_ready"))[0] == 503
+        metrics = await world.figures()
+        assert metrics["rejected.chat"] == 1 and (await world.ask("/_ready"))[0] == 503
         client.end("fin")
         assert await server.line() == "fin"
         assert (await world.figures())["pending"] == 0
 
 
 @played
-async def test_holders_of_the_door_keep_nobody_out(monkeypatch):
+async def test_idle_admin_connections_do_not_lock_others_out(monkeypatch):
     monkeypatch.setattr(limits, "MAX_ADMIN_CONNECTIONS", 4)
     async with World(control=True) as world:
-        held = [Peer(*await asyncio.open_connection(*world.desk())) for _ in range(9)]
-        for peer in held[::2]:
+        idle = [Peer(*await asyncio.open_connection(*world.desk())) for _ in range(9)]
+        for peer in idle[::2]:
             peer.writer.write(b"GET /_va")
         assert "pending" in await world.figures()
-        assert (await world.said(held[0]))[0] == 503 and len(world.node.admin_connections) <= 4
-        held[-1].writer.write(b"GET /_vars HTTP/1.1\r\n\r\n"[8:])
-        assert (await world.said(held[-1]))[0] == 200  # the youngest may still finish its call
+        assert (await world.said(idle[0]))[0] == 503 and len(world.node.admin_connections) <= 4
+        idle[-1].writer.write(b"GET /_vars HTTP/1.1\r\n\r\n"[8:])
+        assert (await world.said(idle[-1]))[0] == 200  # the newest connection may still complete its request
 
 
 @played
-async def test_a_call_that_never_becomes_whole_is_ended(monkeypatch):
+async def test_incomplete_admin_request_times_out(monkeypatch):
     monkeypatch.setattr(limits, "ADMIN_REQUEST_SECONDS", 0.05)
     async with World(control=True) as world:
         peer = Peer(*await asyncio.open_connection(*world.desk()))
@@ -118,15 +118,15 @@
 
 
 @played
-async def test_a_server_is_taken_out_and_put_back_by_hand():
+async def test_detached_server_gets_no_connections_until_it_is_attached():
     async with World(servers=2, control=True) as world:
         assert (await world.ask("/_servers/detach", "s-9"))[0] == 404
         assert (await world.ask("/_servers/attach", "s-9"))[0] == 404
         assert (await world.ask("/_servers/detach", method="POST"))[0] == 404
-        for _ in range(2):  # it may come twice
+        for _ in range(2):  # repeated orders succeed
             assert (await world.ask("/_servers/detach", "s-0\n"))[0] == 200
-        told = await world.figures()
-        assert (told["members"], told["members_unavailable"]) == (2, 1)
+        metrics = await world.figures()
+        assert (metrics["members"], metrics["members_unavailable"]) == (2, 1)
         for _ in range(4):
             client = await world.call()
             number, server, _ = await world.leg()
@@ -137,14 +137,14 @@
 
 
 @played
-async def test_a_leg_that_was_connecting_is_not_written_to_a_server_taken_out(monkeypatch):
+async def test_request_is_not_written_to_a_server_detached_while_connecting(monkeypatch):
     async with World(servers=1, control=True, effect="fragile") as world:
-        opened = servers.OutgoingConnection.made
+        original_made = servers.OutgoingConnection.made
 
         def made(link):
             if link.side == "server" and not world.node.server_list.cordoned:
                 world.node.server_list.cordon("s-0", True)
-            opened(link)
+            original_made(link)
 
         monkeypatch.setattr(servers.OutgoingConnection, "made", made)
         client = await world.call("c=chat,t=acme,d=900")
@@ -153,13 +153,13 @@
 
 
 @played
-async def test_out_by_hand_outlasts_a_list_without_it(monkeypatch):
+async def test_server_stays_detached_after_it_was_missing_from_the_list(monkeypatch):
     monkeypatch.setattr(server_watch, "FORGET_AFTER_SECONDS", 0.0)
     async with World(servers=2, control=True) as world:
-        place = world.entries[0]
+        listed = world.entries[0]
         await world.ask("/_servers/detach", "s-0")
         for state in ("terminated", "in_service"):
-            entry = place | {"lifecycle": state}
+            entry = listed | {"lifecycle": state}
             world.node.server_list.on_list(
                 lines.listing({"generation": 50, "reset": False, "instances": [entry]})
             )
@@ -170,40 +170,43 @@
 
 
 @played
-async def test_counts_of_a_random_story_are_what_the_peers_saw():
-    chance = random.Random(5)
+async def test_counters_match_a_random_sequence_of_outcomes():
+    rng = random.Random(5)
     async with World(servers=3, control=True, effect="fragile") as world:
-        seen, standing = collections.Counter(), []
+        seen, established = collections.Counter(), []
         for _ in range(60):
             client = await world.call()
             number, server, _ = await world.leg()
             seen["upstream_requests"] += 1
-            word = chance.choice(["UP 1", "ERR", "what?", "BUSY", "BYE"])
-            server.say(word)
-            while word == "BUSY" and seen["upstream_requests"] < 500:
+            answer = rng.choice(["UP 1", "ERR", "what?", "BUSY", "BYE"])
+            server.say(answer)
+            while answer == "BUSY" and seen["upstream_requests"] < 500:
                 try:
                     number, server, _ = await asyncio.wait_for(world.leg(), 0.5)
                 except TimeoutError:
                     break
                 seen["upstream_requests"] += 1
                 server.say("BUSY")
-            told = await client.line()
+            line = await client.line()
             seen[
-                "completed" if told.startswith("UP") else "rejected" if told.startswith("BUSY") else "failed"
+                "completed" if line.startswith("UP") else "rejected" if line.startswith("BUSY") else "failed"
             ] += 1
-            if told.startswith("UP"):
-                standing.append((client, server))
-            if standing and chance.random() < 0.5:
-                standing.pop()[chance.randrange(2)].end(chance.choice(["fin", "rst"]))
-        await world.until(lambda: len(world.node.clients) <= len(standing))
-        told = await world.figures()
-        assert told["pending"] == len(standing) and told["upstream_requests"] == seen["upstream_requests"]
-        for what in ("completed", "rejected", "failed"):
-            assert told[f"{what}.chat"] == seen[what] > 0, (what, told, seen)
+            if line.startswith("UP"):
+                established.append((client, server))
+            if established and rng.random() < 0.5:
+                established.pop()[rng.randrange(2)].end(rng.choice(["fin", "rst"]))
+        await world.until(lambda: len(world.node.clients) <= len(established))
+        metrics = await world.figures()
+        assert (
+            metrics["pending"] == len(established)
+            and metrics["upstream_requests"] == seen["upstream_requests"]
+        )
+        for outcome in ("completed", "rejected", "failed"):
+            assert metrics[f"{outcome}.chat"] == seen[outcome] > 0, (outcome, metrics, seen)
 
 
 @played
-async def test_another_method_is_told_the_right_one():
+async def test_response_to_a_wrong_method_names_the_allowed_one():
     async with World(control=True) as world:
         peer = Peer(*await asyncio.open_connection(*world.desk()))
         peer.writer.write(b"GET /_servers/detach HTTP/1.1\r\n\r\n")
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -1,4 +1,6 @@
-"""New settings at SIGHUP: taken whole or not at all, and connections under way keep what they came with."""
+"""Reload of the configuration at SIGHUP.
+
+A file is applied as a whole or not at all, and calls in progress keep the settings that they started with."""
 
 import copy
 import json
@@ -12,8 +14,8 @@
 from bellrack.settings import SettingsError, first_missing_key
 
 
-class File:
-    """The configuration file of a world, and what the node made of it."""
+class ConfigFile:
+    """The configuration file of a world's node, and the counts of its reloads."""
 
     def __init__(self, world, tmp_path):
         self.world, self.path = world, tmp_path / "config.json"
@@ -23,14 +25,14 @@
     def write(self, raw):
         self.path.write_text(raw if isinstance(raw, str) else json.dumps(raw))
 
-    async def read(self, raw):
-        """How many files were taken and turned down, once this one was read."""
+    async def reload(self, raw):
+        """Reload this configuration; return how many files were applied and rejected meanwhile."""
         before = self.counts()
         self.write(raw)
         os.kill(os.getpid(), signal.SIGHUP)
         await self.world.until(lambda: self.counts() != before)
-        taken, turned_down = self.counts()
-        return taken - before[0], turned_down - before[1]
+        applied, rejected = self.counts()
+        return applied - before[0], rejected - before[1]
 
     def counts(self):
         counters = self.world.node.counters
@@ -38,7 +40,7 @@
 
 
 def changed(raw, **rows):
-    """The configuration with other traffic types: by name, what each has else."""
+    """Return the configuration with these traffic types; each row has what differs from the first."""
     new = copy.deepcopy(raw)
     first = new["settings"]["trafficTypes"][0]
     new["settings"]["trafficTypes"] = [first | {"name": name} | other for name, other in rows.items()]
@@ -47,55 +49,55 @@
 
 
 @played
-async def test_a_type_appears_and_a_stricter_effect_holds_for_new_calls_only(tmp_path):
+async def test_reload_adds_a_type_and_changes_the_effect_for_new_calls_only(tmp_path):
     async with World(servers=2, control=True) as world:
-        file = File(world, tmp_path)
+        file = ConfigFile(world, tmp_path)
         before = await world.call()
         _, server, _ = await world.leg()
-        assert (await file.read(changed(world.raw, chat={"effect": "fragile"}, more={}))) == (1, 0)
-        server.say("ERR")  # it came as repeatable
+        assert (await file.reload(changed(world.raw, chat={"effect": "fragile"}, more={}))) == (1, 0)
+        server.say("ERR")  # this call started as repeatable
         assert (await world.leg())[1] and world.arrived.empty()
         after = await world.call()
-        (await world.leg())[1].say("ERR")  # it came as once-only
+        (await world.leg())[1].say("ERR")  # this call started as once-only
         assert await after.line() == "ERR" and before
         await world.standing("c=more,t=acme,d=2000")
         assert (await world.figures())["completed.more"] == 1
 
 
 @played
-async def test_a_type_that_vanished_is_served_for_a_while(tmp_path, monkeypatch):
+async def test_removed_type_is_served_for_a_while(tmp_path, monkeypatch):
     async with World(control=True) as world:
-        file, (client, server) = File(world, tmp_path), await world.standing()
-        assert (await file.read(changed(world.raw, more={}))) == (1, 0)
+        file, (client, server) = ConfigFile(world, tmp_path), await world.standing()
+        assert (await file.reload(changed(world.raw, more={}))) == (1, 0)
         server.say("line")
         assert await client.line() == "line"
         await world.standing("c=chat,t=acme,d=2000,again=1")
-        assert (await file.read(changed(world.raw, more={}, third={}))) == (1, 0)
+        assert (await file.reload(changed(world.raw, more={}, third={}))) == (1, 0)
         await world.standing("c=third,t=acme,d=2000")
         await world.standing("c=chat,t=acme,d=2000,again=1")
         monkeypatch.setattr(settings, "RETAIN_SECONDS", -1.0)
-        assert (await file.read(changed(world.raw, more={}))) == (1, 0)
+        assert (await file.reload(changed(world.raw, more={}))) == (1, 0)
         gone = await world.call()
         assert await gone.line() == "SYNTAX"
 
 
 @played
-async def test_a_tenant_that_vanished_is_served_for_a_while(tmp_path, monkeypatch):
+async def test_removed_tenant_is_served_for_a_while(tmp_path, monkeypatch):
     async with World() as world:
-        file, new = File(world, tmp_path), copy.deepcopy(world.raw)
+        file, new = ConfigFile(world, tmp_path), copy.deepcopy(world.raw)
         new["settings"]["accounts"] = [{"name": "other"}]
-        assert (await file.read(new)) == (1, 0)
+        assert (await file.reload(new)) == (1, 0)
         await world.standing("c=chat,t=acme,d=2000,again=1")
-        assert (await file.read(new)) == (1, 0)
+        assert (await file.reload(new)) == (1, 0)
         await world.standing("c=chat,t=other,d=2000")
         await world.standing("c=chat,t=acme,d=2000,again=1")
         monkeypatch.setattr(settings, "RETAIN_SECONDS", -1.0)
-        assert (await file.read(new)) == (1, 0)
+        assert (await file.reload(new)) == (1, 0)
         assert await (await world.call()).line() == "SYNTAX"
 
 
 @played
-async def test_types_renamed_and_reordered_leave_calls_that_are_kept_out_or_stand_as_they_were(tmp_path):
+async def test_renamed_and_reordered_types_do_not_affect_calls_in_progress(tmp_path):
     kinds = [
         {
             "name": name,
@@ -112,11 +114,11 @@
         client, server = await world.standing("c=one,t=acme,d=2000")
         out = await world.call("c=one,t=acme,d=2000")
         _, asked, _ = await world.leg()
-        for place in world.node.servers.values():
+        for server_record in world.node.servers.values():
             (
-                place.local_state.delay_reported_at,
-                place.local_state.delay_ratio,
-                place.local_state.delay_valid_for,
+                server_record.local_state.delay_reported_at,
+                server_record.local_state.delay_ratio,
+                server_record.local_state.delay_valid_for,
             ) = (
                 world.node.clock(),
                 1.0,
@@ -126,34 +128,34 @@
         await world.until(lambda: world.node.balancer.queued)
         new = copy.deepcopy(world.raw)
         new["settings"]["trafficTypes"] = [kinds[1] | {"name": "one"}, kinds[0] | {"name": "third"}]
-        assert (await File(world, tmp_path).read(new)) == (1, 0)
+        assert (await ConfigFile(world, tmp_path).reload(new)) == (1, 0)
         asked.say("ERR")
-        assert await out.line() == "ERR"  # once-only when it came
-        for place in world.node.servers.values():
-            place.local_state.delay_valid_for = 0.0
+        assert await out.line() == "ERR"  # once-only when it started
+        for server_record in world.node.servers.values():
+            server_record.local_state.delay_valid_for = 0.0
         (await world.leg())[1].say("ERR")
-        (await world.leg())[1].say("UP 2")  # repeatable when it came
+        (await world.leg())[1].say("UP 2")  # repeatable when it started
         assert await kept.line() == "UP 2"
         client.say("M 1")
         assert await server.line() == "M 1" and not world.node.counters["faults"]
         again = await world.call("c=one,t=acme,d=2000")
         (await world.leg())[1].say("ERR")
-        assert (await world.leg())[2].startswith("OPEN") and again  # repeatable from now on
+        assert (await world.leg())[2].startswith("OPEN") and again  # calls of this type are repeatable now
 
 
 @played
-async def test_fewer_attempts_hold_from_then(tmp_path):
+async def test_lower_attempt_limit_holds_after_a_reload(tmp_path):
     async with World(servers=3) as world:
-        file, new = File(world, tmp_path), copy.deepcopy(world.raw)
+        file, new = ConfigFile(world, tmp_path), copy.deepcopy(world.raw)
         new["settings"]["caps"]["maxLegs"] = 1
-        assert await file.read(new) == (1, 0)
+        assert await file.reload(new) == (1, 0)
         client = await world.call()
         (await world.leg())[1].say("BUSY")
         assert (await client.line()).startswith("BUSY") and world.arrived.empty()
 
 
-def spoilt(raw):
-    """Files that must change nothing, by what is wrong with them."""
+def invalid_files(raw):
+    """Yield pairs of a description and a file that must be rejected."""
     new = changed(raw, other={}, more={})
     text = json.dumps(new)
     yield "empty", ""
@@ -170,7 +172,7 @@
         bad = copy.deepcopy(new)
         del bad["settings"]["trafficTypes"][1][key]
         yield f"a row lacks {key}", bad
-    for place, key in (
+    for section, key in (
         ("caps", "maxLegs"),
         ("caps", "connectTimeoutUs"),
         (None, "guardTimeUs"),
@@ -178,27 +180,27 @@
     ):
         for value in (0, -5, "x", None, float("nan")):
             bad = copy.deepcopy(new)
-            (bad["settings"][place] if place else bad["settings"]["trafficTypes"][1])[key] = value
+            (bad["settings"][section] if section else bad["settings"]["trafficTypes"][1])[key] = value
             yield f"{key} is {value}", bad
     for key, value in (("az", 1), ("areas", ["b", "a"]), ("discovery", "push")):
         yield f"another {key}", new | {"settings": new["settings"] | {key: value}}
 
 
 @played
-async def test_a_spoilt_file_changes_nothing(tmp_path, caplog):
+async def test_invalid_file_changes_nothing(tmp_path, caplog):
     caplog.set_level("INFO", logger="bellrack")
     async with World() as world:
-        file, node = File(world, tmp_path), world.node
+        file, node = ConfigFile(world, tmp_path), world.node
         before = (dict(vars(node.settings)), node.names, node.config, node.limits.limit)
-        for wrong, raw in spoilt(world.raw | {"limits": {"sockets": 90}}):
-            assert await file.read(raw) == (0, 1), wrong
-            assert (vars(node.settings), node.names, node.config, node.limits.limit) == before, wrong
-        told = [record.figures["error"] for record in caplog.records if record.msg == "reload"]
-        assert len(told) > 30 and not node.counters["faults"]
-        assert await file.read(changed(world.raw, other={})) == (1, 0)
+        for description, raw in invalid_files(world.raw | {"limits": {"sockets": 90}}):
+            assert await file.reload(raw) == (0, 1), description
+            assert (vars(node.settings), node.names, node.config, node.limits.limit) == before, description
+        errors = [record.figures["error"] for record in caplog.records if record.msg == "reload"]
+        assert len(errors) > 30 and not node.counters["faults"]
+        assert await file.reload(changed(world.raw, other={})) == (1, 0)
 
 
-def test_a_missing_key_is_named_with_its_way():
+def test_missing_key_is_reported_with_its_path():
     former = raw_settings()
     assert (
         first_missing_key(former, former) == first_missing_key({"a": [], "b": {}}, {"a": [], "b": {}}) == ""
@@ -210,14 +212,14 @@
 
 
 @pytest.mark.parametrize("value", [0, -1, float("inf"), float("nan")])
-def test_a_start_refuses_what_is_not_over_nought(value):
+def test_settings_reject_values_that_are_not_positive(value):
     raw = raw_settings()
     raw["trafficTypes"][0]["setupTargetUs"] = value
     with pytest.raises(SettingsError, match="setupTargetUs"):
         settings.parse_settings(raw)
 
 
-def test_whoever_holds_settings_holds_the_new_values():
+def test_settings_object_is_updated_in_place():
     old, new = settings.parse_settings(raw_settings()), settings.parse_settings(raw_settings("fragile"))
     kept = old.types[0]
     old.update_from(new)
--- a/tests/test_start_signals.py
+++ b/tests/test_start_signals.py
@@ -1,5 +1,6 @@
-"""Signals that reach a process while it starts or ends: a reload is owed, and none of an operator's ends
-it."""
+"""Signals that arrive while a process starts or ends.
+
+SIGHUP and SIGUSR1 must not end the process, and a reload requested during the start must be carried out."""
 
 import contextlib
 import json
@@ -15,7 +16,7 @@
 from processes import LineReader
 
 ROOT = Path(__file__).parent.parent
-DEADLINE = 20.0
+DEADLINE_SECONDS = 20.0  # after which a process counts as hung
 
 
 def configuration(discovery):
@@ -45,8 +46,8 @@
     )
 
 
-class Starting:
-    """A process that has come as far as reading its configuration: that is a pipe which the test fills."""
+class StartingProcess:
+    """A process whose configuration file is a pipe: it waits in its start until the test writes to it."""
 
     def __init__(self, folder):
         self.path = folder / "config.json"
@@ -56,64 +57,65 @@
         self.log = LineReader(self.process.stderr)
 
     def write(self, text):
-        """Returns once somebody reads the file."""
+        """Write the configuration; return once the process reads it."""
         writing = threading.Thread(target=self.path.write_text, args=(text,), daemon=True)
         writing.start()
-        writing.join(DEADLINE)
-        assert not writing.is_alive(), "nobody read the configuration"
+        writing.join(DEADLINE_SECONDS)
+        assert not writing.is_alive(), "the process did not read the configuration"
 
     def end(self):
         self.process.kill()
-        self.process.wait(DEADLINE)
+        self.process.wait(DEADLINE_SECONDS)
         with contextlib.suppress(OSError):
             self.process.stderr.close()
 
 
 @pytest.fixture
 def starting(tmp_path):
-    one = Starting(tmp_path)
-    yield one
-    one.end()
+    process = StartingProcess(tmp_path)
+    yield process
+    process.end()
 
 
-def opened(starting):
-    """The file is open at the process, so it is past the start of the interpreter."""
+def open_configuration(starting):
+    """Open the pipe for writing. This returns once the process has opened it, so its interpreter is
+    running."""
     return open(starting.path, "w", encoding="utf-8")
 
 
-def test_a_reload_while_the_first_configuration_is_read_is_not_lost(starting):
-    with opened(starting) as file:
+def test_reload_signal_during_the_first_read_of_the_configuration_is_carried_out(starting):
+    with open_configuration(starting) as file:
         starting.process.send_signal(signal.SIGHUP)
         file.write(configuration("127.0.0.1:1"))
-    starting.log.wait_for("event=serving")  # the first reading is over: the pipe is its next reader's alone
+    starting.log.wait_for("event=serving")  # the first read is over, so the next write goes to the reload
     starting.write(configuration("127.0.0.1:2"))
     assert " discovery=127.0.0.1:2 " in starting.log.wait_for("event=reload")
     assert starting.process.poll() is None
 
 
-def test_a_call_for_figures_while_it_starts_does_not_end_it(starting):
-    with opened(starting) as file:
+def test_counter_signal_during_the_start_does_not_end_the_process(starting):
+    with open_configuration(starting) as file:
         starting.process.send_signal(signal.SIGUSR1)
         file.write(configuration("127.0.0.1:1"))
     starting.log.wait_for("event=serving")
     assert starting.process.poll() is None
 
 
-def test_asked_to_end_while_it_starts_it_ends_in_order(starting):
-    with opened(starting) as file:
+def test_termination_signal_during_the_start_ends_the_process_with_status_0(starting):
+    with open_configuration(starting) as file:
         starting.process.send_signal(signal.SIGTERM)
         file.write(configuration("127.0.0.1:1"))
-    assert starting.process.wait(DEADLINE) == 0
+    assert starting.process.wait(DEADLINE_SECONDS) == 0
 
 
-# The program, which says when its loop is closed and goes on when its standard input ends.
-ENDS_SLOWLY = """
+# The program, changed to log when its event loop is closed, and to exit only when its standard input ends.
+EXITS_ON_END_OF_INPUT = """
 import asyncio, sys
 from bellrack.__main__ import main
-honest = asyncio.SelectorEventLoop.close
+original_close = asyncio.SelectorEventLoop.close
 
 def close(loop):
-    honest(loop)
+    original_close(loop)
     print("event=closed", file=sys.stderr, flush=True)
     sys.stdin.read()
 
@@ -123,11 +125,11 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM])
-def test_a_signal_to_a_process_that_has_ended_its_work_ends_nothing(tmp_path, number):
-    """Signals come in series, also once the loop that heeded them is closed."""
+def test_signal_after_the_loop_is_closed_does_not_change_the_exit_status(tmp_path, number):
+    """Operators may send several signals in a row, also after the event loop that handled them is closed."""
     path = tmp_path / "config.json"
     path.write_text(configuration("127.0.0.1:1"))
-    command = [sys.executable, "-c", ENDS_SLOWLY, "serve", f"--config={path}"]
+    command = [sys.executable, "-c", EXITS_ON_END_OF_INPUT, "serve", f"--config={path}"]
     pipes = {"stdin": subprocess.PIPE, "stderr": subprocess.PIPE}
     with subprocess.Popen(command, cwd=ROOT, **pipes) as process:
         log = LineReader(process.stderr)
@@ -136,11 +138,11 @@
         log.wait_for("event=closed")
         process.send_signal(number)
         process.stdin.close()
-        assert process.wait(DEADLINE) == 0
+        assert process.wait(DEADLINE_SECONDS) == 0
 
 
-def test_the_deploy_file_starts_it_with_the_signals_of_operators_ignored():
-    """From exec on, before any code of ours runs: a signal that comes then would end the process."""
+def test_deploy_file_starts_the_process_with_operator_signals_ignored():
+    """Before any code of the program runs, a signal with its default action would end the process."""
     import tomllib
 
     run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
