--- a/tests/processes.py
+++ b/tests/processes.py
@@ -23,7 +23,7 @@
 from helpers import raw_settings
 
 ROOT = Path(__file__).parent.parent
-DEADLINE = 60.0  # seconds until a process that a test waits for counts as hung
+HANG_TIMEOUT_SECONDS = 60.0  # seconds until a process that a test waits for counts as hung
 ENDS_WITHIN = (
     1.0  # seconds from a final answer to the end of its connection, which is a system call of its own
 )
@@ -39,7 +39,7 @@
     return sock
 
 
-def written(sock: socket.socket) -> str:
+def format_address(sock: socket.socket) -> str:
     return "{}:{}".format(*sock.getsockname())
 
 
@@ -68,7 +68,7 @@
             return [line for line in self.lines if text in line]
 
         with self.changed:
-            self.changed.wait_for(lambda: len(found()) >= count or self.ended, DEADLINE)
+            self.changed.wait_for(lambda: len(found()) >= count or self.ended, HANG_TIMEOUT_SECONDS)
             assert len(found()) >= count, f"no {text!r} among {self.lines[-5:]}"
             return found()[0]
 
@@ -107,7 +107,7 @@
     def end(self, number: int = signal.SIGKILL) -> int:
         if self.process.poll() is None:
             self.send_signal(number)
-        return self.process.wait(DEADLINE)
+        return self.process.wait(HANG_TIMEOUT_SECONDS)
 
     def counters(self) -> dict[str, int]:
         """As it prints them at SIGUSR1."""
@@ -159,7 +159,7 @@
 
     def end(self) -> None:
         self.process.kill()
-        self.process.wait(DEADLINE)
+        self.process.wait(HANG_TIMEOUT_SECONDS)
 
 
 @contextlib.contextmanager
@@ -171,7 +171,7 @@
     finally:
         for process in running:
             process.kill()
-            process.wait(DEADLINE)
+            process.wait(HANG_TIMEOUT_SECONDS)
 
 
 @dataclass
@@ -222,7 +222,7 @@
         self.begun = time.monotonic()
         due = []
         for client in self.clients:
-            client.sock = socket.create_connection(client.address, DEADLINE)
+            client.sock = socket.create_connection(client.address, HANG_TIMEOUT_SECONDS)
             now = time.monotonic()
             due += [(now + after, client, data) for after, data in client.parts]
             self.selector.register(client.sock, selectors.EVENT_READ, client)
@@ -255,7 +255,7 @@
     def settle(self) -> None:
         """Wait until all have an answer or the bound is over, then take what comes after it: who is not up
         is owed the end of its connection."""
-        self.join(self.within + DEADLINE)
+        self.join(self.within + HANG_TIMEOUT_SECONDS)
         assert not self.is_alive()
         end = time.monotonic() + ENDS_WITHIN
         while any(client.awaits_end for client in self.clients) and time.monotonic() < end:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,7 +12,7 @@
 
 import pytest
 from helpers import Peer, World, played, raw_settings
-from processes import bound_socket, written
+from processes import bound_socket, format_address
 
 from bellrack.net import limits, listeners
 
@@ -59,7 +59,7 @@
 
     def __init__(self, path, raw):
         self.path, self.raw, self.most, self.admin = path, raw, 0, bound_socket()
-        path.write_text(json.dumps(raw | {"control": written(self.admin)}))
+        path.write_text(json.dumps(raw | {"control": format_address(self.admin)}))
 
     async def start(self, hard):
         def limited():
@@ -152,7 +152,7 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1")
     entry = {
-        "hostPort": written(server.sockets[0]),
+        "hostPort": format_address(server.sockets[0]),
         "zone": "a",
         "cell": 0,
         "machineType": "m",
@@ -164,10 +164,10 @@
     rules = {"obligations": {"answerSlackUs": 16000, "coldShare": 0.2, "rampTimeUs": 2e7, "askWithinUs": 5e5}}
     raw = {
         "name": "n0",
-        "listen": written(clients),
+        "listen": format_address(clients),
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": limit},
-        "discovery": written(lister.sockets[0]),
+        "discovery": format_address(lister.sockets[0]),
         "settings": raw_settings(**rules),
         "known": {"generation": 41, "reset": True, "instances": discovery.entries[:1]},
     }
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -9,7 +9,7 @@
 
 import pytest
 from helpers import Peer, World, played
-from processes import bound_socket, written
+from processes import bound_socket, format_address
 
 from bellrack.net import clients, limits, lines, node, reload, resumption, servers
 from bellrack.net.shutdown import Shutdown
@@ -500,7 +500,7 @@
     monkeypatch.setenv("TMPDIR", str(tmp_path))
     monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 0.05)
     with contextlib.closing(bound_socket()) as address:
-        async with World(servers=1, control=True, listen=written(address)) as world:
+        async with World(servers=1, control=True, listen=format_address(address)) as world:
             old = world.node
             old.resumed.window.started -= 31.0
             client = await world.call(f"{AT[:-3]}{'s-0' if sent else 's-late'}")
--- a/tests/test_resumed_live.py
+++ b/tests/test_resumed_live.py
@@ -10,7 +10,7 @@
 
 import pytest
 from processes import (
-    DEADLINE,
+    HANG_TIMEOUT_SECONDS,
     BalancerProcess,
     Client,
     Clients,
@@ -18,10 +18,10 @@
     balancer_settings,
     bound_socket,
     burners,
+    format_address,
     ordinary_line,
     resumed_line,
     running,
-    written,
 )
 
 SERVERS = 6
@@ -147,7 +147,7 @@
 
 
 def wait_for_count(balancer, name, count):
-    end = time.monotonic() + DEADLINE
+    end = time.monotonic() + HANG_TIMEOUT_SECONDS
     while (counted := balancer.counters().get(name, 0)) < count:
         assert time.monotonic() < end, f"{name} never came to {count}, but to {counted}"
 
@@ -217,9 +217,9 @@
         for number in range(3):
             listen, *controls = [bound_socket() for _ in range(3)]
             sockets += [listen, *controls]
-            raw = balancer_settings(stand_ins, 100, name=f"n{number}", listen=written(listen))
+            raw = balancer_settings(stand_ins, 100, name=f"n{number}", listen=format_address(listen))
             old, new = (
-                BalancerProcess(tmp_path, f"n{number}-{which}", raw | {"control": written(control)})
+                BalancerProcess(tmp_path, f"n{number}-{which}", raw | {"control": format_address(control)})
                 for which, control in zip(("old", "new"), controls)
             )
             processes.append((old.start(), new))
@@ -230,7 +230,7 @@
             old.log.wait_for("event=followed")
             old.send_signal(signal.SIGTERM)
         # None is up yet when the processes go that admitted them.
-        assert [old.process.wait(DEADLINE) for old, _ in processes] == [0, 0, 0]
+        assert [old.process.wait(HANG_TIMEOUT_SECONDS) for old, _ in processes] == [0, 0, 0]
         stand_ins.command("mode", mode="answers")
         stand_ins.command("release")
         all_up(stand_ins, groups)
--- a/tests/test_tier_live.py
+++ b/tests/test_tier_live.py
@@ -11,16 +11,16 @@
 import pytest
 from helpers import raw_settings
 from processes import (
-    DEADLINE,
+    HANG_TIMEOUT_SECONDS,
     BalancerProcess,
     Client,
     Clients,
     StandInProcess,
     balancer_settings,
     bound_socket,
+    format_address,
     ordinary_line,
     running,
-    written,
 )
 
 SERVERS = 6
@@ -54,7 +54,7 @@
 
 def has_lists(balancer, count):
     """It has heeded so many lists since its start."""
-    end = time.monotonic() + DEADLINE
+    end = time.monotonic() + HANG_TIMEOUT_SECONDS
     while (heeded := balancer.counters().get("list_lines", 0)) < count:
         assert time.monotonic() < end, f"{heeded} lists in place of {count}"
 
@@ -99,12 +99,12 @@
     # Before its line, with half of it, and behind it: nobody is left with a connection that says nothing.
     listen = bound_socket()
     stand_ins.command("mode", mode="late")
-    raw = {"listen": written(listen), "control": "127.0.0.1:0"}
+    raw = {"listen": format_address(listen), "control": "127.0.0.1:0"}
     with contextlib.closing(listen), tier(tmp_path, stand_ins, 1, **raw) as (balancer,):
         for _ in range(3):
             address = balancer.address()
             lines = [b"", ordinary_line(1)[:20], ordinary_line(2)]
-            socks = [socket.create_connection(address, DEADLINE) for _ in lines]
+            socks = [socket.create_connection(address, HANG_TIMEOUT_SECONDS) for _ in lines]
             for sock, line in zip(socks, lines):
                 sock.sendall(line)
             balancer.end(signal.SIGKILL)
