--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,6 +1,6 @@
-"""Several real processes for tests: balancers, stand-in servers, and clients that come back with `at=`.
+"""Real processes for tests: balancers, stand-in servers, and clients of resumed connections (`at=`).
 
-Nothing here sleeps: whoever waits, waits for a line of a log, an answer, or the bound that the pages give.
+Nothing here sleeps for a fixed time: tests wait for a log line, an answer, or a limit of the specification.
 """
 
 from __future__ import annotations
@@ -23,15 +23,14 @@
 from helpers import raw_settings
 
 ROOT = Path(__file__).parent.parent
-HANG_TIMEOUT_SECONDS = 60.0  # seconds until a process that a test waits for counts as hung
-ENDS_WITHIN = (
-    1.0  # seconds from a final answer to the end of its connection, which is a system call of its own
-)
-UP_WITHIN = 40.0  # seconds: PROTOCOL.md, "one that is not [up] after 40 s is lost"
+HANG_TIMEOUT_SECONDS = 60.0  # after which a process that a test waits for counts as hung
+# From a final answer to the end of its connection, which is a system call of its own.
+END_TIMEOUT_SECONDS = 1.0
+UP_TIMEOUT_SECONDS = 40.0  # PROTOCOL.md: "one that is not [up] after 40 s is lost"
 
 
 def bound_socket() -> socket.socket:
-    """A socket that holds a port of its own; nobody listens there by that."""
+    """Return a socket that reserves a port without listening on it."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -40,11 +39,12 @@
 
 
 def format_address(sock: socket.socket) -> str:
+    """Return the address of a socket as host:port."""
     return "{}:{}".format(*sock.getsockname())
 
 
 class LineReader(threading.Thread):
-    """Reads a process's lines as they come, and lets a test wait for one."""
+    """Reads the output lines of a process in a thread, and lets a test wait for a line."""
 
     def __init__(self, pipe: Any):
         super().__init__(daemon=True)
@@ -62,19 +62,19 @@
             self.changed.notify_all()
 
     def wait_for(self, text: str, count: int = 1) -> str:
-        """The first line with this text, once so many have it."""
+        """Wait until `count` lines contain this text; return the first of them."""
 
-        def found() -> list[str]:
+        def matching() -> list[str]:
             return [line for line in self.lines if text in line]
 
         with self.changed:
-            self.changed.wait_for(lambda: len(found()) >= count or self.ended, HANG_TIMEOUT_SECONDS)
-            assert len(found()) >= count, f"no {text!r} among {self.lines[-5:]}"
-            return found()[0]
+            self.changed.wait_for(lambda: len(matching()) >= count or self.ended, HANG_TIMEOUT_SECONDS)
+            assert len(matching()) >= count, f"no {text!r} in the last lines: {self.lines[-5:]}"
+            return matching()[0]
 
 
 class BalancerProcess:
-    """`bellrack serve` with a configuration of its own."""
+    """A process `bellrack serve` with its own configuration file."""
 
     def __init__(self, folder: Path, name: str, raw: dict[str, Any]):
         self.path, self.process, self.log = folder / f"{name}.json", None, None
@@ -83,6 +83,7 @@
         self.write()
 
     def write(self) -> None:
+        """Write the configuration file from `raw`."""
         self.path.write_text(json.dumps(self.raw))
 
     def start(self) -> BalancerProcess:
@@ -96,7 +97,7 @@
         return self
 
     def address(self) -> tuple[str, int]:
-        """Where it listens, once it does."""
+        """Return the address on which it listens; wait until it does."""
         line = self.log.wait_for("event=serving")
         host, port = line.partition(" listen=")[2].split()[0].split(":")
         return host, int(port)
@@ -105,12 +106,13 @@
         self.process.send_signal(number)
 
     def end(self, number: int = signal.SIGKILL) -> int:
+        """Send a signal if the process still runs; return its exit status."""
         if self.process.poll() is None:
             self.send_signal(number)
         return self.process.wait(HANG_TIMEOUT_SECONDS)
 
     def counters(self) -> dict[str, int]:
-        """As it prints them at SIGUSR1."""
+        """Return the counters that it logs at SIGUSR1."""
         before = len([line for line in self.log.lines if "event=counters" in line])
         self.send_signal(signal.SIGUSR1)
         self.log.wait_for("event=counters", before + 1)
@@ -121,7 +123,7 @@
 
 @contextlib.contextmanager
 def running(processes: list[BalancerProcess]) -> Iterator[list[BalancerProcess]]:
-    """All of them, started at once and ended with the context."""
+    """Start all processes at once; end them with the context."""
     try:
         yield [process.start() for process in processes]
     finally:
@@ -131,7 +133,7 @@
 
 
 class StandInProcess:
-    """Discovery and servers in a process of their own (`stand_ins.py`)."""
+    """A process with discovery and `count` servers (`stand_ins.py`); `number` tells several apart."""
 
     def __init__(self, count: int, number: int = 0):
         self.process = subprocess.Popen(
@@ -139,14 +141,15 @@
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
-        told = json.loads(self.process.stdout.readline())
-        self.discovery, self.entries = told["discovery"], told["entries"]
+        started = json.loads(self.process.stdout.readline())
+        self.discovery, self.entries = started["discovery"], started["entries"]
 
     @property
     def names(self) -> list[str]:
         return [entry["instanceId"] for entry in self.entries]
 
     def command(self, do: str, **words: Any) -> Any:
+        """Send a command with these arguments; return the answer."""
         self.process.stdin.write(json.dumps({"do": do} | words).encode() + b"\n")
         self.process.stdin.flush()
         return json.loads(self.process.stdout.readline())
@@ -164,7 +167,7 @@
 
 @contextlib.contextmanager
 def burners(count: int) -> Iterator[None]:
-    """A process for each core that takes all it can get of it."""
+    """Run `count` processes that each use a whole core."""
     running = [subprocess.Popen([sys.executable, "-c", "while True: pass"]) for _ in range(count)]
     try:
         yield
@@ -176,50 +179,55 @@
 
 @dataclass
 class Client:
-    """A client whose connection stood at `server` before the run; of any server where none is named."""
+    """A client of one connection.
+
+    `server`: where its connection was established before the restart; None for an ordinary connection."""
 
     id: str
     server: str | None
     address: tuple[str, int]
-    parts: list[tuple[float, bytes]]  # seconds after connecting, and what is written then
-    answers: list[str] = field(default_factory=list)  # all lines that came back
+    parts: list[tuple[float, bytes]]  # seconds after connecting, and the bytes written then
+    answers: list[str] = field(default_factory=list)  # all lines received, then "end" for the end
     sock: socket.socket | None = None
     received: bytes = b""
 
     @property
     def awaits_end(self) -> bool:
-        """It has an answer that is not UP, and its connection has not ended."""
+        """Whether it has an answer other than UP and its connection has not ended yet."""
         return bool(self.answers) and not self.answers[0].startswith("UP ") and self.answers[-1] != "end"
 
     @property
     def up(self) -> bool:
-        """Exactly one answer, of its own server, and nothing after it."""
+        """Whether it has exactly one answer, UP of the right server, and nothing after it."""
         if self.server is None:
             return len(self.answers) == 1 and self.answers[0].endswith(f"/{self.id}")
         return self.answers == [f"UP {self.server}/{self.id}"]
 
 
 def resumed_line(number: int, server: str) -> bytes:
+    """Return the first line of a resumed connection."""
     return f"OPEN {number:016x} {number:016x} c=chat,t=acme,d=4294967,at={server}\r\n".encode()
 
 
 def ordinary_line(number: int, wait: int = 20000) -> bytes:
-    """`wait`: milliseconds that the client says it waits."""
+    """Return the first line of an ordinary connection; `wait`: milliseconds for which the client waits."""
     return f"OPEN {number:016x} {number:016x} c=chat,t=acme,d={wait}\r\n".encode()
 
 
 class Clients(threading.Thread):
-    """Clients in a thread: each writes its parts when they are due and takes all that comes back."""
+    """Runs clients in a thread: each writes its parts when they are due and records all answers.
+
+    Ends when each client has an answer, or after `within` seconds."""
 
-    def __init__(self, clients: list[Client], within: float = UP_WITHIN):
+    def __init__(self, clients: list[Client], within: float = UP_TIMEOUT_SECONDS):
         super().__init__(daemon=True)
         self.clients, self.within = clients, within
         self.selector = selectors.DefaultSelector()
-        self.begun = 0.0
+        self.started_at = 0.0
         self.start()
 
     def run(self) -> None:
-        self.begun = time.monotonic()
+        self.started_at = time.monotonic()
         due = []
         for client in self.clients:
             client.sock = socket.create_connection(client.address, HANG_TIMEOUT_SECONDS)
@@ -229,14 +237,14 @@
         due.sort(key=lambda part: part[0], reverse=True)
         while not all(client.answers for client in self.clients):
             now = time.monotonic()
-            if now > self.begun + self.within:
+            if now > self.started_at + self.within:
                 return
             while due and due[-1][0] <= now:
                 _, client, data = due.pop()
-                with contextlib.suppress(OSError):  # its end is read
+                with contextlib.suppress(OSError):  # the end of the connection is seen by `read`
                     client.sock.sendall(data)
-            wait = due[-1][0] if due else self.begun + self.within
-            self.read(max(0.0, min(wait, self.begun + self.within) - now))
+            wait = due[-1][0] if due else self.started_at + self.within
+            self.read(max(0.0, min(wait, self.started_at + self.within) - now))
 
     def read(self, seconds: float) -> None:
         for key, _ in self.selector.select(seconds):
@@ -246,18 +254,19 @@
             except ConnectionResetError:
                 data = b""
             client.received += data
-            *whole, client.received = client.received.split(b"\r\n")
-            client.answers += [line.decode() for line in whole if line != b"PONG"]
+            *complete_lines, client.received = client.received.split(b"\r\n")
+            client.answers += [line.decode() for line in complete_lines if line != b"PONG"]
             if not data:
                 client.answers.append("end")
                 self.selector.unregister(client.sock)
 
     def settle(self) -> None:
-        """Wait until all have an answer or the bound is over, then take what comes after it: who is not up
-        is owed the end of its connection."""
+        """Wait until the thread has ended, then read what follows the answers.
+
+        A connection whose answer was not UP must end after it."""
         self.join(self.within + HANG_TIMEOUT_SECONDS)
         assert not self.is_alive()
-        end = time.monotonic() + ENDS_WITHIN
+        end = time.monotonic() + END_TIMEOUT_SECONDS
         while any(client.awaits_end for client in self.clients) and time.monotonic() < end:
             self.read(max(0.0, end - time.monotonic()))
         while self.selector.get_map() and self.selector.select(0):
@@ -269,12 +278,12 @@
                 client.sock.close()
 
 
-def balancer_settings(stand_ins: StandInProcess, standing: int, **changes: Any) -> dict[str, Any]:
-    """A configuration with the descriptors that the pages give beside those of standing connections."""
+def balancer_settings(stand_ins: StandInProcess, established: int, **changes: Any) -> dict[str, Any]:
+    """Return a configuration with the specified descriptors, and two more per established connection."""
     return {
         "listen": "127.0.0.1:0",
         "discovery": stand_ins.discovery,
-        "limits": {"sockets": 1024 + 2 * standing},
+        "limits": {"sockets": 1024 + 2 * established},
         "settings": raw_settings(),
         "known": {"generation": 0, "reset": True, "instances": stand_ins.entries},
     } | changes
--- a/tests/stand_ins.py
+++ b/tests/stand_ins.py
@@ -1,7 +1,7 @@
-"""Discovery and servers for several real processes of the program, in a process of their own.
+"""A discovery service and servers for tests with real balancer processes.
 
 `stand_ins.py COUNT [PROCESS]` prints one JSON line with the addresses, then reads JSON commands from standard
-input, one a line, and answers each with one JSON line. Ends with its standard input.
+input, one per line, and answers each with one JSON line. It exits at the end of its standard input.
 """
 
 from __future__ import annotations
@@ -12,18 +12,20 @@
 from typing import Any
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-KEEP_ALIVE = 2.0  # seconds between empty lines on a watch
+KEEP_ALIVE_SECONDS = 2.0  # between empty lines on a watch
 
 
 class Server:
-    """A server that answers `UP NAME/ID` to a first line that names it, and echoes whatever follows."""
+    """A server that answers `UP NAME/ID` to a first line, and echoes all lines after it.
+
+    `mode` selects other behaviours."""
 
     def __init__(self, name: str):
         self.name, self.mode = name, "answers"
-        self.open: dict[str, int] = {}  # connections that are up now, by id
-        self.ups: dict[str, int] = {}  # answers of UP so far, by id
-        self.attempts: dict[str, int] = {}  # first lines so far, by id
-        self.misplaced: list[str] = []  # first lines that named another server
+        self.open: dict[str, int] = {}  # number of connections that are up now, by id
+        self.ups: dict[str, int] = {}  # number of UP answers so far, by id
+        self.attempts: dict[str, int] = {}  # number of first lines so far, by id
+        self.misplaced: list[str] = []  # ids of first lines that named another server
         self.answer_held = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -38,14 +40,15 @@
         finally:
             writer.close()
 
-    async def on_open(self, name: str, values: str, reader: Any, writer: Any) -> None:
+    async def on_open(self, id: str, values: str, reader: Any, writer: Any) -> None:
+        """Handle a first line with this id and values."""
         wanted = dict(pair.split("=", 1) for pair in values.split(",")).get("at")
         if wanted not in (None, self.name):
-            self.misplaced.append(name)
-        first = name not in self.attempts
-        self.attempts[name] = self.attempts.get(name, 0) + 1
-        if self.open.get(name):
-            writer.write(b"ERR\r\n")  # as real servers do to an id that is open
+            self.misplaced.append(id)
+        first = id not in self.attempts
+        self.attempts[id] = self.attempts.get(id, 0) + 1
+        if self.open.get(id):
+            writer.write(b"ERR\r\n")  # real servers answer an id that is already open in this way
             return
         if self.mode == "resets-first" and first:
             writer.transport.abort()
@@ -58,31 +61,32 @@
         if self.mode == "drains" and wanted is None:
             writer.write(b"BUSY\r\n")
             return
-        self.ups[name] = self.ups.get(name, 0) + 1
-        self.open[name] = self.open.get(name, 0) + 1
+        self.ups[id] = self.ups.get(id, 0) + 1
+        self.open[id] = self.open.get(id, 0) + 1
         try:
-            writer.write(f"UP {self.name}/{name}\r\n".encode())
+            writer.write(f"UP {self.name}/{id}\r\n".encode())
             while line := await reader.readline():
                 writer.write(line)
         finally:
-            self.open[name] -= 1
+            self.open[id] -= 1
 
 
 class StandIns:
-    """The servers, the list of them, and the commands of a test."""
+    """The servers, the discovery service that lists them, and the commands of a test."""
 
     def __init__(self, count: int, process: int):
         self.servers = [Server(f"s-{process}-{number}") for number in range(count)]
         self.listeners: dict[str, asyncio.Server] = {}
         self.states: dict[str, str] = {}
         self.zones = {server.name: "ab"[index % 2] for index, server in enumerate(self.servers)}
-        self.others: list[dict[str, Any]] = []  # entries of servers in other processes
+        self.others: list[dict[str, Any]] = []  # list entries of servers in other processes
         self.addresses: dict[str, str] = {}
         self.version = 1
-        self.answering = True  # discovery
+        self.answering = True  # whether discovery answers requests
         self.changed = asyncio.Event()
 
     async def start(self) -> dict[str, Any]:
+        """Start all servers and discovery; return discovery's address and the list entries."""
         for server in self.servers:
             listener = await asyncio.start_server(server.serve, "127.0.0.1", 0, backlog=1024)
             self.listeners[server.name] = listener
@@ -92,6 +96,7 @@
         return {"discovery": "{}:{}".format(*discovery.sockets[0].getsockname()), "entries": self.entries()}
 
     def entries(self) -> list[dict[str, Any]]:
+        """Return the entries of the server list."""
         return [
             {
                 "instanceId": name,
@@ -108,7 +113,7 @@
         ] + self.others
 
     async def discover(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A watch that sends the whole list at each change, and an empty line while there is none."""
+        """Answer a watch: send the whole list at each change, and empty lines in between."""
         try:
             while (await reader.readline()).strip():
                 pass
@@ -119,7 +124,7 @@
                 news = {"generation": self.version, "reset": True, "instances": self.entries()}
                 line = json.dumps(news).encode() + b"\n"
                 writer.write(b"%x\r\n%b\r\n" % (len(line), line))
-                while not await self.wait_for_change(KEEP_ALIVE):
+                while not await self.wait_for_change(KEEP_ALIVE_SECONDS):
                     writer.write(b"1\r\n\n\r\n")
                     await writer.drain()
         except ConnectionError:
@@ -128,6 +133,7 @@
             writer.close()
 
     async def wait_for_change(self, seconds: float | None) -> bool:
+        """Wait so long for a change of the list; return whether there was one."""
         try:
             await asyncio.wait_for(self.changed.wait(), seconds)
         except TimeoutError:
@@ -135,16 +141,18 @@
         return True
 
     def announce(self) -> None:
+        """Make a new version of the list and wake all watches."""
         self.version += 1
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def command(self, words: dict[str, Any]) -> Any:
+        """Carry out a command; return its answer."""
         match words["do"]:
             case "mode":
                 for server in self.named(words):
                     server.mode = words["mode"]
-            case "release":  # whoever is late answers now
+            case "release":  # servers in the mode "late" answer now
                 for server in self.named(words):
                     server.answer_held.set()
             case "list":
@@ -169,6 +177,7 @@
         return None
 
     def named(self, words: dict[str, Any]) -> list[Server]:
+        """Return the servers that a command names, all if it names none."""
         names = words.get("servers")
         return [server for server in self.servers if names is None or server.name in names]
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: an entry names what to run, its seed, what was seen and the issue."""
+"""KNOWN-RED.txt, the list of known failures: its format, and the script that CI uses to read it."""
 
 import importlib.util
 import subprocess
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(
-    "line, why",
+    "line, reason",
     [
         ("tests/test_cold.py::test_one: it fails; issue 56", "four fields"),
         ("the slow start | - | a cold server is filled | issue 56", "no test and no command"),
@@ -40,12 +40,12 @@
         (SOAK.replace("| 94 |", "| - |"), "another seed"),
     ],
 )
-def test_an_entry_of_another_form_is_refused(line, why):
-    with pytest.raises(known_red.EntryError, match=why):
+def test_malformed_entry_is_rejected(line, reason):
+    with pytest.raises(known_red.EntryError, match=reason):
         known_red.parse(line)
 
 
-def test_exactly_what_is_listed_is_passed_over_and_run(tmp_path, monkeypatch, capsys):
+def test_exactly_the_listed_entries_are_deselected_and_run(tmp_path, monkeypatch, capsys):
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text(f"{TEST}\n{SOAK}\n")
     monkeypatch.setattr(known_red, "LIST", path)
@@ -59,11 +59,11 @@
         known_red.subprocess, "run", lambda words, **_: subprocess.CompletedProcess(words, next(codes))
     )
     assert known_red.main(["run"]) == 0
-    said = capsys.readouterr().out.splitlines()
-    assert said[1] == "  red" and "passes now" in said[3]
+    output = capsys.readouterr().out.splitlines()
+    assert output[1] == "  red" and "passes now" in output[3]
     path.write_text("something\n")
     assert known_red.main(["check"]) == 1 and "KNOWN-RED.txt: not four fields" in capsys.readouterr().err
 
 
-def test_the_list_is_in_form():
+def test_list_of_this_repository_parses():
     assert known_red.entries((ROOT / "KNOWN-RED.txt").read_text()) is not None
--- a/tests/test_tier_live.py
+++ b/tests/test_tier_live.py
@@ -1,6 +1,6 @@
-"""Several real processes that serve: what the operators' standing test asks of a tier as a whole.
+"""Several real balancer processes: what STANDING.md requires of a tier as a whole.
 
-Servers and discovery are processes of their own (`stand_ins.py`). Nothing here measures time.
+Servers and discovery run in processes of their own (`stand_ins.py`). Nothing here measures time.
 """
 
 import contextlib
@@ -34,7 +34,7 @@
 
 
 def tier(folder, stand_ins, count, **changes):
-    """So many balancers that know of each other, started at once."""
+    """Run `count` balancers that are each other's peers, started at once."""
     processes = []
     for number in range(count):
         settings = raw_settings(peersTotal=count, slotNo=number)
@@ -43,7 +43,7 @@
     return running(processes)
 
 
-def ordinary(address, first, count, wait=20000):
+def ordinary_clients(address, first, count, wait=20000):
     return Clients(
         [
             Client(f"{number:016x}", None, address, [(0.0, ordinary_line(number, wait))])
@@ -52,51 +52,51 @@
     )
 
 
-def has_lists(balancer, count):
-    """It has heeded so many lists since its start."""
+def wait_for_lists(balancer, count):
+    """Wait until the balancer has processed `count` lists since its start."""
     end = time.monotonic() + HANG_TIMEOUT_SECONDS
-    while (heeded := balancer.counters().get("list_lines", 0)) < count:
-        assert time.monotonic() < end, f"{heeded} lists in place of {count}"
+    while (processed := balancer.counters().get("list_lines", 0)) < count:
+        assert time.monotonic() < end, f"{processed} lists, expected {count}"
 
 
 def attempts(stand_ins):
-    return {name: told["attempts"] for name, told in stand_ins.command("report").items()}
+    return {name: server["attempts"] for name, server in stand_ins.command("report").items()}
 
 
-def test_nothing_new_goes_to_a_server_that_drains_after_a_reload(tmp_path, stand_ins):
-    # The list of the new configuration's discovery tells of the drain, and the old one never does.
-    second = StandInProcess(0, number=1)
-    second.command("others", entries=stand_ins.entries)
+def test_draining_server_gets_no_new_connections_after_discovery_was_changed_by_a_reload(tmp_path, stand_ins):
+    # Only the discovery service of the new configuration reports the drain; the old one never does.
+    new_discovery = StandInProcess(0, number=1)
+    new_discovery.command("others", entries=stand_ins.entries)
     draining = stand_ins.entries[0] | {"lifecycle": "terminating"}
     try:
         with tier(tmp_path, stand_ins, 4) as balancers:
             addresses = [balancer.address() for balancer in balancers]
             for balancer in balancers:
-                has_lists(balancer, 2)  # the one that was known, and discovery's
-                balancer.raw["discovery"] = second.discovery
+                wait_for_lists(balancer, 2)  # the known list, and the one of discovery
+                balancer.raw["discovery"] = new_discovery.discovery
                 balancer.write()
                 balancer.send_signal(signal.SIGHUP)
             for balancer in balancers:
-                has_lists(balancer, 3)  # the new discovery's
-            second.command("others", entries=[draining, *stand_ins.entries[1:]])
+                wait_for_lists(balancer, 3)  # the list of the new discovery service
+            new_discovery.command("others", entries=[draining, *stand_ins.entries[1:]])
             for balancer in balancers:
-                has_lists(balancer, 4)
+                wait_for_lists(balancer, 4)
             before = attempts(stand_ins)
             for group in [
-                ordinary(address, 1000 * (index + 1), 50) for index, address in enumerate(addresses)
+                ordinary_clients(address, 1000 * (index + 1), 50) for index, address in enumerate(addresses)
             ]:
                 group.settle()
-                assert any(client.up for client in group.clients)  # a burst is paced: some may be told BUSY
+                assert any(client.up for client in group.clients)  # a burst is paced: some may get BUSY
                 group.close()
             after = attempts(stand_ins)
             assert after[stand_ins.names[0]] == before[stand_ins.names[0]]
             assert sum(after.values()) > sum(before.values())
     finally:
-        second.end()
+        new_discovery.end()
 
 
-def test_who_is_accepted_by_a_process_that_is_killed_is_reset_and_the_next_one_serves(tmp_path, stand_ins):
-    # Before its line, with half of it, and behind it: nobody is left with a connection that says nothing.
+def test_kill_of_a_process_resets_its_connections_and_the_next_process_serves(tmp_path, stand_ins):
+    # Connections without a request, with half of one, and with a whole one: each is reset or closed.
     listen = bound_socket()
     stand_ins.command("mode", mode="late")
     raw = {"listen": format_address(listen), "control": "127.0.0.1:0"}
@@ -109,16 +109,17 @@
                 sock.sendall(line)
             balancer.end(signal.SIGKILL)
             for sock in socks:
-                assert ended(sock)
+                assert is_closed(sock)
             balancer.start()
         stand_ins.command("mode", mode="answers")
-        group = ordinary(balancer.address(), 100, 20)
+        group = ordinary_clients(balancer.address(), 100, 20)
         group.settle()
         assert all(client.up for client in group.clients)
         group.close()
 
 
-def ended(sock):
+def is_closed(sock):
+    """Return whether the connection ends without another byte; close it."""
     try:
         return sock.recv(100) == b""
     except ConnectionError:
@@ -127,13 +128,13 @@
         sock.close()
 
 
-def test_no_request_is_left_with_no_answer_and_none_has_two(tmp_path, stand_ins):
-    # Half of the servers hang, one resets: each request has one final answer by its time.
+def test_each_request_has_exactly_one_final_answer(tmp_path, stand_ins):
+    # Half of the servers hang, one resets first attempts. Each request must have one final answer in time.
     stand_ins.command("mode", mode="silent", servers=stand_ins.names[:3])
     stand_ins.command("mode", mode="resets-first", servers=stand_ins.names[3:4])
     with tier(tmp_path, stand_ins, 4) as balancers:
         groups = [
-            ordinary(balancer.address(), 1000 * (index + 1), 100, wait=1500)
+            ordinary_clients(balancer.address(), 1000 * (index + 1), 100, wait=1500)
             for index, balancer in enumerate(balancers)
         ]
         for group in groups:
@@ -144,10 +145,11 @@
             group.close()
 
 
-def test_of_two_dozen_processes_none_serves_nobody(tmp_path, stand_ins):
+def test_each_of_24_processes_serves_clients(tmp_path, stand_ins):
     with tier(tmp_path, stand_ins, 24) as balancers:
         groups = [
-            ordinary(balancer.address(), 1000 * (index + 1), 10) for index, balancer in enumerate(balancers)
+            ordinary_clients(balancer.address(), 1000 * (index + 1), 10)
+            for index, balancer in enumerate(balancers)
         ]
         for group in groups:
             group.settle()
