--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -90,7 +90,7 @@
 
 
 def cordon(node: Any, request: Request, out: bool) -> tuple[int, str]:
-    """Detach (`out`) or attach a server, and tell the sibling process.
+    """Detach (`out`) or attach a server, and send the order to the sibling process.
 
     Repeated orders succeed, as the server is in the requested state."""
     name = request.body.decode("utf-8", "replace").strip()
--- a/bellrack/net/fact_versions.py
+++ b/bellrack/net/fact_versions.py
@@ -12,8 +12,9 @@
 
 
 def supersedes(offered: Any, held: Any) -> bool:
-    """Return whether a fact of version `offered` replaces that of version `held`. Equal versions are the
-    same fact."""
+    """Return whether a fact of version `offered` replaces one of version `held`.
+
+    It does if the versions are equal: then it is the same fact."""
     return offered >= held
 
 
@@ -27,7 +28,7 @@
 
     @property
     def version(self) -> tuple[float, bool]:
-        """Orders by time; of two orders given at the same time, the one that detaches counts as later."""
+        """The sort key. Of two orders given at the same time, the one that detaches counts as later."""
         return self.ordered_at, self.cordon
 
 
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -25,7 +25,7 @@
     def __init__(self, node: Any):
         self.node = node
         self.sibling: sibling.Sibling | None = None  # the predecessor or the successor
-        # Hands connections to the successor; set once that listens in our place.
+        # Hands connections to the successor; set once the successor listens in our place.
         self.handoff_sender: handoff.HandoffSender | None = None
         # Takes over connections of the predecessor.
         self.handoff_receiver: handoff.HandoffReceiver | None = None
@@ -66,8 +66,9 @@
         return None
 
     async def take_over(self, predecessor: sibling.Predecessor) -> None:
-        """Adopt the predecessor's state and connect to it. This process listens in its place once it is
-        ready."""
+        """Adopt the predecessor's state and connect to it.
+
+        This process listens in its place later, once it is ready."""
         node, state = self.node, predecessor.state
         shared_state.adopt(node, state)
         node.readiness.serve_known_list = False  # the predecessor serves meanwhile
@@ -104,7 +105,7 @@
             self.sibling.send(**words)
 
     def publish_order(self, order: CordonOrder) -> None:
-        """Tell the sibling of an order to detach or attach a server."""
+        """Send the sibling an order to detach or attach a server."""
         self.publish(**shared_state.order_message(order))
 
     def publish_news(self, news: lines.Listing, of_current: bool) -> None:
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -1,8 +1,8 @@
 """The state that the two processes of a hot restart share, and how it is merged.
 
 `snapshot` makes the predecessor's state, `adopt` merges it into what the successor has learned while it
-waited for its turn, and `replies` makes the messages that tell the predecessor what it lacks. Which version
-of each fact is kept:
+waited for its turn, and `replies` makes messages with what the predecessor lacks. Of each fact one version is
+kept:
 
 | fact | version that is kept |
 | --- | --- |
@@ -119,7 +119,7 @@
 def adopt_learned(node: Any, predecessor: Predecessor) -> None:
     """Adopt what the predecessor has learned of the servers.
 
-    A server that has restarted since the predecessor was told of it is left out: it is cold, and would be
+    A server that has restarted since the predecessor received its entry is left out: it is cold, and would be
     treated as warm."""
     learned = dict(predecessor.state.get("learned", {}))
     entries = lines.listing(predecessor.state.get("list")).entries
@@ -133,7 +133,7 @@
 
 
 def same_start(server: Any, stamp: float | None) -> bool:
-    """Return whether this start stamp of the predecessor's list is the one that we have of the server."""
+    """Return whether the predecessor's list and ours have the same start stamp of a server."""
     return server is not None and server.host_record is not None and server.host_record.start.stamp == stamp
 
 
@@ -147,7 +147,7 @@
 
 
 def replies(node: Any, state: dict[str, Any]) -> Iterator[dict[str, Any]]:
-    """Yield messages with what the predecessor lacks, as its state shows: we may have been told more."""
+    """Yield messages with what the predecessor lacks, judging by its state: we may have received more."""
     predecessor = Predecessor(state)
     yield from order_replies(node, predecessor)
     theirs = predecessor.list_versions(node.discovery.address)
@@ -165,5 +165,5 @@
 
 
 def order_message(order: CordonOrder) -> dict[str, Any]:
-    """Return the message that tells the other process of an operator's order."""
+    """Return the message for the other process about an operator's order."""
     return {"out" if order.cordon else "back": order.name, "given": order.ordered_at}
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -184,7 +184,7 @@
             self.handoff_sender.close()
 
     def send_descriptors(self) -> None:
-        """Tell the sibling how many descriptors this process has open, again and again.
+        """Send the sibling the number of descriptors that this process has open, at regular intervals.
 
         The limit holds for both processes together, so each has to know the other's count."""
         if not self.transport.is_closing():
@@ -227,7 +227,7 @@
         """Accept a successor; send it the state, the listening socket and a socket for handed-over
         connections.
 
-        While there is a sibling already, it is told to ask again."""
+        If there is a sibling already, the successor gets BUSY_MESSAGE, and asks again."""
         try:
             sock, _ = self.sock.accept()
         except OSError:
--- a/bellrack/start_signals.py
+++ b/bellrack/start_signals.py
@@ -1,7 +1,7 @@
 """Signal handling outside the life of the event loop: while the process starts and after the loop is closed.
 
-SIGHUP and SIGUSR1 never end the process: one that arrives before the loop runs is recorded and carried out
-later. The module is imported and installed before any import that takes long. Signals that arrive even
+SIGHUP and SIGUSR1 never end the process: a signal that arrives before the loop runs is recorded and carried
+out later. The module is imported and installed before any import that takes long. Signals that arrive even
 earlier, while the interpreter starts, are ignored by the `run` command of the deploy file: the configuration
 is read after that anyway.
 """
