--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -7,7 +7,7 @@
 
 import pytest
 from helpers import World, played, raw_settings
-from test_handover import folder, free  # noqa: F401 (a fixture)
+from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
 
 from bellrack.net import lines, node, turns
 from bellrack.net.config import parse_config
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -13,7 +13,7 @@
 
 import pytest
 from helpers import Peer, World, played, raw_settings
-from processes import bound_socket, written
+from processes import bound_socket, format_address
 
 from bellrack.net import limits, listeners
 
@@ -158,7 +158,7 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1")
     entry = {
-        "hostPort": written(server.sockets[0]),
+        "hostPort": format_address(server.sockets[0]),
         "zone": "a",
         "cell": 0,
         "machineType": "m",
@@ -170,7 +170,7 @@
     rules = {"obligations": {"answerSlackUs": 16000, "coldShare": 0.2, "rampTimeUs": 2e7, "askWithinUs": 5e5}}
     raw = {
         "name": "n0",
-        "listen": written(clients),
+        "listen": format_address(clients),
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": limit},
         "discovery": written(discovery_server.sockets[0]),
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -10,7 +10,7 @@
 
 import pytest
 from helpers import Peer, World, played, raw_settings
-from test_handover import folder, free  # noqa: F401 (a fixture)
+from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
 
 from bellrack.net import config as configuration
 from bellrack.net import lines, listeners, node, servers, shutdown, sibling
