--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -43,7 +43,7 @@
             self.request.feed(self.ring.take(self.ring.held) if self.ring.held else b"")
             if self.request.done:
                 self.handle_request()
-            elif self.request.waits and not had_head:
+            elif self.request.awaits_continue and not had_head:
                 self.write(CONTINUE)
             elif self.remote_end:
                 self.finish(f"caller-{self.remote_end}", self.remote_end)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
 @played
 async def test_times_handed_over_in_a_hot_restart_keep_their_distance(folder, monkeypatch, step):  # noqa: F811
-    async with World(servers=2, control=True, listen=free()) as world:
+    async with World(servers=2, control=True, listen=reserved_address()) as world:
         old = world.node
         _, server = await world.standing()
         connection = next(iter(next(s for s in old.servers.values() if s.host_record.legs).host_record.legs))
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -60,7 +60,7 @@
 
     def __init__(self, path, raw):
         self.path, self.raw, self.max_held, self.admin = path, raw, 0, bound_socket()
-        path.write_text(json.dumps(raw | {"control": written(self.admin)}))
+        path.write_text(json.dumps(raw | {"control": format_address(self.admin)}))
 
     async def start(self, rlimit):
         def set_rlimit():
@@ -173,7 +173,7 @@
         "listen": format_address(clients),
         "seed": "8c1f30d27a5be964",
         "limits": {"sockets": limit},
-        "discovery": written(discovery_server.sockets[0]),
+        "discovery": format_address(discovery_server.sockets[0]),
         "settings": raw_settings(**rules),
         "known": {"generation": 41, "reset": True, "instances": discovery.entries[:1]},
     }
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -321,7 +321,7 @@
     monkeypatch.setenv("TMPDIR", str(folder / "none"))
     async with World(control=True) as world:
         await world.standing()
-        offered = [record.figures["offered"] for record in caplog.records if record.msg == "handover"]
+        offered = [record.fields["offered"] for record in caplog.records if record.msg == "handover"]
         assert offered == ["nothing"]
         assert not world.node.listeners.successor_socket
 
@@ -392,9 +392,9 @@
 def test_descriptor_limit_holds_for_both_processes_together():
     limits = Limits(200)
     limits.descriptors, limits.sibling_descriptors = 60, 60
-    assert not limits.crowded() and not limits.lacks(2)
+    assert not limits.reserve_reached() and not limits.lacks(2)
     limits.sibling_descriptors = 100
-    assert limits.crowded() and not limits.lacks(2)
+    assert limits.reserve_reached() and not limits.lacks(2)
     limits.sibling_descriptors = 115  # half of the reserve, here 24, is kept for admin and discovery
     assert limits.lacks(2) and not limits.lacks(1)
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -195,7 +195,7 @@
         for description, raw in invalid_files(world.raw | {"limits": {"sockets": 90}}):
             assert await file.reload(raw) == (0, 1), description
             assert (vars(node.settings), node.names, node.config, node.limits.limit) == before, description
-        errors = [record.figures["error"] for record in caplog.records if record.msg == "reload"]
+        errors = [record.fields["error"] for record in caplog.records if record.msg == "reload"]
         assert len(errors) > 30 and not node.counters["faults"]
         assert await file.reload(changed(world.raw, other={})) == (1, 0)
 
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -36,7 +36,7 @@
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.ENOBUFS, errno.ENFILE])
 @played
 async def test_shutdown_answers_queued_clients_after_a_failed_accept(monkeypatch, error):
-    monkeypatch.setattr(shutdown, "STAY", 0.0)
+    monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.0)
     async with World() as world:
         waiting = []
         original = world.node.listeners.socket
@@ -137,7 +137,7 @@
 async def test_successor_socket_is_created_once_the_folder_is_writable(folder, monkeypatch, call, error):  # noqa: F811
     failing_call = failing(getattr(os, call), error, times=2)
     monkeypatch.setattr(sibling.os, call, failing_call)
-    async with World(control=True, listen=free()) as world:
+    async with World(control=True, listen=reserved_address()) as world:
         await world.until(lambda: world.node.listeners.successor_socket)
         assert [path.name for path in folder.iterdir()] == [
             os.path.basename(world.node.listeners.successor_path)
@@ -158,7 +158,7 @@
         return original(sock, buffers, fds, *rest)
 
     monkeypatch.setattr(sibling.socket, "send_fds", send_part)
-    async with World(servers=2, control=True, listen=free()) as world:
+    async with World(servers=2, control=True, listen=reserved_address()) as world:
         assert (await world.ask("/_servers/detach", "s-1"))[0] == 200
         async with world.beside() as new:
             await world.until(lambda: world.node.hot_restart.has_successor)
