--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -437,7 +437,7 @@
     """A node that holds connections, as its looks see them."""
     alone = Alone()
     node = alone.node
-    node.server_list.on_list(lines.listing(json.loads(listing(servers))))
+    node.server_list.on_list(lines.parse_list(json.loads(listing(servers))))
     legs = list(node.servers.values())
     for n in range(connections):
         legs[n % servers].host_record.legs[StandingLink(node)] = None
@@ -492,7 +492,7 @@
 
     def taken_in(count: int) -> Any:
         alone = Alone()
-        alone.node.server_list.on_list(lines.listing(json.loads(listing(count))))
+        alone.node.server_list.on_list(lines.parse_list(json.loads(listing(count))))
         alone.loop.close()
         return alone
 
@@ -767,7 +767,7 @@
     told, spent = [], []
     for count in servers:
         with Alone() as node:
-            node.server_list.on_list(lines.listing(json.loads(listing(count))))
+            node.server_list.on_list(lines.parse_list(json.loads(listing(count))))
             told.append(len(json.dumps(node.hot_restart.snapshot())))
             spent.append(
                 processor_time(lambda node=node: json.dumps(node.hot_restart.snapshot()), 1 if quick else 3)
--- a/bellrack/lab/scale/standins.py
+++ b/bellrack/lab/scale/standins.py
@@ -115,7 +115,7 @@
         found = SERVING.search(self.text())
         if not found:
             raise ScaleError(f"bellrack serve ended: {self.text()[-300:]}")
-        return lines.address(found[1])
+        return lines.parse_address(found[1])
 
     def ended(self) -> int:
         """Nanoseconds of processor time that it took in all, once it has ended."""
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -173,7 +173,7 @@
         if plan.lean:
             self.keeper = VirtualHollow(self.configuration(0, 0, 0), self.loop, figures.Figures(), self.post)
             self.keeper.alive = False  # it keeps the list, and does nothing of its own
-            self.keeper.server_list.on_list(lines.listing(lines.parsed(self.desk.whole())))
+            self.keeper.server_list.on_list(lines.parse_list(lines.parse_json(self.desk.whole())))
             self.shared = self.keeper.servers
         for number in range(played or plan.balancers):
             self.figures.append(figures.Figures())
@@ -270,7 +270,7 @@
     def tell_change(self, number: int, state: str) -> None:
         line = self.desk.change(number, state)
         if self.plan.lean:
-            self.keeper.server_list.on_list(lines.listing(lines.parsed(line)))
+            self.keeper.server_list.on_list(lines.parse_list(lines.parse_json(line)))
             for node in list(self.watching):
                 if not node.alive:
                     del self.watching[node]
--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -106,7 +106,9 @@
 
     def refuse_for_descriptors(self) -> None:
         """Before accepting fails: whatever it wants, it is told; but a resumed connection waits for room."""
-        expected = self.node.resumed.window.admits(self.node.now) and lines.names_server(self.ring.peek())
+        expected = self.node.resumed.window.admits(self.node.now) and lines.is_resumed_request(
+            self.ring.peek()
+        )
         if not expected and not self.node.resumed.expects_more():
             self.busy()
 
@@ -144,7 +146,7 @@
 
     def reject_unread(self, reason: str = "no-descriptors", how: str = "fin") -> None:
         """Nothing has been sent for it, so trying again is harmless."""
-        self.write_final(lines.busy(self.node.settings.max_open_wait))
+        self.write_final(lines.busy_line(self.node.settings.max_open_wait))
         self.finish(reason, how)
 
     def on_line(self, line: bytes) -> None:
--- a/bellrack/net/config.py
+++ b/bellrack/net/config.py
@@ -13,7 +13,7 @@
 
 from bellrack.model import Settings
 from bellrack.net import transient
-from bellrack.net.lines import LineError, Listing, address, listing
+from bellrack.net.lines import LineError, Listing, parse_address, parse_list
 from bellrack.settings import (
     ProtocolNames,
     SettingsError,
@@ -86,25 +86,25 @@
         raise SettingsError("not an object")
     known, known_error = None, ""
     try:
-        known = listing(raw["known"]) if raw.get("known") else None
+        known = parse_list(raw["known"]) if raw.get("known") else None
     except LineError as error:
         # Guards against a start that fails for a list that discovery tells anew: as if none were known.
         known_error = str(error)
     try:
         return Config(
             name=str(raw.get("name", "")),
-            listen=address(raw["listen"]),
-            discovery=address(raw["discovery"]),
+            listen=parse_address(raw["listen"]),
+            discovery=parse_address(raw["discovery"]),
             seed=int(str(raw.get("seed", "0")), 16),
             sockets=int(raw.get("limits", {}).get("sockets", 1024)),
             settings=parse_settings(check_shape(raw["settings"])),
             names=parse_protocol_names(raw["settings"]),
             known=known,
             known_error=known_error,
-            peer_listen=address(raw["peer_listen"]) if raw.get("peer_listen") else None,
-            peers=[address(peer) for peer in raw.get("peers", [])],
-            peers_all=address(raw["peers_all"]) if raw.get("peers_all") else None,
-            control=address(raw["control"]) if raw.get("control") else None,
+            peer_listen=parse_address(raw["peer_listen"]) if raw.get("peer_listen") else None,
+            peers=[parse_address(peer) for peer in raw.get("peers", [])],
+            peers_all=parse_address(raw["peers_all"]) if raw.get("peers_all") else None,
+            control=parse_address(raw["control"]) if raw.get("control") else None,
             raw={key: value for key, value in raw.items() if key != "known"},
         )
     except KeyError as error:
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -69,7 +69,7 @@
         try:
             while self.ring.held and not self.closed:
                 self.body += self.response.feed(self.ring.take(self.ring.held))
-                if len(self.body) > lines.MOST:
+                if len(self.body) > lines.MAX_DISCOVERY_BYTES:
                     raise lines.LineError("too-long")
             if self.response.status != begun:
                 # Once: guards against a watch taken for silent since its call had to wait for its turn.
@@ -86,7 +86,7 @@
             ):
                 self.finish("listed")
                 if self.address == self.node.discovery.address:
-                    self.node.server_list.on_list(lines.listing(lines.parsed(self.body)), fetched=True)
+                    self.node.server_list.on_list(lines.parse_list(lines.parse_json(self.body)), fetched=True)
                     self.node.discovery.confirmed(self.started_at)
         except lines.LineError as error:
             self.fail(str(error).partition(":")[0])
@@ -98,7 +98,7 @@
         while b"\n" in self.body and not self.closed:
             line, end, self.body = self.body.partition(b"\n")
             if news := self.objects.feed(line + end):
-                news = lines.listing(news)
+                news = lines.parse_list(news)
                 discovery.on_line(self, news=True)
                 self.node.server_list.on_list(news, counts=self is not discovery.previous)
             elif self.objects.whole and not self.received_line:
--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -182,7 +182,7 @@
     def standing(self, client: ClientConnection, words: dict[str, Any]) -> ServerConnection:
         """The call and its one leg, as they stood in the other process."""
         node, request_line = self.node, lines.parse_request_line(words["line"].encode())
-        name, place = str(words["server"]), lines.address(words["place"])
+        name, place = str(words["server"]), lines.parse_address(words["place"])
         server = node.server(lines.id_hash(name))
         server.host_record = server.host_record or Endpoint(name, place)
         call = node.new_call(
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -114,7 +114,7 @@
             node.limits.sibling_descriptors = int(said["held"]) + max(0, on_the_way)
             node.limits.make_room(node.now)
         if "news" in said and said.get("discovery") == lines.format_address(node.discovery.address):
-            node.server_list.on_sibling_news(lines.listing(said["news"]))
+            node.server_list.on_sibling_news(lines.parse_list(said["news"]))
         if "out" in said or "back" in said:
             given = float(said.get("given", node.clock() - node.anchor))
             order = CordonOrder(str(said.get("out") or said["back"]), "out" in said, given)
--- a/bellrack/net/lines.py
+++ b/bellrack/net/lines.py
@@ -24,13 +24,13 @@
     "ERR": model.ERROR,
     "BUSY": model.FULL,
 }
-MOST = 1 << 22  # bytes of one line or head of discovery
+MAX_DISCOVERY_BYTES = 1 << 22  # bytes of one line or head of discovery
 DIGITS = 16  # of a number on a line
-LINE = 4096  # bytes of a line of clients and servers, its end included
+MAX_LINE_BYTES = 4096  # bytes of a line of clients and servers, its end included
 # Printable but for the comma, and for the name no equals sign; names of other tongues come as UTF-8.
 PAIR = rb"[!-+\--<>-~\x80-\xff]+=[!-+\--~\x80-\xff]*"
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # of JSON; none goes over the end of a line
-OPEN = re.compile(rb"OPEN ([!-~]+) ([0-9A-Fa-f]{1,16}) (%b(?:,%b)*)\r\n" % (PAIR, PAIR))
+REQUEST_LINE = re.compile(rb"OPEN ([!-~]+) ([0-9A-Fa-f]{1,16}) (%b(?:,%b)*)\r\n" % (PAIR, PAIR))
 
 
 class LineError(ValueError):
@@ -64,8 +64,8 @@
 
 def parse_request_line(line: bytes) -> RequestLine:
     """Strict, since the line goes on to a server as it is."""
-    form = OPEN.fullmatch(line)
-    if not form or len(line) > LINE:
+    form = REQUEST_LINE.fullmatch(line)
+    if not form or len(line) > MAX_LINE_BYTES:
         raise LineError("not-open")
     try:
         name, key, pairs = (part.decode() for part in form.groups())
@@ -77,14 +77,14 @@
     return RequestLine(line, name, int(key, 16), values)
 
 
-def names_server(data: bytes) -> bool:
+def is_resumed_request(data: bytes) -> bool:
     """Do these bytes, whole lines or not, begin a resumed connection?"""
     return any(
         line.startswith(b"OPEN ") and (b" at=" in line or b",at=" in line) for line in data.split(b"\n")
     )
 
 
-def with_wait(asked: RequestLine, seconds: float) -> bytes:
+def with_remaining_wait(asked: RequestLine, seconds: float) -> bytes:
     """The line as it goes on: unchanged, but for how long we will wait."""
     if "d" not in asked.values:
         return asked.line
@@ -94,13 +94,13 @@
     return head + space + b",".join(kept) + b"\r\n"
 
 
-def answer(line: bytes) -> tuple[str, str]:
+def parse_server_line(line: bytes) -> tuple[str, str]:
     """What a server's line means, '' for none of the known, and the rest of it."""
     word, _, rest = line.decode("ascii", "replace").strip().partition(" ")
     return ANSWERS.get(word, ""), rest
 
 
-def busy(wait: float) -> bytes:
+def busy_line(wait: float) -> bytes:
     return b"BUSY %d\r\n" % int(wait * 1000) if wait > 0 else b"BUSY\r\n"
 
 
@@ -122,10 +122,12 @@
     entries: list[Entry]
 
 
-def listing(raw: Any) -> Listing:
+def parse_list(raw: Any) -> Listing:
     """A list or the changes of one, from its JSON object."""
     try:
-        return Listing(int(raw["generation"]), bool(raw["reset"]), [entry(item) for item in raw["instances"]])
+        return Listing(
+            int(raw["generation"]), bool(raw["reset"]), [parse_entry(item) for item in raw["instances"]]
+        )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
         raise LineError(f"bad-list: {error!r}") from None
 
@@ -170,7 +172,7 @@
     return list_message(rows, news.version, news.whole)
 
 
-def entry(item: Any) -> Entry:
+def parse_entry(item: Any) -> Entry:
     """One server. Guards against a list lost for one entry: in a state that we do not know it gets nothing
     new, and one that is gone needs no address."""
     state = STATES.get(item["lifecycle"], model.DRAINING)
@@ -179,7 +181,7 @@
     since = float(item.get("startedAtMs", 0)) / 1000
     return Entry(
         item["instanceId"],
-        address(item["hostPort"]) if item["hostPort"] or state != model.GONE else None,
+        parse_address(item["hostPort"]) if item["hostPort"] or state != model.GONE else None,
         item["zone"],
         (
             state,
@@ -200,13 +202,13 @@
     return number if 0 <= number < math.inf and not isinstance(told, bool) else None
 
 
-def report(line: bytes, count: int) -> tuple[float, ...] | None:
+def parse_report(line: bytes, count: int) -> tuple[float, ...] | None:
     """The values of a load report, `PONG` before them or not; nothing if one is missing or no figure."""
     values = tuple(map(parse_number, line.removeprefix(b"PONG").split()))
     return values if len(values) == count and None not in values else None
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     host, colon, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
         raise ValueError(f"no address: {text!r}")
@@ -245,7 +247,7 @@
                 self.done = not self.left and not self.chunked
             elif not self._chunk():
                 break
-        if len(self.rest) > MOST:
+        if len(self.rest) > MAX_DISCOVERY_BYTES:
             raise LineError("too-long")
         return body
 
@@ -310,11 +312,11 @@
         bare = STRING.sub(b"", line)
         self.depth += sum(map(bare.count, (b"{", b"["))) - sum(map(bare.count, (b"}", b"]")))
         if self.depth > 0:
-            if len(self.text) > MOST:
+            if len(self.text) > MAX_DISCOVERY_BYTES:
                 raise LineError("too-long")
             return None
         text, self.text, self.depth = self.text, b"", 0
-        return parsed(text) if text.strip() else None
+        return parse_json(text) if text.strip() else None
 
     @property
     def whole(self) -> bool:
@@ -322,7 +324,7 @@
         return not self.text
 
 
-def parsed(text: bytes) -> Any:
+def parse_json(text: bytes) -> Any:
     try:
         return json.loads(text)
     except (ValueError, RecursionError):
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -80,7 +80,7 @@
         self.act(self.cancelled, leg)
 
     def reject(self, call: Call, wait: float = 0.0) -> None:
-        self.answer(call, lines.busy(min(wait, self.settings.max_open_wait)), "rejected")
+        self.answer(call, lines.busy_line(min(wait, self.settings.max_open_wait)), "rejected")
 
     def release(self, call: Call) -> None:
         self.answer(call, b"ERR\r\n", "released")
--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -15,7 +15,7 @@
 import struct
 from typing import Any
 
-from bellrack.net.lines import LINE
+from bellrack.net.lines import MAX_LINE_BYTES
 
 SIZE = 8192  # of a ring: a whole line and the start of the next
 HIGH = 16384  # bytes that a transport may hold unsent before the other side's reading pauses
@@ -62,7 +62,7 @@
     @property
     def stuck(self) -> bool:
         """Longer than a line may be, and no end in sight."""
-        return self.held > LINE and not self._length()
+        return self.held > MAX_LINE_BYTES and not self._length()
 
     def _length(self) -> int:
         size = self.size
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -165,7 +165,7 @@
         else:
             self.written = True
             self.node.counters["upstream_requests"] += 1
-            self.write(lines.with_wait(self.client.request_line, self.until - self.node.now))
+            self.write(lines.with_remaining_wait(self.client.request_line, self.until - self.node.now))
 
     def refusal(self) -> str:
         """The one guard before a first line is written: why it must not be, or ''. It asks the clock itself,
@@ -194,7 +194,7 @@
         return self.client.closed or self.leg.call.done
 
     def answered(self, line: bytes) -> None:
-        kind, _ = lines.answer(line)
+        kind, _ = lines.parse_server_line(line)
         if self.answered_already():
             # Guards against a leg that stands for nobody, and against a second answer behind the first.
             self.end(model.CANCELLED, "client-answered")
@@ -212,7 +212,7 @@
             self.end(kind or model.ERROR, f"answer-{kind or 'unknown'}")
 
     def on_line(self, line: bytes) -> None:
-        kind, rest = lines.answer(line)
+        kind, rest = lines.parse_server_line(line)
         if kind in (model.COMPLETED, model.CANCELLED):
             # Guards against a server that hangs between its last line and the end that its client waits for.
             self.said = kind
@@ -281,7 +281,7 @@
             line = (self.ring.line() or b"").strip()  # the report may stand on a line of its own
         if line == b"PONG" and not self.fields:
             self.over_with(model.COMPLETED)
-        elif self.fields and (values := lines.report(line, self.fields)):
+        elif self.fields and (values := lines.parse_report(line, self.fields)):
             self.over_with(model.COMPLETED, values)
         elif line:
             self.node.counters["bad_reports"] += bool(self.fields)
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -95,7 +95,7 @@
 
 
 def adopt_list(node: Any, predecessor: Predecessor) -> None:
-    news, server_list = lines.listing(predecessor.told.get("list")), node.server_list
+    news, server_list = lines.parse_list(predecessor.told.get("list")), node.server_list
     theirs = predecessor.list_versions(node.discovery.address)
     if theirs is not None:
         server_list.on_predecessor_list(news, theirs)
@@ -107,7 +107,7 @@
     """Not of a server that has started anew since the predecessor heard of it: guards against a cold server
     that is taken for warm."""
     learned = dict(predecessor.told.get("learned", {}))
-    entries = lines.listing(predecessor.told.get("list")).entries
+    entries = lines.parse_list(predecessor.told.get("list")).entries
     stamps = {str(lines.id_hash(entry.name)): entry.row[3] for entry in entries}
     learned["servers"] = {
         mark: values
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -115,7 +115,7 @@
 
 def test_the_played_entries_are_what_the_program_itself_writes():
     with roles.Alone() as node:
-        node.server_list.on_list(lines.listing(json.loads(roles.listing(3))))
+        node.server_list.on_list(lines.parse_list(json.loads(roles.listing(3))))
         told = node.hot_restart.snapshot()["list"]["instances"]
     assert told == roles.rows(3)
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -31,7 +31,7 @@
 
 def tell(host, generation, *entries, reset=False):
     news = {"generation": generation, "reset": reset, "instances": list(entries)}
-    host.server_list.on_list(lines.listing(news))
+    host.server_list.on_list(lines.parse_list(news))
     host.discovery.confirmed(host.now)
 
 
@@ -89,7 +89,7 @@
     """It has started since the list that the process was given, whatever its own clock says."""
     host, true = host_at(monkeypatch), time.time()
     known = [entry("s-0", 0), entry("s-1", 0), entry("s-2", true - 2.0)]
-    host.server_list.load_known_list(lines.listing({"generation": 5, "reset": True, "instances": known}))
+    host.server_list.load_known_list(lines.parse_list({"generation": 5, "reset": True, "instances": known}))
     tell(host, 7, entry("s-0", true - 1.0 + step), *known[1:], reset=True)
     s_0, s_1 = (host.servers[lines.id_hash(name)].local_state.warm_at - host.now for name in ("s-0", "s-1"))
     assert s_0 == pytest.approx(RAMP, abs=1e-6) and s_1 <= 0
@@ -101,7 +101,7 @@
     """Its clock is behind, and no list that the process was given names it."""
     host, true = host_at(monkeypatch), time.time()
     host.server_list.load_known_list(
-        lines.listing({"generation": 5, "reset": True, "instances": [entry("s-1", true - 500.0)]})
+        lines.parse_list({"generation": 5, "reset": True, "instances": [entry("s-1", true - 500.0)]})
     )
     tell(host, 7, entry("s-0", true - 1.0 + step), entry("s-1", true - 500.0), reset=True)
     assert host.servers[lines.id_hash("s-0")].local_state.warm_at >= host.now + RAMP - 1.1
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -161,7 +161,7 @@
         for state in ("terminated", "in_service"):
             entry = place | {"lifecycle": state}
             world.node.server_list.on_list(
-                lines.listing({"generation": 50, "reset": False, "instances": [entry]})
+                lines.parse_list({"generation": 50, "reset": False, "instances": [entry]})
             )
             world.node.server_watch.check()
             world.node.server_watch.check()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -480,7 +480,7 @@
         number, server, _ = await world.leg()
         assert number == 0  # of our own zone
         drained = [world.entries[0] | {"lifecycle": "terminating"}]
-        news = lines.listing({"generation": 50, "reset": False, "instances": drained})
+        news = lines.parse_list({"generation": 50, "reset": False, "instances": drained})
         world.node.queue(world.node.server_list.on_list, news)
         await world.until(lambda: world.node.server_list.version == 50)
         if outcome in ("fin", "rst", "half"):
--- a/tests/test_first_line.py
+++ b/tests/test_first_line.py
@@ -56,7 +56,7 @@
     assert not first_line.may_still_come(data, may_precede_run=True)
 
 
-@given(st.from_regex(lines.OPEN, fullmatch=True), st.data())
+@given(st.from_regex(lines.REQUEST_LINE, fullmatch=True), st.data())
 def test_each_part_of_a_line_in_form_may_become_one(line, data):
     assert first_line.may_begin_resumed(line[: data.draw(st.integers(0, len(line) - 1))])
 
@@ -66,7 +66,7 @@
     """Whatever comes later: if a line in form may follow, its beginning was taken for one."""
     begun = LINE[:at] + junk
     line = begun + rest + b"\r\n"
-    if lines.OPEN.fullmatch(line):
+    if lines.REQUEST_LINE.fullmatch(line):
         assert first_line.may_begin_resumed(begun)
 
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -63,7 +63,7 @@
         def one_turn():
             leave_now(world, client, how)
             world.node.server_list.on_list(
-                lines.listing({"generation": 42, "reset": True, "instances": [entry]})
+                lines.parse_list({"generation": 42, "reset": True, "instances": [entry]})
             )
             world.node.balancer.on_timer("queue")
             assert not world.node.balancer.queued and world.node.actions  # it was placed
@@ -223,7 +223,9 @@
 async def test_200_lines_in_an_instant(capsys):
     async with World(sockets=900, trafficTypes=PATIENT) as world:
         entries = [world.entries[0] | {"instanceId": f"s-{number}"} for number in range(100)]
-        world.node.server_list.on_list(lines.listing({"generation": 42, "reset": True, "instances": entries}))
+        world.node.server_list.on_list(
+            lines.parse_list({"generation": 42, "reset": True, "instances": entries})
+        )
         socks = [socket.create_connection(world.node.address) for _ in range(200)]
         await world.until(lambda: len(world.node.clients) == 200, 10)
         for number, sock in enumerate(socks):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -401,7 +401,7 @@
     from bellrack.net import lines
 
     row = ("s-1", ("127.0.0.1", 9), "a", "draining", 3, 1.5, 100.25, "m2")
-    (entry,) = lines.listing(json.loads(json.dumps(lines.list_message([row])))).entries
+    (entry,) = lines.parse_list(json.loads(json.dumps(lines.list_message([row])))).entries
     assert (entry.name, entry.address, entry.zone, entry.machine) == ("s-1", ("127.0.0.1", 9), "a", "m2")
     assert entry.row == ("draining", 3, 1.5, 100.25)
 
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -79,13 +79,13 @@
 )
 def test_a_list_that_cannot_be_read_is_refused(raw):
     with pytest.raises(lines.LineError):
-        lines.listing(raw)
+        lines.parse_list(raw)
 
 
 def test_a_list_is_not_lost_for_an_entry_that_is_odd_or_gone():
     odd = {"instanceId": "s-1", "hostPort": "h:1", "zone": "a", "lifecycle": "resting"}
     gone = {"instanceId": "s-2", "lifecycle": "terminated"}
-    news = lines.listing({"generation": 1, "reset": False, "instances": [odd, gone]})
+    news = lines.parse_list({"generation": 1, "reset": False, "instances": [odd, gone]})
     assert [(entry.row[0], entry.address) for entry in news.entries] == [
         (model.DRAINING, ("h", 1)),
         (model.GONE, None),
@@ -103,14 +103,14 @@
         "weight": weight,
         "startedAtMs": float("nan"),
     }
-    assert lines.entry(raw).row[2:] == (None, 0.0)  # what was listed before stands
-    assert lines.entry(raw | {"weight": 3.5}).row[2] == 3.5
+    assert lines.parse_entry(raw).row[2:] == (None, 0.0)  # what was listed before stands
+    assert lines.parse_entry(raw | {"weight": 3.5}).row[2] == 3.5
 
 
 @pytest.mark.parametrize("text", [b"[" * 100_000, b"{", b"\xff"])
 def test_what_is_not_json_is_refused(text):
     with pytest.raises(lines.LineError):
-        lines.parsed(text)
+        lines.parse_json(text)
 
 
 def test_marks_are_the_same_at_every_start():
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -291,7 +291,7 @@
         drained = world.entry(chosen, world.entries[int(chosen)]["hostPort"], "terminating")
         world.node.queue(
             world.node.server_list.on_list,
-            lines.listing({"generation": 42, "reset": False, "instances": [drained]}),
+            lines.parse_list({"generation": 42, "reset": False, "instances": [drained]}),
             first=True,
         )
         gate.set()
@@ -659,7 +659,8 @@
     async with World(servers=2) as world:
         client, server = await world.standing()
         world.node.queue(
-            world.node.server_list.on_list, lines.listing({"generation": 42, "reset": True, "instances": []})
+            world.node.server_list.on_list,
+            lines.parse_list({"generation": 42, "reset": True, "instances": []}),
         )
         await world.until(lambda: len(world.node.servers) == 1)
         await asyncio.sleep(0.2)
@@ -668,7 +669,7 @@
         client.end("fin")
         await world.until(lambda: not world.node.servers and not world.node.balancer.fleet)
         world.node.queue(
-            world.node.server_list.on_list, lines.listing(world.raw["known"] | {"generation": 43})
+            world.node.server_list.on_list, lines.parse_list(world.raw["known"] | {"generation": 43})
         )
         await world.standing()
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -308,7 +308,7 @@
     """Where it serves, by its log, or None if it ended."""
     async for line in process.stderr:
         if b"event=serving" in line:
-            return lines.address(line.split(b"listen=")[1].split()[0].decode())
+            return lines.parse_address(line.split(b"listen=")[1].split()[0].decode())
     return None
 
 
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -49,7 +49,7 @@
     """Discovery's watch brings this."""
     node.now = node.clock()
     news = {"generation": version, "reset": whole, "instances": list(entries)}
-    node.server_list.on_list(lines.listing(news))
+    node.server_list.on_list(lines.parse_list(news))
 
 
 def states(node):
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -155,7 +155,7 @@
         gone = {"instanceId": "s-1", "hostPort": "", "lifecycle": "terminated"}
         instances = [drained, world.entries[2]] if whole else [drained, gone]
         news = {"generation": 60, "reset": whole, "instances": instances}
-        told.queue(told.server_list.on_list, lines.listing(news))
+        told.queue(told.server_list.on_list, lines.parse_list(news))
         marks = [lines.id_hash(entry["instanceId"]) for entry in world.entries]
         await world.until(lambda: other.servers[marks[0]].state == model.DRAINING)
         assert other.servers[marks[1]].state == model.GONE and other.servers[marks[2]].usable
@@ -197,7 +197,7 @@
     async with World(control=True, listen=free()) as world:
         first = world.node
         instances = [world.entries[0] | {"instanceId": f"server-{number:08}"} for number in range(3200)]
-        first.server_list.on_list(lines.listing({"generation": 60, "reset": True, "instances": instances}))
+        first.server_list.on_list(lines.parse_list({"generation": 60, "reset": True, "instances": instances}))
         assert (await world.ask("/_servers/detach", "server-00000007"))[0] == 200
         async with world.beside() as second:
             await world.until(lambda: first.hot_restart.has_successor)
@@ -239,7 +239,7 @@
     """Its server has started a while ago, and the list said so at once."""
     host.now = host.clock()
     host.server_list.on_list(
-        lines.listing(
+        lines.parse_list(
             {
                 "generation": 60,
                 "reset": False,
