--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -249,10 +249,10 @@
     def feed(self, data: bytes) -> None:
         view = memoryview(data)
         while view:
-            space = self.ring.space()
+            space = self.ring.writable_space()
             count = min(len(space), len(view))
             space[:count] = view[:count]
-            self.ring.added(count)
+            self.ring.commit(count)
             self.ready()
             view = view[count:]
 
--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -88,18 +88,18 @@
     def ready(self) -> None:
         if self.call is None and not self.node.limits.make_room(self.node.now, 2):
             self.refuse_for_descriptors()
-        while not self.closed and self.call is None and (line := self.ring.line()):
+        while not self.closed and self.call is None and (line := self.ring.take_line()):
             self.first(line)
         if self.closed:
             return
-        if self.call is None and self.ring.held and not self.remote_end:
+        if self.call is None and self.ring.length and not self.remote_end:
             self.node.limits.on_partial_line(self, self.node.now)
         if self.paired:
             self.pass_on()
-        if self.call and not self.paired and self.ring.held:
+        if self.call and not self.paired and self.ring.length:
             # Guards against hundreds of commands at once: whoever waits for UP as agreed says nothing before.
             self.refuse("not-awaited")
-        elif self.ring.stuck:
+        elif self.ring.line_too_long:
             self.refuse("line-too-long")
         elif self.done():
             self.on_remote_end()
@@ -119,7 +119,7 @@
     def first(self, line: bytes) -> None:
         if line.strip() == b"PING":
             if not self.node.takes_requests:
-                if self.ring.held:
+                if self.ring.length:
                     return  # a request behind it has its answer
                 self.finish("not-ready")  # as if nobody listened yet
                 return
--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -38,7 +38,7 @@
     def ready(self) -> None:
         try:
             waited = self.request.method
-            self.request.feed(self.ring.take(self.ring.held) if self.ring.held else b"")
+            self.request.feed(self.ring.take(self.ring.length) if self.ring.length else b"")
             if self.request.done:
                 self.called()
             elif self.request.waits and not waited:
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -67,8 +67,8 @@
             )
         begun = self.response.status
         try:
-            while self.ring.held and not self.closed:
-                self.body += self.response.feed(self.ring.take(self.ring.held))
+            while self.ring.length and not self.closed:
+                self.body += self.response.feed(self.ring.take(self.ring.length))
                 if len(self.body) > lines.MAX_DISCOVERY_BYTES:
                     raise lines.LineError("too-long")
             if self.response.status != begun:
--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -33,12 +33,12 @@
 
 def taken(link: Connection) -> bytes:
     """What has come in and was not yet read."""
-    return link.ring.take(link.ring.held)
+    return link.ring.take(link.ring.length)
 
 
 def put_back(link: Connection, data: bytes) -> None:
-    link.ring.space()[: len(data)] = data
-    link.ring.added(len(data))
+    link.ring.writable_space()[: len(data)] = data
+    link.ring.commit(len(data))
 
 
 def written(data: bytes) -> str:
@@ -73,7 +73,7 @@
         left = SLICE
         for client in list(self.node.clients):
             # One that is to be resumed and sends more before it is up is malformed: it is answered here.
-            resumes = client in self.node.resumed.pending and not client.ring.held
+            resumes = client in self.node.resumed.pending and not client.ring.length
             if client.call is None or client.paired or resumes:
                 if not left:
                     return True
--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -31,43 +31,43 @@
 class Ring:
     """A fixed number of bytes, first in, first out."""
 
-    __slots__ = ("size", "data", "view", "start", "held")
+    __slots__ = ("size", "data", "view", "start", "length")
 
     def __init__(self, size: int = SIZE):
         self.size, self.data = size, bytearray()
-        self.start = self.held = 0
+        self.start = self.length = 0
 
-    def space(self) -> memoryview:
+    def writable_space(self) -> memoryview:
         """Free room in one piece; empty only when the ring is full."""
         if not self.data:  # guards against hundreds of connections that say nothing, each with its ring
             self.data = bytearray(self.size)
             self.view = memoryview(self.data)
-        if not self.held:
+        if not self.length:
             self.start = 0
-        end, size = self.start + self.held, self.size
+        end, size = self.start + self.length, self.size
         return self.view[end - size : self.start] if end >= size else self.view[end:]
 
-    def added(self, count: int) -> None:
-        self.held += count
+    def commit(self, count: int) -> None:
+        self.length += count
 
     @property
     def full(self) -> bool:
-        return self.held == self.size
+        return self.length == self.size
 
-    def line(self) -> bytes | None:
+    def take_line(self) -> bytes | None:
         """Take the first whole line, its end included."""
         length = self._length()
         return self.take(length) if length else None
 
     @property
-    def stuck(self) -> bool:
+    def line_too_long(self) -> bool:
         """Longer than a line may be, and no end in sight."""
-        return self.held > MAX_LINE_BYTES and not self._length()
+        return self.length > MAX_LINE_BYTES and not self._length()
 
     def _length(self) -> int:
         size = self.size
-        over = self.start + self.held - size
-        at = self.data.find(b"\n", self.start, min(self.start + self.held, size))
+        over = self.start + self.length - size
+        at = self.data.find(b"\n", self.start, min(self.start + self.length, size))
         if at < 0 < over:
             at = self.data.find(b"\n", 0, over)
             return size - self.start + at + 1 if at >= 0 else 0
@@ -75,7 +75,7 @@
 
     def peek(self, count: int | None = None) -> bytes:
         """The first so many of the bytes held, or all of them; they stay."""
-        count = self.held if count is None else count
+        count = self.length if count is None else count
         if not count:
             return b""
         size, end = self.size, self.start + count
@@ -86,7 +86,7 @@
 
     def take(self, count: int) -> bytes:
         out = self.peek(count)
-        self.start, self.held = (self.start + count) % self.size, self.held - count
+        self.start, self.length = (self.start + count) % self.size, self.length - count
         return out
 
 
@@ -128,7 +128,7 @@
             self.node.limits.count_descriptors(1 if on else -1)
 
     def get_buffer(self, hint: int) -> memoryview:
-        return SCRATCH if self.closed else self.ring.space()
+        return SCRATCH if self.closed else self.ring.writable_space()
 
     def buffer_updated(self, count: int) -> None:
         if self.closed:
@@ -137,7 +137,7 @@
             if self.dropped > DROPPED:
                 self.transport.abort()
             return
-        self.ring.added(count)
+        self.ring.commit(count)
         if self.ring.full:
             self.paused = True
             self.transport.pause_reading()
@@ -198,7 +198,7 @@
     def pass_on(self) -> None:
         """Whole lines go on to the other end, unchanged, while it has room."""
         out = []
-        while not self.paired.blocked and (line := self.ring.line()):
+        while not self.paired.blocked and (line := self.ring.take_line()):
             out.append(line)
             self.on_line(line)
         if out:
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -144,15 +144,15 @@
             self.client.forget_if_closed()
         if not self.closed and not self.written and not self.remote_end:
             self.speak()
-        while not self.closed and not self.leg.established and (line := self.ring.line()):
+        while not self.closed and not self.leg.established and (line := self.ring.take_line()):
             self.answered(line)
         if self.closed:
             return
         if self.leg.established:
             self.pass_on()
-        if self.ring.stuck and self.leg.established:
+        if self.ring.line_too_long and self.leg.established:
             self.client.move("line-too-long", model.RESET)
-        elif self.ring.stuck:
+        elif self.ring.line_too_long:
             self.end(model.ERROR, "line-too-long", "rst")
         elif self.done():
             self.lost()
@@ -276,9 +276,9 @@
         if not self.asked and not self.remote_end:
             self.asked = True
             self.write(b"STATS\r\n" if self.fields else b"PING\r\n")
-        line = (self.ring.line() or b"").strip()
+        line = (self.ring.take_line() or b"").strip()
         if line == b"PONG" and self.fields:
-            line = (self.ring.line() or b"").strip()  # the report may stand on a line of its own
+            line = (self.ring.take_line() or b"").strip()  # the report may stand on a line of its own
         if line == b"PONG" and not self.fields:
             self.over_with(model.COMPLETED)
         elif self.fields and (values := lines.parse_report(line, self.fields)):
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -184,7 +184,7 @@
     async with World() as world:
         slow, silent = await world.dial(), await world.dial()
         slow.writer.write(b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch")
-        await world.until(lambda: [one.ring.held for one in world.node.clients if one.ring.held] == [43])
+        await world.until(lambda: [one.ring.length for one in world.node.clients if one.ring.length] == [43])
         world.node.queue(world.node.begin_shutdown)
         await world.until(
             lambda: world.node.shutdown and world.node.clock() - world.node.shutdown.started_at > 0.3
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -17,19 +17,19 @@
     ring, plain = Ring(16), bytearray()
     for piece in pieces:
         while piece:
-            room = ring.space()
+            room = ring.writable_space()
             assert len(room) > 0 or ring.full
             part = piece[: len(room)]
             room[: len(part)] = part
-            ring.added(len(part))
+            ring.commit(len(part))
             plain += part
             piece = piece[len(part) :]
-            while (line := ring.line()) is not None:
+            while (line := ring.take_line()) is not None:
                 assert line.endswith(b"\n") and plain.startswith(line) and b"\n" not in line[:-1]
                 del plain[: len(line)]
-            assert b"\n" not in plain and ring.held == len(plain)
+            assert b"\n" not in plain and ring.length == len(plain)
             if ring.full:
-                assert ring.take(ring.held) == bytes(plain)
+                assert ring.take(ring.length) == bytes(plain)
                 plain.clear()
 
 
