--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -89,7 +89,7 @@
             if question and question.transport:
                 question.transport.abort()
             elif question:
-                question.drop()
+                question.cancel_connect()
 
     def queue(self, what: Callable, *values: Any, first: bool = False) -> None:
         if self.alive:
--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -45,7 +45,7 @@
         lasted = self.node.clock() - self.opened if self.opened is not None else 0.0
         return {"peer": lines.format_address(peer) if peer else "none", "lasted": lasted}
 
-    def made(self) -> None:
+    def on_connected(self) -> None:
         self.node.clients[self] = None
         now = self.node.clock()
         self.opened = now if self.opened is None else self.opened
@@ -95,13 +95,13 @@
         if self.call is None and self.ring.length and not self.remote_end:
             self.node.limits.on_partial_line(self, self.node.now)
         if self.paired:
-            self.pass_on()
+            self.forward_lines()
         if self.call and not self.paired and self.ring.length:
             # Guards against hundreds of commands at once: whoever waits for UP as agreed says nothing before.
             self.refuse("not-awaited")
         elif self.ring.line_too_long:
             self.refuse("line-too-long")
-        elif self.done():
+        elif self.has_ended():
             self.on_remote_end()
 
     def refuse_for_descriptors(self) -> None:
--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -19,7 +19,7 @@
     side = "control"
     has_priority = True  # guards against answers that wait behind a rush of clients
 
-    def made(self) -> None:
+    def on_connected(self) -> None:
         self.request, admin_connections = Request(), self.node.admin_connections
         admin_connections[self] = None
         if len(admin_connections) > self.node.limits.max_admin_connections:
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -119,7 +119,7 @@
 
     def stop(self, reason: str) -> None:
         """No longer wanted."""
-        self.drop()
+        self.cancel_connect()
         self.finish(reason, "rst")
 
 
--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -118,9 +118,9 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNHEARD)
         self.count(True)
-        self.made()
+        self.on_connected()
 
-    def made(self) -> None: ...
+    def on_connected(self) -> None: ...
 
     def count(self, on: bool) -> None:
         if self.counted != on:
@@ -195,7 +195,7 @@
         """There are bytes to look at, room to write, or the other side has ended."""
         raise NotImplementedError
 
-    def pass_on(self) -> None:
+    def forward_lines(self) -> None:
         """Whole lines go on to the other end, unchanged, while it has room."""
         out = []
         while not self.paired.blocked and (line := self.ring.take_line()):
@@ -208,7 +208,7 @@
     def on_line(self, line: bytes) -> None:
         """What a line tells on its way."""
 
-    def done(self) -> bool:
+    def has_ended(self) -> bool:
         """It has ended, and what it sent has gone on or waited long enough.
 
         Guards against a pair kept up by a side that takes nothing."""
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -97,12 +97,12 @@
                     raise
             await asyncio.sleep(transient.RETRY_INTERVAL_SECONDS)
 
-    def made(self) -> None:
+    def on_connected(self) -> None:
         if self.closed:  # given up while it came up
             self.transport.abort()
         self.wake()
 
-    def drop(self) -> None:
+    def cancel_connect(self) -> None:
         """Stop connecting, if that is still under way."""
         if self.transport is None and self.task:
             self.task.cancel()
@@ -149,12 +149,12 @@
         if self.closed:
             return
         if self.leg.established:
-            self.pass_on()
+            self.forward_lines()
         if self.ring.line_too_long and self.leg.established:
             self.client.move("line-too-long", model.RESET)
         elif self.ring.line_too_long:
             self.end(model.ERROR, "line-too-long", "rst")
-        elif self.done():
+        elif self.has_ended():
             self.lost()
 
     def speak(self) -> None:
@@ -251,7 +251,7 @@
         if self.closed:
             return
         self.timer.cancel()
-        self.drop()
+        self.cancel_connect()
         self.endpoint.legs.pop(self, None)
         attempt = len(self.leg.call.legs)
         self.finish(reason, how, server=self.endpoint.name, result=kind, attempt=attempt)
@@ -291,7 +291,7 @@
 
     def over_with(self, kind: str, report: tuple[float, ...] = ()) -> None:
         if not self.closed:
-            self.drop()
+            self.cancel_connect()
             self.node.limits.probes_in_flight -= 1
             self.node.counters[f"probe_{kind.replace(' ', '_')}"] += 1
             self.finish(kind, server=self.server.host_record.name)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -139,14 +139,14 @@
 @played
 async def test_a_leg_that_was_connecting_is_not_written_to_a_server_taken_out(monkeypatch):
     async with World(servers=1, control=True, effect="fragile") as world:
-        opened = servers.OutgoingConnection.made
+        opened = servers.OutgoingConnection.on_connected
 
         def made(link):
             if link.side == "server" and not world.node.server_list.cordoned:
                 world.node.server_list.cordon("s-0", True)
             opened(link)
 
-        monkeypatch.setattr(servers.OutgoingConnection, "made", made)
+        monkeypatch.setattr(servers.OutgoingConnection, "on_connected", made)
         client = await world.call("c=chat,t=acme,d=900")
         _, server, line = await world.leg()
         assert line == "fin" and (await client.line()).startswith("BUSY")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -592,13 +592,13 @@
 
 @played
 async def test_a_connection_that_comes_up_when_its_server_is_doubtful_is_not_written_to(monkeypatch):
-    made = ServerConnection.made
+    made = ServerConnection.on_connected
 
     def late(link):
         link.leg.server.doubtful = True
         made(link)
 
-    monkeypatch.setattr(ServerConnection, "made", late)
+    monkeypatch.setattr(ServerConnection, "on_connected", late)
     async with World() as world:
         client = await world.call()
         _, _, line = await world.leg()
