--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -440,7 +440,7 @@
     node.server_list.on_list(lines.parse_list(json.loads(listing(servers))))
     legs = list(node.servers.values())
     for n in range(connections):
-        legs[n % servers].host_record.legs[StandingLink(node)] = None
+        legs[n % servers].host_record.connections[StandingLink(node)] = None
     return alone
 
 
--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -129,7 +129,7 @@
             link.transport.abort()
         if client.paired:
             leg = client.server_connection.leg
-            client.server_connection.endpoint.legs.pop(client.server_connection, None)
+            client.server_connection.endpoint.connections.pop(client.server_connection, None)
             client.server_connection = None
             self.node.leg_ended(leg, Result(model.CANCELLED, self.node.now - leg.sent), True)
         elif client.call:
@@ -205,7 +205,7 @@
         link.paired, client.paired = client, link
         # In the books before anything can end it: guards against a leg that is taken off before it is put on.
         node.limits.open_ids[request_line.id] = client
-        link.endpoint.legs[link] = None
+        link.endpoint.connections[link] = None
         node.resume_leg(leg)
         return link
 
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -224,7 +224,7 @@
             return  # it says nothing of the server
         endpoint: Endpoint = leg.server.host_record
         if self.names.reports_delay and not self.names.reports_load:
-            endpoint.told = self.now
+            endpoint.delay_reported_at = self.now
             self.counters["late_notices"] += 1
             self.balancer.on_delay_reported(leg, value / 1000)
         else:
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -34,33 +34,33 @@
             node.counters["late_seen"] = judged
         for server in list(node.servers.values()):
             self.forget_unused(server)
-            if server.host_record.legs:
+            if server.host_record.connections:
                 self.time_messages(server)
                 self.end_silent(server.host_record)
             else:
-                server.host_record.took.clear()
+                server.host_record.line_times.clear()
 
     def forget_unused(self, server: Server) -> None:
         """Guards against records that grow with each machine that is replaced."""
         if server.state != model.GONE or server.local_state.open_legs:
-            server.host_record.used = self.node.now
-        elif self.node.now - server.host_record.used > FORGET_AFTER_SECONDS:
+            server.host_record.last_used = self.node.now
+        elif self.node.now - server.host_record.last_used > FORGET_AFTER_SECONDS:
             self.node.forget_server(server)
             self.node.invariants.forget(server)
             self.node.server_list.forget_order(server.id_hash)
 
     def time_messages(self, server: Server) -> None:
         node, endpoint = self.node, server.host_record
-        delay = endpoint.look(node.now)
+        delay = endpoint.take_line_time(node.now)
         late = delay > LATE_NOTICE_SHARE * node.settings.shortest_message_aim
         if (
             node.names.reports_delay
-            and (late or endpoint.late)
-            and node.now - endpoint.told > REPORT_PRECEDENCE_SECONDS
+            and (late or endpoint.was_late)
+            and node.now - endpoint.delay_reported_at > REPORT_PRECEDENCE_SECONDS
         ):
-            node.balancer.on_delay_reported(next(iter(endpoint.legs)).leg, delay)
-        endpoint.late = late
+            node.balancer.on_delay_reported(next(iter(endpoint.connections)).leg, delay)
+        endpoint.was_late = late
 
     def end_silent(self, place: Endpoint) -> None:
-        for link in [link for link in place.legs if link.silent()]:
+        for link in [link for link in place.connections if link.silent()]:
             link.client.move("server-silent", model.RESET)
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -33,18 +33,18 @@
     def __init__(self, name: str, address: tuple[str, int]):
         self.name, self.address = name, address
         self.start: Start | None = None  # the last that was listed
-        self.legs: dict[ServerConnection, None] = {}  # standing
-        self.took: list[float] = []  # by the answers since the last look
-        self.late = False  # by those, as last told
-        self.used = 0.0  # when it last was listed or stood for anything
-        self.told = 0.0  # when the server itself last told how long messages take
+        self.connections: dict[ServerConnection, None] = {}  # standing
+        self.line_times: list[float] = []  # by the answers since the last look
+        self.was_late = False  # by those, as last told
+        self.last_used = 0.0  # when it last was listed or stood for anything
+        self.delay_reported_at = 0.0  # when the server itself last told how long messages take
 
-    def look(self, now: float) -> float:
+    def take_line_time(self, now: float) -> float:
         """What a line takes here now: by the answers since the last look, else by the lines still out.
 
         The least of them: guards against a pause of our own that is taken for the server's."""
-        took, self.took = self.took, []
-        return min(took or [now - link.asked[0] for link in self.legs if link.asked], default=0.0)
+        took, self.line_times = self.line_times, []
+        return min(took or [now - link.asked[0] for link in self.connections if link.asked], default=0.0)
 
 
 class OutgoingConnection(Connection):
@@ -201,7 +201,7 @@
         elif kind == "up":
             self.timer.cancel()
             self.paired, self.client.paired = self.client, self
-            self.endpoint.legs[self] = None
+            self.endpoint.connections[self] = None
             self.client.write_final(line)
             self.node.on_connection_established(self.leg, self.resumes)
             self.client.wake()
@@ -220,7 +220,7 @@
         elif line.startswith(b"LOAD "):
             self.node.on_load_line(self.leg, rest)
         elif self.asked:
-            self.endpoint.took.append(self.node.now - self.asked.popleft())
+            self.endpoint.line_times.append(self.node.now - self.asked.popleft())
 
     def lost(self) -> None:
         """The server, or the way to it, has ended the connection, or has said so and not done it."""
@@ -252,7 +252,7 @@
             return
         self.timer.cancel()
         self.cancel_connect()
-        self.endpoint.legs.pop(self, None)
+        self.endpoint.connections.pop(self, None)
         attempt = len(self.leg.call.legs)
         self.finish(reason, how, server=self.endpoint.name, result=kind, attempt=attempt)
         self.client.server_connection = None
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -113,7 +113,9 @@
     async with World(servers=2, control=True, listen=free()) as world:
         old = world.node
         _, server = await world.standing()
-        link = next(iter(next(s for s in old.servers.values() if s.host_record.legs).host_record.legs))
+        link = next(
+            iter(next(s for s in old.servers.values() if s.host_record.connections).host_record.connections)
+        )
         link.asked.append(old.clock())  # a line of the client that is still unanswered
         first, second = old.servers.values()
         first.local_state.unhealthy_until, second.local_state.warm_at = old.clock() + 60, old.clock() + 8
@@ -127,7 +129,11 @@
             assert 10.5 < new.started_at - new.resumed.window.started < 12
             old.begin_shutdown()
             await world.until(lambda: new.counters["taken_over"])
-            taken = next(iter(next(s for s in new.servers.values() if s.host_record.legs).host_record.legs))
+            taken = next(
+                iter(
+                    next(s for s in new.servers.values() if s.host_record.connections).host_record.connections
+                )
+            )
             assert 0 <= new.clock() - taken.asked[0] < 5 and 0 <= new.clock() - taken.leg.sent < 5
             with contextlib.suppress(ConnectionError):
                 server.end("fin")
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -253,7 +253,7 @@
 async def test_a_server_that_says_nothing_is_silent_however_much_its_client_sends():
     async with World() as world:
         client, _ = await world.standing()
-        (link,) = next(iter(world.node.servers.values())).host_record.legs
+        (link,) = next(iter(world.node.servers.values())).host_record.connections
         for sent in (100, 200):
             client.writer.write(b"M\r\n" * 100)
             await world.until(lambda sent=sent: world.node.counters["lines_to_servers"] == sent)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -238,11 +238,11 @@
 
 def test_a_pause_of_our_own_is_not_taken_for_a_late_server():
     endpoint = servers.Endpoint("s-0", ("127.0.0.1", 1))
-    endpoint.took = [0.002, 0.8, 0.9]
-    assert endpoint.look(100.0) == 0.002
-    endpoint.took = [0.8, 0.9]
-    assert endpoint.look(101.0) == 0.8
-    assert endpoint.look(102.0) == 0.0
+    endpoint.line_times = [0.002, 0.8, 0.9]
+    assert endpoint.take_line_time(100.0) == 0.002
+    endpoint.line_times = [0.8, 0.9]
+    assert endpoint.take_line_time(101.0) == 0.8
+    assert endpoint.take_line_time(102.0) == 0.0
 
 
 @played
