--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -427,10 +427,10 @@
 class StandingLink:
     """What looks see of a connection to a server."""
 
-    silent = ServerConnection.silent
+    is_silent = ServerConnection.is_silent
 
     def __init__(self, node: Node):
-        self.node, self.client, self.asked = node, SimpleNamespace(blocked=False), deque(maxlen=64)
+        self.node, self.client, self.unanswered = node, SimpleNamespace(blocked=False), deque(maxlen=64)
 
 
 def looked_after(servers: int, connections: int) -> Alone:
--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -150,8 +150,10 @@
         self.finish(reason, how)
 
     def on_line(self, line: bytes) -> None:
-        if len(self.paired.asked) < MOST_ASKED:  # the oldest tells for how long the server has been silent
-            self.paired.asked.append(self.node.now)
+        if (
+            len(self.paired.unanswered) < MOST_ASKED
+        ):  # the oldest tells for how long the server has been silent
+            self.paired.unanswered.append(self.node.now)
         self.node.resumed.window.on_client_line()
 
     def refuse(self, code: str) -> None:
--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -115,8 +115,8 @@
             "server": link.endpoint.name,
             "place": lines.format_address(link.endpoint.address),
             "sent": link.leg.sent,
-            "asked": list(link.asked),
-            "said": link.said,
+            "asked": list(link.unanswered),
+            "said": link.announced_end,
         }
 
     def gone(self, client: ClientConnection, links: list[Connection]) -> None:
@@ -196,9 +196,9 @@
         call.legs.append(leg)
         call.host_record, client.call, client.request_line = client, call, request_line
         link = ServerConnection(node, leg, client, node.now, stood=True)
-        link.asked.extend(float(when) + ahead for when in words["asked"])
+        link.unanswered.extend(float(when) + ahead for when in words["asked"])
         client.answered = True
-        link.said = str(words["said"])
+        link.announced_end = str(words["said"])
         put_back(link, read(words["back"]))
         # Neither takes a line until both are up: guards against one that goes nowhere.
         client.blocked = link.blocked = True
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -207,7 +207,7 @@
     def on_leg_over(self, link: ServerConnection, kind: str) -> None:
         leg = link.leg
         self.counters[f"leg_{kind.replace(' ', '_')}"] += 1
-        if link.resumes and not leg.established:
+        if link.resumed and not leg.established:
             self.resumed.on_attempt_ended(link, kind)
         else:
             self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.established or kind == model.COMPLETED)
--- a/bellrack/net/pairing.py
+++ b/bellrack/net/pairing.py
@@ -32,6 +32,6 @@
     """The connection of one attempt to a server, as its client's connection knows it."""
 
     leg: Leg
-    written: bool  # the first line has gone out
+    request_sent: bool  # the first line has gone out
 
     def end(self, kind: str, reason: str, how: str = ...) -> None: ...
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -54,7 +54,7 @@
         match resumption.next_action(self.node.now, known, self.descriptors_free()):
             case Attempt(give_up_at):
                 leg = Leg(client.call, server, self.node.now)
-                ServerConnection(self.node, leg, client, give_up_at, resumes=True)
+                ServerConnection(self.node, leg, client, give_up_at, resumed=True)
             case Wait(until):
                 self.node.at(until, self.proceed, client, resumption)
             case Expire():
@@ -89,7 +89,7 @@
     def answer_all(self) -> None:
         """The process ends: trying again is harmless where no server can have heard of it."""
         for client, resumption in list(self.pending.items()):
-            if resumption.may_have_run or client.server_connection and client.server_connection.written:
+            if resumption.may_have_run or client.server_connection and client.server_connection.request_sent:
                 self.node.release(client.call)
             else:
                 self.node.reject(client.call)
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -62,5 +62,5 @@
         endpoint.was_late = late
 
     def end_silent(self, place: Endpoint) -> None:
-        for link in [link for link in place.connections if link.silent()]:
+        for link in [link for link in place.connections if link.is_silent()]:
             link.client.move("server-silent", model.RESET)
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -44,7 +44,9 @@
 
         The least of them: guards against a pause of our own that is taken for the server's."""
         took, self.line_times = self.line_times, []
-        return min(took or [now - link.asked[0] for link in self.connections if link.asked], default=0.0)
+        return min(
+            took or [now - link.unanswered[0] for link in self.connections if link.unanswered], default=0.0
+        )
 
 
 class OutgoingConnection(Connection):
@@ -115,18 +117,18 @@
     forwarded_counter = "lines_to_clients"
 
     def __init__(
-        self, node: Any, leg: Leg, client: ClientEnd, until: float, resumes: bool = False, stood: bool = False
+        self, node: Any, leg: Leg, client: ClientEnd, until: float, resumed: bool = False, stood: bool = False
     ):
         super().__init__(node)
-        self.leg, self.client, self.until, self.resumes = leg, client, until, resumes
-        self.asked: deque[float] = deque()  # when the client's lines still unanswered went on
-        self.written = stood  # in another process before: it is up and needs no connecting
-        self.said = ""  # how the server said that the connection ends
+        self.leg, self.client, self.until, self.resumed = leg, client, until, resumed
+        self.unanswered: deque[float] = deque()  # when the client's lines still unanswered went on
+        self.request_sent = stood  # in another process before: it is up and needs no connecting
+        self.announced_end = ""  # how the server said that the connection ends
         leg.host_record = client.server_connection = self
         self.timer = node.at(until, self.late)
         if not stood:
             # A resumed connection has no other server: it waits for the kernel to repeat the handshake.
-            wait = math.inf if resumes else node.names.connect_timeout
+            wait = math.inf if resumed else node.names.connect_timeout
             self.open(leg.server.host_record.address, min(wait, max(0.0, until - node.now)))
 
     @property
@@ -140,9 +142,9 @@
         if self.client.remote_end and not self.leg.established:
             # Guards against a line sent, or an answer counted, for a client whose end came in the same batch.
             self.client.process()
-        if not self.closed and not self.written:
+        if not self.closed and not self.request_sent:
             self.client.forget_if_closed()
-        if not self.closed and not self.written and not self.remote_end:
+        if not self.closed and not self.request_sent and not self.remote_end:
             self.speak()
         while not self.closed and not self.leg.established and (line := self.ring.take_line()):
             self.answered(line)
@@ -163,7 +165,7 @@
             # Not the server's: guards against a cold one that counts as failing since it came up late.
             self.end(model.MOOT if refusal == COLD_BUDGET else model.NO_CONN, refusal)
         else:
-            self.written = True
+            self.request_sent = True
             self.node.counters["upstream_requests"] += 1
             self.write(lines.with_remaining_wait(self.client.request_line, self.until - self.node.now))
 
@@ -173,7 +175,7 @@
         now = self.node.clock()
         if self.answered_already():
             return "client-answered"
-        if self.resumes:
+        if self.resumed:
             return ""
         if not self.leg.server.usable:
             return "drain-heard"  # while we connected
@@ -203,7 +205,7 @@
             self.paired, self.client.paired = self.client, self
             self.endpoint.connections[self] = None
             self.client.write_final(line)
-            self.node.on_connection_established(self.leg, self.resumes)
+            self.node.on_connection_established(self.leg, self.resumed)
             self.client.wake()
         else:
             if kind == model.COMPLETED:
@@ -215,12 +217,12 @@
         kind, rest = lines.parse_server_line(line)
         if kind in (model.COMPLETED, model.CANCELLED):
             # Guards against a server that hangs between its last line and the end that its client waits for.
-            self.said = kind
+            self.announced_end = kind
             self.node.after(SAID, self.lost)
         elif line.startswith(b"LOAD "):
             self.node.on_load_line(self.leg, rest)
-        elif self.asked:
-            self.endpoint.line_times.append(self.node.now - self.asked.popleft())
+        elif self.unanswered:
+            self.endpoint.line_times.append(self.node.now - self.unanswered.popleft())
 
     def lost(self) -> None:
         """The server, or the way to it, has ended the connection, or has said so and not done it."""
@@ -229,22 +231,25 @@
         if self.leg.established:
             # Guards against a reset that takes along the last line: who has said so has ended in order.
             self.client.finish(
-                f"server-{self.said or self.remote_end}", "fin" if self.said else self.remote_end
+                f"server-{self.announced_end or self.remote_end}",
+                "fin" if self.announced_end else self.remote_end,
             )
-            self.end(self.said or model.RESET, self.said or self.remote_end)
-        elif not self.written:
+            self.end(self.announced_end or model.RESET, self.announced_end or self.remote_end)
+        elif not self.request_sent:
             self.end(model.MOOT if self.local_failure else model.NO_CONN, self.remote_end)
         else:
             self.end(model.RESET, self.remote_end)
 
     def late(self) -> None:
         if not self.leg.established:
-            self.end(model.TIMEOUT if self.written else model.NO_CONN, "timeout")
+            self.end(model.TIMEOUT if self.request_sent else model.NO_CONN, "timeout")
 
-    def silent(self) -> bool:
+    def is_silent(self) -> bool:
         """No whole line comes back, and not because the client takes none. What is held of one says nothing:
         guards against a server that hangs in the middle of a line."""
-        return bool(self.asked) and self.node.now - self.asked[0] > SILENT and not self.client.blocked
+        return (
+            bool(self.unanswered) and self.node.now - self.unanswered[0] > SILENT and not self.client.blocked
+        )
 
     def end(self, kind: str, reason: str, how: str = "fin") -> None:
         """The leg's one result; the connection to the server ends with it."""
@@ -266,15 +271,15 @@
 
     def __init__(self, node: Any, server: Server):
         super().__init__(node)
-        self.server, self.begun, self.asked = server, node.now, False
+        self.server, self.begun, self.request_sent = server, node.now, False
         self.fields = len(node.settings.report)
         node.limits.probes_in_flight += 1
         self.node.after(PROBE_WAIT, self.over_with, model.TIMEOUT)
         self.open(server.host_record.address, PROBE_WAIT)
 
     def ready(self) -> None:
-        if not self.asked and not self.remote_end:
-            self.asked = True
+        if not self.request_sent and not self.remote_end:
+            self.request_sent = True
             self.write(b"STATS\r\n" if self.fields else b"PING\r\n")
         line = (self.ring.take_line() or b"").strip()
         if line == b"PONG" and self.fields:
@@ -287,7 +292,7 @@
             self.node.counters["bad_reports"] += bool(self.fields)
             self.over_with(model.ERROR)
         elif self.remote_end:
-            self.over_with(model.RESET if self.asked else model.NO_CONN)
+            self.over_with(model.RESET if self.request_sent else model.NO_CONN)
 
     def over_with(self, kind: str, report: tuple[float, ...] = ()) -> None:
         if not self.closed:
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -138,14 +138,14 @@
     Mutant(
         "time-out of requests",
         "net/servers.py",
-        "wait = math.inf if resumes else node.names.connect_timeout",
+        "wait = math.inf if resumed else node.names.connect_timeout",
         "wait = node.names.connect_timeout",
     ),
     Mutant(
         "BYE is no answer",
         "net/node.py",
         '            link.client.finish("completed")\n',
-        '            link.resumes or link.client.finish("completed")\n',
+        '            link.resumed or link.client.finish("completed")\n',
     ),
     Mutant(
         "usable servers only",
@@ -162,7 +162,7 @@
     Mutant(
         "always BUSY at the end",
         "net/resumed.py",
-        "if resumption.may_have_run or client.server_connection and client.server_connection.written:",
+        "if resumption.may_have_run or client.server_connection and client.server_connection.request_sent:",
         "if False:",
     ),
     Mutant(
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -116,7 +116,7 @@
         link = next(
             iter(next(s for s in old.servers.values() if s.host_record.connections).host_record.connections)
         )
-        link.asked.append(old.clock())  # a line of the client that is still unanswered
+        link.unanswered.append(old.clock())  # a line of the client that is still unanswered
         first, second = old.servers.values()
         first.local_state.unhealthy_until, second.local_state.warm_at = old.clock() + 60, old.clock() + 8
         old.resumed.window.started = old.started_at - 11.0
@@ -134,7 +134,7 @@
                     next(s for s in new.servers.values() if s.host_record.connections).host_record.connections
                 )
             )
-            assert 0 <= new.clock() - taken.asked[0] < 5 and 0 <= new.clock() - taken.leg.sent < 5
+            assert 0 <= new.clock() - taken.unanswered[0] < 5 and 0 <= new.clock() - taken.leg.sent < 5
             with contextlib.suppress(ConnectionError):
                 server.end("fin")
             await world.first_ends(world.serving)
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -257,10 +257,10 @@
         for sent in (100, 200):
             client.writer.write(b"M\r\n" * 100)
             await world.until(lambda sent=sent: world.node.counters["lines_to_servers"] == sent)
-            assert not link.silent()
+            assert not link.is_silent()
             world.node.anchor += 1.5
             world.node.now = world.node.clock()
-        assert link.silent()
+        assert link.is_silent()
 
 
 @pytest.mark.parametrize("words", [b"", b"PING\r\n", b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch"])
