--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -112,7 +112,7 @@
         if not expected and not self.node.resumed.expects_more():
             self.busy()
 
-    def counted_as(self, outcome: str) -> None:
+    def count_outcome(self, outcome: str) -> None:
         """Its one outcome, by traffic type as the line names it."""
         self.node.counters[f"{outcome}.{self.request_line.values['c']}"] += 1
 
@@ -133,7 +133,7 @@
             self.request_line = lines.parse_request_line(line)
             if "at" not in self.request_line.values and not self.node.limits.make_room(self.node.now):
                 if self.request_line.values.get("c") in self.node.names.types:
-                    self.counted_as("rejected")
+                    self.count_outcome("rejected")
                 self.busy()
             else:
                 self.node.on_request_line(self)
@@ -160,7 +160,7 @@
         """Malformed: one failing answer and the end."""
         self.node.counters["malformed"] += 1
         if self.call and not self.call.done and not self.paired:
-            self.counted_as("failed")
+            self.count_outcome("failed")
         if self.paired:
             self.write(b"SYNTAX\r\n")  # it has had its answer, and spoilt its connection since
             self.finish(code)
@@ -195,7 +195,7 @@
         self.finish("front" if self.pings and not self.call else f"client-{self.remote_end}", self.remote_end)
         self.abandon(model.COMPLETED if self.paired and self.remote_end == "fin" else model.CANCELLED)
 
-    def forget_if_closed(self) -> None:
+    def abandon_if_closed(self) -> None:
         """Guards against something sent for a client whose end only the kernel knows yet."""
         if self.remote_closed():
             self.abandon(model.CANCELLED)
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -116,13 +116,13 @@
     def answer(self, call: Call, line: bytes, how: str) -> None:
         call.done = True
         self.counters[how] += 1
-        call.host_record.counted_as("rejected" if how == "rejected" else "failed")
+        call.host_record.count_outcome("rejected" if how == "rejected" else "failed")
         self.act(call.host_record.answer, line, how)
 
     def connect(self, leg: Leg, until: float) -> None:
         client: ClientConnection = leg.call.host_record
         if not leg.call.done:
-            client.forget_if_closed()
+            client.abandon_if_closed()
         if leg.call.done:
             self.leg_ended(leg, Result(model.MOOT), True)
         elif self.limits.lacks(limits.DESCRIPTORS_PER_ATTEMPT):  # never sent: that proves it has not run
@@ -198,7 +198,7 @@
             leg.call.legs.append(leg)
             self.resume_leg(leg)
         else:
-            leg.call.host_record.counted_as("completed")
+            leg.call.host_record.count_outcome("completed")
             leg.server.last_accepted = max(leg.server.last_accepted, leg.sent)
             self.leg_established(leg)
         if self.shutdown and not self.hot_restart.handoff_sender:
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -46,7 +46,7 @@
     def proceed(self, client: Any, resumption: Resumption) -> None:
         if not resumption.pending:
             return
-        client.forget_if_closed()
+        client.abandon_if_closed()
         if client.call.done:
             return
         server = self.node.servers.get(lines.id_hash(client.request_line.values["at"]))
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -143,7 +143,7 @@
             # Guards against a line sent, or an answer counted, for a client whose end came in the same batch.
             self.client.process()
         if not self.closed and not self.request_sent:
-            self.client.forget_if_closed()
+            self.client.abandon_if_closed()
         if not self.closed and not self.request_sent and not self.remote_end:
             self.speak()
         while not self.closed and not self.leg.established and (line := self.ring.take_line()):
@@ -210,7 +210,7 @@
         else:
             if kind == model.COMPLETED:
                 self.client.write_final(line)
-                self.client.counted_as("failed")  # it was never up
+                self.client.count_outcome("failed")  # it was never up
             self.end(kind or model.ERROR, f"answer-{kind or 'unknown'}")
 
     def on_line(self, line: bytes) -> None:
