--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -26,7 +26,7 @@
 SLICE = 16  # connections that go over in one turn: guards against a pause for all others
 
 
-def pair() -> tuple[socket.socket, socket.socket]:
+def socket_pair() -> tuple[socket.socket, socket.socket]:
     """The way over: whole messages, each with the descriptors that it speaks of."""
     return socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
 
@@ -54,7 +54,7 @@
 
     def __init__(self, node: Any, sock: socket.socket):
         self.node, self.sock = node, sock
-        self.passed = 0  # descriptors that went over so far
+        self.descriptors_passed = 0  # descriptors that went over so far
         sock.setblocking(False)
         node.limits.count_descriptors(1)
 
@@ -68,7 +68,7 @@
 class HandoffSender(HandoffEnd):
     """The end of the process that goes."""
 
-    def give_some(self) -> bool:
+    def send_batch(self) -> bool:
         """Some of those that can go: standing, or not yet heard a word of. Are there more?"""
         left = SLICE
         for client in list(self.node.clients):
@@ -77,10 +77,10 @@
             if client.call is None or client.paired or resumes:
                 if not left:
                     return True
-                left -= self.give(client)
+                left -= self.send_connection(client)
         return False
 
-    def give(self, client: ClientConnection) -> bool:
+    def send_connection(self, client: ClientConnection) -> bool:
         links = [client, client.server_connection] if client.paired else [client]
         for link in links:
             going = link.transport is None or link.transport.is_closing() or link.closed
@@ -105,7 +105,7 @@
                 if not link.paused:
                     link.transport.resume_reading()
             return False
-        self.passed += len(fds)
+        self.descriptors_passed += len(fds)
         self.gone(client, links)
         return True
 
@@ -154,7 +154,7 @@
                 if not data:
                     self.close()
                     return
-                self.passed += len(fds)
+                self.descriptors_passed += len(fds)
                 self.node.limits.count_descriptors(len(fds))  # before they become connections
                 self.node.queue(self.take, data, fds)
 
@@ -216,9 +216,9 @@
                 await self.node.loop.connect_accepted_socket(lambda link=link: link, sock)
         finally:
             self.node.limits.count_descriptors(-len(socks))  # each connection counts itself
-            self.node.queue(self.up, links)
+            self.node.queue(self.start_forwarding, links)
 
-    def up(self, links: list[Connection]) -> None:
+    def start_forwarding(self, links: list[Connection]) -> None:
         client = links[0]
         self.node.counters["taken_over"] += 1
         if client.paired and any(link.transport is None for link in links):
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -109,7 +109,9 @@
         if "held" in said:
             # What is on its way counts too: guards against hundreds that neither holds for an instant.
             on_the_way = (
-                int(said.get("passed", 0)) - self.handoff_receiver.passed if self.handoff_receiver else 0
+                int(said.get("passed", 0)) - self.handoff_receiver.descriptors_passed
+                if self.handoff_receiver
+                else 0
             )
             node.limits.sibling_descriptors = int(said["held"]) + max(0, on_the_way)
             node.limits.make_room(node.now)
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -86,7 +86,7 @@
     def hand_over(self) -> None:
         """What stands goes to the process after us; what comes up later, or is still to be sent, then."""
         if self.node.hot_restart.handoff_sender:
-            self.node.after(0 if self.node.hot_restart.handoff_sender.give_some() else LOOK, self.hand_over)
+            self.node.after(0 if self.node.hot_restart.handoff_sender.send_batch() else LOOK, self.hand_over)
 
     def empty(self) -> None:
         gone = self.node.now - self.started_at
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -171,7 +171,7 @@
         if not self.transport.is_closing():
             self.send(
                 held=self.node.limits.descriptors,
-                passed=self.handoff_sender.passed if self.handoff_sender else 0,
+                passed=self.handoff_sender.descriptors_passed if self.handoff_sender else 0,
             )
             self.node.loop.call_later(TELL_EVERY, self.held)
 
@@ -215,7 +215,7 @@
             sock.setblocking(False)  # guards against one that connects and reads nothing
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * MAX_MESSAGE_BYTES)
             text = json.dumps(self.node.hot_restart.snapshot()).encode() + b"\n"
-            ours, theirs = handoff.pair()
+            ours, theirs = handoff.socket_pair()
             with theirs:
                 fds = [self.node.listeners.socket.fileno(), theirs.fileno()]
                 sent = socket.send_fds(sock, [text], fds)  # what it does not take at once follows
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -135,7 +135,7 @@
         await world.until(lambda: old.hot_restart.has_successor)
         old.begin_shutdown()
         await world.until(lambda: old.shutdown)
-        assert not old.hot_restart.handoff_sender.give(link) and sent
+        assert not old.hot_restart.handoff_sender.send_connection(link) and sent
         server.say("last")
         got = [told async for told in until_last(client)]
         assert set(got) == {line[:-2].decode()} and len(got) % 50 == 0
@@ -148,7 +148,7 @@
 @played
 async def test_what_another_version_hands_over_in_its_own_form_is_left(folder):
     async with World(control=True) as world:
-        ours, theirs = handoff.pair()
+        ours, theirs = handoff.socket_pair()
         handoff_receiver = handoff.HandoffReceiver(world.node, theirs)
         for words in (b"no json", b"[]", b"{}", b'{"in": "%%"}', b'{"in": ""}', b'{"line": "OPEN"}'):
             ours.send(words)
@@ -270,10 +270,15 @@
             "said": "",
         }
         sides = [socket.socketpair() for _ in range(2)]
-        ours, theirs = handoff.pair()
-        handoff_receiver, up = handoff.HandoffReceiver(world.node, theirs), handoff.HandoffReceiver.up
+        ours, theirs = handoff.socket_pair()
+        handoff_receiver, up = (
+            handoff.HandoffReceiver(world.node, theirs),
+            handoff.HandoffReceiver.start_forwarding,
+        )
         late = []
-        monkeypatch.setattr(handoff_receiver, "up", late.append)  # long after the server has ended it
+        monkeypatch.setattr(
+            handoff_receiver, "start_forwarding", late.append
+        )  # long after the server has ended it
         socket.send_fds(ours, [json.dumps(words).encode()], [near.fileno() for near, _ in sides])
         await world.until(lambda: late)
         sides[1][1].close()
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -43,7 +43,7 @@
         _, server = await world.standing()
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
-        first.hot_restart.handoff_sender.give_some = lambda: False  # its connections end here
+        first.hot_restart.handoff_sender.send_batch = lambda: False  # its connections end here
         first.begin_shutdown()
         second.begin_shutdown()
         await asyncio.wait_for(serving, 5)  # the successor is gone, the predecessor not yet
