--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -17,7 +17,9 @@
 from bellrack.net.ring import Connection
 
 MOST_ASKED = 64  # lines whose answers are waited for, by their times
-RECHECK = 0.2  # seconds between looks whether a first line may still come: an end is owed 0.25 s later
+FIRST_LINE_RECHECK_SECONDS = (
+    0.2  # seconds between looks whether a first line may still come: an end is owed 0.25 s later
+)
 
 
 class ClientConnection(Connection):
@@ -67,7 +69,7 @@
         may_precede_run = self.node.resumed.may_precede_run() and not self.node.shutdown
         if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):
             # Guards against BUSY to a resumed connection whose client is slow to write.
-            self.expire_after(RECHECK, self.on_expired)
+            self.expire_after(FIRST_LINE_RECHECK_SECONDS, self.on_expired)
         elif self.call is None:
             # After PING too: a request may be on its way, and its end without an answer would lose it.
             self.reject_unread("no-first-line")
--- a/bellrack/net/resumption.py
+++ b/bellrack/net/resumption.py
@@ -19,7 +19,7 @@
 # The 30 s are counted from a start that may lie this much before the one that a process knows of.
 START_DELAY = 10.0  # seconds; STANDING.md: nine in ten restarted balancers are ready within 10 s
 # A process that is not ready by then listens all the same, for resumed connections alone.
-LISTEN_AFTER = ALL_READY_WITHIN - START_DELAY  # seconds
+LISTEN_AFTER_SECONDS = ALL_READY_WITHIN - START_DELAY  # seconds
 
 # An attempt is given up after the first of these times, so that a hung server does not take all the time.
 # Each one that was given up doubles it for the next, up to the second, so that a slow server is waited for.
--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -19,7 +19,7 @@
 
 SIZE = 8192  # of a ring: a whole line and the start of the next
 HIGH = 16384  # bytes that a transport may hold unsent before the other side's reading pauses
-HELD = 0.5  # seconds that one side's last lines wait for the other to take them
+FLUSH_SECONDS = 0.5  # seconds that one side's last lines wait for the other to take them
 LINGER = 1.0  # seconds that the other side has to end after we have
 DROPPED = 65536  # bytes read after our end, for the sake of our last line; more only cost time
 UNHEARD = 15000  # milliseconds after which the kernel gives up bytes that nobody takes
@@ -215,8 +215,8 @@
         if not self.remote_end or not (self.paired and self.paired.blocked):
             return bool(self.remote_end)
         if not self.flush_deadline:
-            self.flush_deadline = self.node.now + HELD
-            self.node.after(HELD, self.wake)
+            self.flush_deadline = self.node.now + FLUSH_SECONDS
+            self.node.after(FLUSH_SECONDS, self.wake)
         return self.node.now >= self.flush_deadline
 
     def write(self, data: bytes) -> None:
@@ -246,7 +246,7 @@
             if self.paused:
                 self.transport.resume_reading()
             # Guards against whole lines that are lost with a side that is slow, and one that takes nothing.
-            self.expire_after(HELD if self.blocked else LINGER, self.transport.abort)
+            self.expire_after(FLUSH_SECONDS if self.blocked else LINGER, self.transport.abort)
             self.node.limits.evictable.setdefault(self, self.node.now)
 
     def log_fields(self) -> dict[str, Any]:
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -23,7 +23,9 @@
 
 COLD_BUDGET = "cold-budget"  # why an attempt is not written: its server bears no more just now
 PROBE_WAIT = 0.25  # seconds that a probe may take
-SILENT = 2.5  # an unanswered line this old: clients send every 2 s, looks come each second, 7 s are too long
+SILENCE_SECONDS = (
+    2.5  # an unanswered line this old: clients send every 2 s, looks come each second, 7 s are too long
+)
 SAID = 0.5  # seconds from a server's last line to its end of the connection; a client is owed that in one
 
 
@@ -248,7 +250,9 @@
         """No whole line comes back, and not because the client takes none. What is held of one says nothing:
         guards against a server that hangs in the middle of a line."""
         return (
-            bool(self.unanswered) and self.node.now - self.unanswered[0] > SILENT and not self.client.blocked
+            bool(self.unanswered)
+            and self.node.now - self.unanswered[0] > SILENCE_SECONDS
+            and not self.client.blocked
         )
 
     def end(self, kind: str, reason: str, how: str = "fin") -> None:
--- a/bellrack/net/startup.py
+++ b/bellrack/net/startup.py
@@ -16,7 +16,7 @@
     `alone`: no other process listens for it, so it does for resumed connections once their clients come."""
     if not node.readiness.has_known_list:
         log.event("no-list", waits=lines.format_address(node.discovery.address))
-    listen_at = node.started_at + resumption.LISTEN_AFTER if alone else math.inf
+    listen_at = node.started_at + resumption.LISTEN_AFTER_SECONDS if alone else math.inf
     while not node.shutdown and not node.readiness.may_open(now := node.clock()):
         if now >= listen_at:
             await listen_unready(node)
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -180,7 +180,7 @@
     Mutant(
         "does not listen unready",
         "net/startup.py",
-        "listen_at = node.started_at + resumption.LISTEN_AFTER if alone else math.inf",
+        "listen_at = node.started_at + resumption.LISTEN_AFTER_SECONDS if alone else math.inf",
         "listen_at = math.inf",
     ),
     Mutant(
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -34,7 +34,7 @@
 @played
 async def test_a_server_that_hangs_in_the_middle_of_a_line_is_left(monkeypatch, part):
     # Seen on roll+brink: 17 bytes of a line held, the client's lines unanswered for 7 s, and no MOVE.
-    monkeypatch.setattr(servers, "SILENT", 0.2)
+    monkeypatch.setattr(servers, "SILENCE_SECONDS", 0.2)
     monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.05)
     quiet = {"messageAimUs": [1e9], "tellsDelay": False}  # lateness alone moves nobody
     async with World(specifics=quiet) as world:
--- a/tests/test_first_line.py
+++ b/tests/test_first_line.py
@@ -42,7 +42,7 @@
 @pytest.fixture
 def quick(monkeypatch):
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.2)
-    monkeypatch.setattr(clients, "RECHECK", 0.02)
+    monkeypatch.setattr(clients, "FIRST_LINE_RECHECK_SECONDS", 0.02)
 
 
 @pytest.mark.parametrize("data", MAY_RESUME)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -256,7 +256,7 @@
 
 @played
 async def test_a_leg_that_ends_while_it_is_taken_over_leaves_the_books_even(folder, monkeypatch):
-    monkeypatch.setattr(ring, "HELD", 0.0)
+    monkeypatch.setattr(ring, "FLUSH_SECONDS", 0.0)
     async with World(control=True) as world:
         line = lines.parse_request_line(b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=chat,t=acme,d=2000\r\n")
         words = {
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -263,7 +263,7 @@
 @played
 async def test_a_server_that_falls_silent_is_late_and_then_left(monkeypatch):
     monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.05)
-    monkeypatch.setattr(servers, "SILENT", 0.3)
+    monkeypatch.setattr(servers, "SILENCE_SECONDS", 0.3)
     monkeypatch.setattr("bellrack.choice.MOVE_SHARE", 0.0)
     async with World() as world:
         client, _ = await world.standing()
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -154,7 +154,7 @@
 @played
 async def test_who_writes_late_is_waited_for_until_a_request_comes(monkeypatch):
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.1)
-    monkeypatch.setattr(clients, "RECHECK", 0.05)
+    monkeypatch.setattr(clients, "FIRST_LINE_RECHECK_SECONDS", 0.05)
     async with World(servers=1) as world:
         late, pinged, partial = [await world.dial() for _ in range(3)]
         pinged.say("PING")
@@ -182,7 +182,7 @@
 @played
 async def test_who_writes_late_among_requests_is_waited_for_while_others_are_resumed(monkeypatch):
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.3)
-    monkeypatch.setattr(clients, "RECHECK", 0.05)
+    monkeypatch.setattr(clients, "FIRST_LINE_RECHECK_SECONDS", 0.05)
     async with World(servers=2) as world:
         pending = await world.call(AT)
         _, server, _ = await world.leg()  # it says nothing yet
--- a/tests/test_resumption.py
+++ b/tests/test_resumption.py
@@ -9,7 +9,7 @@
     ALL_READY_WITHIN,
     FIRST_ATTEMPT,
     FIRST_DELAY,
-    LISTEN_AFTER,
+    LISTEN_AFTER_SECONDS,
     LONGEST_ATTEMPT,
     LONGEST_DELAY,
     SPREAD,
@@ -34,7 +34,7 @@
 
 def test_the_times_are_those_of_the_pages():
     assert (ALL_READY_WITHIN, UP_WITHIN) == (30.0, 40.0)
-    assert LISTEN_AFTER <= ALL_READY_WITHIN - 10  # our 30 s began after those of the page
+    assert LISTEN_AFTER_SECONDS <= ALL_READY_WITHIN - 10  # our 30 s began after those of the page
 
 
 @pytest.mark.parametrize("requested", [False, True])
