--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -183,7 +183,7 @@
         if ends == "rst":
             server.end("rst")
         else:
-            monkeypatch.setattr(servers, "SILENT", 0.1)
+            monkeypatch.setattr(servers, "SILENCE_SECONDS", 0.1)
         await nothing_left(world)
         assert world.node.counters["legs"] == 1 and world.arrived.empty()
 
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -535,7 +535,7 @@
 @played
 async def test_a_process_without_a_list_listens_for_them_once_their_clients_come(monkeypatch):
     # Before, the kernel refused them: nobody listened until there was a list.
-    monkeypatch.setattr(resumption, "LISTEN_AFTER", 0.1)
+    monkeypatch.setattr(resumption, "LISTEN_AFTER_SECONDS", 0.1)
     with contextlib.closing(socket.create_server(("127.0.0.1", 0))) as place:
         address = place.getsockname()
     async with World(servers=1) as world:
@@ -571,6 +571,6 @@
 
 @played
 async def test_a_start_that_has_a_list_answers_at_once_and_listens_no_earlier(monkeypatch):
-    monkeypatch.setattr(resumption, "LISTEN_AFTER", 0.0)
+    monkeypatch.setattr(resumption, "LISTEN_AFTER_SECONDS", 0.0)
     async with World(servers=1) as world:
         await in_service(world)
