--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -1,8 +1,10 @@
-"""Connections of clients, and of the front that asks whether we are ready.
+"""Client connections, including the health checks (`PING`) of the load balancer in front of this one.
 
-Owns what a client is told: one answer to its first line, then its server's lines unchanged, or MOVE between
-two of them. It never answers on its own authority but to malformed lines, and never ends a connection that
-stands without a word unless one of its sides has ended.
+A client gets one answer to its first line. Once its connection is established, the server's lines are
+forwarded to it unchanged, or MOVE is sent between two of them. This module answers on its own only to
+malformed lines, to connections that send no request in time, and when descriptors run out; all other answers
+are ordered by the decisions or come from the server. An established connection is closed without a line only
+if one of its two ends has closed.
 """
 
 from __future__ import annotations
@@ -16,13 +18,15 @@
 from bellrack.net.pairing import ServerEnd
 from bellrack.net.ring import Connection
 
-MOST_ASKED = 64  # lines whose answers are waited for, by their times
-FIRST_LINE_RECHECK_SECONDS = (
-    0.2  # seconds between looks whether a first line may still come: an end is owed 0.25 s later
-)
+MAX_TIMED_LINES = 64  # unanswered lines of a client whose send times are kept
+# Between checks whether a late first line may still come. The connection must be closed 3 s after it was
+# opened, 0.25 s after FIRST_LINE_SECONDS.
+FIRST_LINE_RECHECK_SECONDS = 0.2
 
 
 class ClientConnection(Connection):
+    """The connection of one client: its request, the answer, and then the lines in both directions."""
+
     side = "client"
     forwarded_counter = "lines_to_servers"
 
@@ -30,17 +34,18 @@
         super().__init__(node)
         self.call: Call | None = None
         self.request_line: lines.RequestLine
-        self.server_connection: ServerEnd | None = None  # the leg that is out or stands
+        self.server_connection: ServerEnd | None = None  # of the current attempt, or established
         self.pings = 0
-        self.answered = False  # its final answer is written
-        self.opened: float | None = None  # when the machine accepted it, on the node's clock
+        self.answered = False  # the final answer has been written
+        self.opened: float | None = None  # when the machine accepted the connection, on the node's clock
 
     @property
     def request_id(self) -> str:
+        """The id on the request line; empty before there is a request."""
         return self.request_line.id if self.call else ""
 
     def log_fields(self) -> dict[str, Any]:
-        """By its request, or by where it came from and for how long (seconds) it was there."""
+        """The request's id, or else the peer's address and how long (seconds) the connection was open."""
         if self.call:
             return {"id": self.request_line.id}
         peer = self.transport and self.transport.get_extra_info("peername")
@@ -48,6 +53,7 @@
         return {"peer": lines.format_address(peer) if peer else "none", "lasted": lasted}
 
     def on_connected(self) -> None:
+        """Registers the connection and starts the timeout of its first line."""
         self.node.clients[self] = None
         now = self.node.clock()
         self.opened = now if self.opened is None else self.opened
@@ -63,26 +69,30 @@
             self.node.limits.on_call_ended(self.request_line.id)
 
     def on_expired(self) -> None:
-        """Guards against connections that say nothing, or never end their line, and stay; and, by an answer,
-        against the end of a line that came in with our end."""
-        # A process that ends serves nobody who writes late.
+        """Closes a connection that has sent no whole first line in time.
+
+        Otherwise connections that send nothing, or never end their line, would stay open. It is answered
+        before it is closed, since the end of its line may arrive while we close."""
+        # A process that shuts down serves no client that writes late.
         may_precede_run = self.node.resumed.may_precede_run() and not self.node.shutdown
         if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):
-            # Guards against BUSY to a resumed connection whose client is slow to write.
+            # A resumed connection whose client is slow to write must not be told BUSY.
             self.expire_after(FIRST_LINE_RECHECK_SECONDS, self.on_expired)
         elif self.call is None:
-            # After PING too: a request may be on its way, and its end without an answer would lose it.
+            # Also after PING: a request may be under way, and closing without an answer would lose it.
             self.reject_unread("no-first-line")
 
-    def finish(self, reason: str, how: str = "fin", **figures: Any) -> None:
+    def finish(self, reason: str, how: str = "fin", **fields: Any) -> None:
+        """Closes the connection (see `Connection.finish`) and ends its resumption, if one is pending."""
         if not self.closed:
             self.node.resumed.discard(self)
             self.node.invariants.check_close(self)
         if self.call and self.call.refusal:
-            figures["why"] = self.call.refusal
-        super().finish(reason, how, **figures)
+            fields["why"] = self.call.refusal
+        super().finish(reason, how, **fields)
 
     def evict(self) -> None:
+        """Closes the connection at once, with BUSY if it is still open, to free its descriptor."""
         if not self.closed:
             self.reject_unread(how="now")
         super().evict()
@@ -91,7 +101,7 @@
         if self.call is None and not self.node.limits.make_room(self.node.now, 2):
             self.refuse_for_descriptors()
         while not self.closed and self.call is None and (line := self.ring.take_line()):
-            self.first(line)
+            self.on_first_line(line)
         if self.closed:
             return
         if self.call is None and self.ring.length and not self.remote_end:
@@ -99,36 +109,39 @@
         if self.paired:
             self.forward_lines()
         if self.call and not self.paired and self.ring.length:
-            # Guards against hundreds of commands at once: whoever waits for UP as agreed says nothing before.
-            self.refuse("not-awaited")
+            # The protocol lets a client send nothing before UP. Hundreds of commands in one go are refused.
+            self.reject_malformed("not-awaited")
         elif self.ring.line_too_long:
-            self.refuse("line-too-long")
+            self.reject_malformed("line-too-long")
         elif self.has_ended():
             self.on_remote_end()
 
     def refuse_for_descriptors(self) -> None:
-        """Before accepting fails: whatever it wants, it is told; but a resumed connection waits for room."""
+        """Rejects a connection without a request while descriptors are short, before accepting fails.
+
+        A resumed connection is not rejected: it waits for a free descriptor."""
         expected = self.node.resumed.window.admits(self.node.now) and lines.is_resumed_request(
             self.ring.peek()
         )
         if not expected and not self.node.resumed.expects_more():
-            self.busy()
+            self.reject_crowded()
 
     def count_outcome(self, outcome: str) -> None:
-        """Its one outcome, by traffic type as the line names it."""
+        """Counts the one outcome of the request, by the traffic type that its line names."""
         self.node.counters[f"{outcome}.{self.request_line.values['c']}"] += 1
 
-    def first(self, line: bytes) -> None:
+    def on_first_line(self, line: bytes) -> None:
+        """Handles a line that comes before a request was accepted: PING, or the request line."""
         if line.strip() == b"PING":
             if not self.node.takes_requests:
                 if self.ring.length:
-                    return  # a request behind it has its answer
-                self.finish("not-ready")  # as if nobody listened yet
+                    return  # the request that follows gets the answer
+                self.finish("not-ready")  # closed without PONG, as if nothing listened yet
                 return
             self.pings += 1
             self.node.counters["pings"] += 1
             if self.pings > limits.MAX_PINGS:
-                self.refuse("many-pings")
+                self.reject_malformed("many-pings")
             self.write(b"PONG\r\n")
             return
         try:
@@ -136,55 +149,58 @@
             if "at" not in self.request_line.values and not self.node.limits.make_room(self.node.now):
                 if self.request_line.values.get("c") in self.node.names.types:
                     self.count_outcome("rejected")
-                self.busy()
+                self.reject_crowded()
             else:
                 self.node.on_request_line(self)
         except lines.LineError as error:
-            self.refuse(str(error))
+            self.reject_malformed(str(error))
 
-    def busy(self) -> None:
+    def reject_crowded(self) -> None:
+        """Answers BUSY because descriptors are short, and closes."""
         self.node.counters["crowded"] += 1
         self.reject_unread()
 
     def reject_unread(self, reason: str = "no-descriptors", how: str = "fin") -> None:
-        """Nothing has been sent for it, so trying again is harmless."""
+        """Answers BUSY and closes. Nothing has been sent to a server, so a retry of the client is safe."""
         self.write_final(lines.busy_line(self.node.settings.max_open_wait))
         self.finish(reason, how)
 
     def on_line(self, line: bytes) -> None:
-        if (
-            len(self.paired.unanswered) < MOST_ASKED
-        ):  # the oldest tells for how long the server has been silent
+        # The oldest time shows how long the server has been silent, so later ones may be left out.
+        if len(self.paired.unanswered) < MAX_TIMED_LINES:
             self.paired.unanswered.append(self.node.now)
         self.node.resumed.window.on_client_line()
 
-    def refuse(self, code: str) -> None:
-        """Malformed: one failing answer and the end."""
+    def reject_malformed(self, code: str) -> None:
+        """Answers SYNTAX, closes the connection and ends the request; `code` is the reason that is logged."""
         self.node.counters["malformed"] += 1
         if self.call and not self.call.done and not self.paired:
             self.count_outcome("failed")
         if self.paired:
-            self.write(b"SYNTAX\r\n")  # it has had its answer, and spoilt its connection since
+            self.write(b"SYNTAX\r\n")  # not a final answer: the connection is established and had its UP
             self.finish(code)
         else:
             self.answer(b"SYNTAX\r\n", code)
         self.abandon(model.CANCELLED)
 
     def answer(self, line: bytes, reason: str) -> None:
+        """Writes the final answer and closes; `reason` is logged."""
         self.write_final(line)
         self.finish(reason)
 
     def write_final(self, line: bytes) -> None:
-        """The one answer to its first line."""
+        """Writes the one answer to the request; does nothing if the connection is closed already."""
         if self.closed:
-            return  # its end is out already, with an answer before it
+            return  # it was answered before it was closed
         if self.answered:
             self.node.invariants.violated(Invariant.ANSWERED_TWICE, self.request_id, line=line.strip())
         self.answered = True
         self.write(line)
 
     def move(self, reason: str, kind: str = model.CANCELLED) -> None:
-        """Send it away between two lines; it comes again through the front."""
+        """Sends MOVE between two lines and closes; the client reconnects through the load balancer in front.
+
+        `kind` is the result of the leg. Does nothing unless the connection is established."""
         if self.closed or not self.paired:
             return
         self.node.counters["moved"] += 1
@@ -193,17 +209,19 @@
         self.server_connection.end(kind, reason)
 
     def on_remote_end(self) -> None:
-        """The client has ended the connection."""
+        """The client has closed or reset the connection."""
         self.finish("front" if self.pings and not self.call else f"client-{self.remote_end}", self.remote_end)
         self.abandon(model.COMPLETED if self.paired and self.remote_end == "fin" else model.CANCELLED)
 
     def abandon_if_closed(self) -> None:
-        """Guards against something sent for a client whose end only the kernel knows yet."""
+        """Abandons the request if the client has closed, also if so far only the kernel knows.
+
+        Otherwise a request could be sent to a server for a client that is gone."""
         if self.remote_closed():
             self.abandon(model.CANCELLED)
 
     def abandon(self, kind: str) -> None:
-        """Nothing is owed any more; what is out for it ends."""
+        """Ends the request, to which no answer is owed any more, and its leg, with the result `kind`."""
         if self.call and not self.call.done and not self.paired:
             self.call.done = True
             self.node.balancer.on_client_left(self.call)
