--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -183,10 +183,10 @@
             return "drain-heard"  # while we connected
         if now >= self.leg.call.write_by:
             return "repeat-window-over"
-        cold = self.node.balancer.slow_start
-        if not cold.may_write(self.leg.server):
+        slow_start = self.node.balancer.slow_start
+        if not slow_start.may_write(self.leg.server):
             return COLD_BUDGET
-        may_write, allowed = self.node.invariants.may_write, cold.fleet_allowance(self.leg.server)
+        may_write, allowed = self.node.invariants.may_write, slow_start.fleet_allowance(self.leg.server)
         return "" if may_write(self.leg, self.request_id, now, self.client.answered, allowed) else "invariant"
 
     @property
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -122,7 +122,13 @@
     ),
     Mutant(
         "late set-ups to a cold server go out together",
-        (("net/servers.py", "        if not cold.may_write(self.leg.server):\n", "        if False:\n"),),
+        (
+            (
+                "net/servers.py",
+                "        if not slow_start.may_write(self.leg.server):\n",
+                "        if False:\n",
+            ),
+        ),
         "cold",
         ("slow_start",),
     ),
