--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -195,7 +195,7 @@
         leg = Leg(call, server, float(words["sent"]) + ahead)
         call.legs.append(leg)
         call.host_record, client.call, client.request_line = client, call, request_line
-        link = ServerConnection(node, leg, client, node.now, stood=True)
+        link = ServerConnection(node, leg, client, node.now, established=True)
         link.unanswered.extend(float(when) + ahead for when in words["asked"])
         client.answered = True
         link.announced_end = str(words["said"])
--- a/bellrack/net/pairing.py
+++ b/bellrack/net/pairing.py
@@ -1,4 +1,4 @@
-"""What the two ends of a client's way, its own connection and that to a server, may ask of each other."""
+"""What the client connection and the server connection of one call use of each other."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 
 class ClientEnd(Protocol):
-    """A client's connection, as the connection to its server knows it."""
+    """The client's connection, as seen by the connection to its server."""
 
-    request_line: RequestLine  # its first line
-    server_connection: ServerEnd | None  # the attempt that is out, or stands
-    closed: bool
-    remote_end: str  # how the client ended it; empty while it has not
-    blocked: bool  # it takes nothing at present
-    answered: bool  # its final answer is written
+    request_line: RequestLine
+    server_connection: ServerEnd | None  # of the current attempt, or established
+    closed: bool  # closed by this process
+    remote_end: str  # how the client closed it, "fin" or "rst"; empty while the client has not
+    blocked: bool  # the write buffer is full
+    answered: bool  # the final answer has been written
 
     def process(self) -> None: ...
     def wake(self) -> None: ...
@@ -29,9 +29,9 @@
 
 
 class ServerEnd(Protocol):
-    """The connection of one attempt to a server, as its client's connection knows it."""
+    """The connection of one attempt to a server, as seen by its client's connection."""
 
     leg: Leg
-    request_sent: bool  # the first line has gone out
+    request_sent: bool
 
     def end(self, kind: str, reason: str, how: str = ...) -> None: ...
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -1,8 +1,8 @@
-"""Connections to servers: one for each leg, and what a host knows of a server beside its list entry.
+"""Connections to servers: one for each leg, the probes, and what a node records of a server's endpoint.
 
-Owns the way of a leg from connecting to its one result, the passing on of the server's lines, and the timing
-of lines to their answers. It never chooses a server, never sends a second leg of its own accord, and writes
-nothing to a server that a drain has been heard of.
+A `ServerConnection` takes its leg from connecting to its one result, forwards the server's lines, and times
+the server's answers to lines. Which server is tried, and whether there is another attempt, is decided
+elsewhere. No request is sent to a server once a drain of it is known.
 """
 
 from __future__ import annotations
@@ -21,52 +21,60 @@
 from bellrack.net.ring import Connection
 from bellrack.net.start_times import Start
 
-COLD_BUDGET = "cold-budget"  # why an attempt is not written: its server bears no more just now
-PROBE_WAIT = 0.25  # seconds that a probe may take
-SILENCE_SECONDS = (
-    2.5  # an unanswered line this old: clients send every 2 s, looks come each second, 7 s are too long
-)
-SAID = 0.5  # seconds from a server's last line to its end of the connection; a client is owed that in one
+COLD_BUDGET = "cold-budget"  # reason not to send: the slow start of the server allows no request at present
+PROBE_TIMEOUT_SECONDS = 0.25
+# Age of an unanswered line from which its server counts as silent. Clients send a line every 2 s, servers are
+# checked once a second, and 7 s would be too late.
+SILENCE_SECONDS = 2.5
+# From a server's last line (BYE, MOVE) until we close if the server has not; the client's connection must
+# close within 1 s.
+ANNOUNCED_END_SECONDS = 0.5
 
 
 class Endpoint:
-    """A server as its host sees it: where it is, what stands there, how long lines take."""
+    """The node's record of a server: its address, its established connections, how long lines take."""
 
     def __init__(self, name: str, address: tuple[str, int]):
         self.name, self.address = name, address
-        self.start: Start | None = None  # the last that was listed
-        self.connections: dict[ServerConnection, None] = {}  # standing
-        self.line_times: list[float] = []  # by the answers since the last look
-        self.was_late = False  # by those, as last told
-        self.last_used = 0.0  # when it last was listed or stood for anything
-        self.delay_reported_at = 0.0  # when the server itself last told how long messages take
+        self.start: Start | None = None  # the last start that was listed
+        self.connections: dict[ServerConnection, None] = {}  # established
+        self.line_times: list[float] = []  # seconds to each answer since the last check
+        self.was_late = False  # whether the last check found its lines late
+        self.last_used = 0.0  # when it was last listed or had an open leg
+        self.delay_reported_at = 0.0  # when the server itself last reported how long messages take
 
     def take_line_time(self, now: float) -> float:
-        """What a line takes here now: by the answers since the last look, else by the lines still out.
+        """Seconds that a line takes at present; forgets the answers that were timed so far.
 
-        The least of them: guards against a pause of our own that is taken for the server's."""
-        took, self.line_times = self.line_times, []
+        This is the least time of the answers since the last check, or, without answers, the least age of an
+        unanswered line. The least, since a pause of this process lengthens the times of all lines that it
+        reads afterwards and would otherwise be taken for a delay of the server."""
+        line_times, self.line_times = self.line_times, []
         return min(
-            took or [now - link.unanswered[0] for link in self.connections if link.unanswered], default=0.0
+            line_times
+            or [now - connection.unanswered[0] for connection in self.connections if connection.unanswered],
+            default=0.0,
         )
 
 
 class OutgoingConnection(Connection):
-    """A connection that we open."""
+    """A connection that this process opens."""
 
-    task: asyncio.Task | None = None  # while it is coming up
-    local_failure = False  # it did not come up for want of something on our own machine
+    task: asyncio.Task | None = None  # connects
+    local_failure = False  # connecting failed for want of a resource of this machine
 
     def open(self, address: tuple[str, int], wait: float) -> None:
+        """Starts connecting, for `wait` seconds at most. `ready` runs when it succeeds or fails."""
         self.task = self.node.loop.create_task(self._open(address, wait))
 
     async def _open(self, address: tuple[str, int], wait: float) -> None:
-        self.node.limits.count_descriptors(1)  # the descriptor is there from the start
+        self.node.limits.count_descriptors(1)  # the descriptor is in use from the start of the handshake
         sock = None
         try:
-            sock = await self.connected(address, wait)
-            # Guards against a pause of our own taken for a server out of reach: it is up or not, and a
-            # line that went out meanwhile had run.
+            sock = await self.connect_with_retries(address, wait)
+            # Raises if the socket is not connected. The timeout covers the handshake alone: if this process
+            # was paused past the timeout, an established connection must not count as an unreachable server,
+            # and a request that was written meanwhile must not count as never sent.
             sock.getpeername()
             await self.node.loop.create_connection(lambda: self, sock=sock)
         except OSError as error:
@@ -78,16 +86,18 @@
                 sock.close()
             self.node.limits.count_descriptors(-1)
 
-    async def connected(self, address: tuple[str, int], wait: float) -> socket.socket:
-        """A socket that is up, or on which the time is over. What our own machine fails in for a moment is
-        tried again: guards against requests refused, and servers blamed, for it."""
+    async def connect_with_retries(self, address: tuple[str, int], wait: float) -> socket.socket:
+        """Returns a socket that is connected, or on which connecting timed out after `wait` seconds.
+
+        Transient errors of this machine are retried for CONNECT_RETRY_SECONDS, so that neither a request
+        fails nor a server is blamed for them. Raises the OSError of any other failure."""
         loop = self.node.loop
         end = loop.time() + wait
-        try_until = min(end, loop.time() + transient.CONNECT_RETRY_SECONDS)
+        retry_until = min(end, loop.time() + transient.CONNECT_RETRY_SECONDS)
         while True:
             sock = None
             try:
-                sock = socket.socket(socket.AF_INET)  # fails where the kernel has no descriptor left
+                sock = socket.socket(socket.AF_INET)  # fails if the kernel has no descriptor left
                 sock.setblocking(False)
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout_at(end):
@@ -96,42 +106,51 @@
             except BaseException as error:
                 if sock is not None:
                     sock.close()
-                passes = isinstance(error, OSError) and transient.is_local(error)
-                if not passes or loop.time() >= try_until:
+                may_retry = isinstance(error, OSError) and transient.is_local(error)
+                if not may_retry or loop.time() >= retry_until:
                     raise
             await asyncio.sleep(transient.RETRY_INTERVAL_SECONDS)
 
     def on_connected(self) -> None:
-        if self.closed:  # given up while it came up
+        if self.closed:  # given up while connecting
             self.transport.abort()
         self.wake()
 
     def cancel_connect(self) -> None:
-        """Stop connecting, if that is still under way."""
+        """Stops connecting, if that is still under way."""
         if self.transport is None and self.task:
             self.task.cancel()
 
 
 class ServerConnection(OutgoingConnection):
-    """One leg."""
+    """The connection of one leg: it sends the request, and once established forwards lines to the client."""
 
     side = "server"
     forwarded_counter = "lines_to_clients"
 
     def __init__(
-        self, node: Any, leg: Leg, client: ClientEnd, until: float, resumed: bool = False, stood: bool = False
+        self,
+        node: Any,
+        leg: Leg,
+        client: ClientEnd,
+        deadline: float,
+        resumed: bool = False,
+        established: bool = False,
     ):
+        """Connects, unless `established`: then a hot restart has handed the connection over to this process.
+
+        `deadline`: time by which the server must have answered. `resumed`: the client's connection is one."""
         super().__init__(node)
-        self.leg, self.client, self.until, self.resumed = leg, client, until, resumed
-        self.unanswered: deque[float] = deque()  # when the client's lines still unanswered went on
-        self.request_sent = stood  # in another process before: it is up and needs no connecting
-        self.announced_end = ""  # how the server said that the connection ends
+        self.leg, self.client, self.deadline, self.resumed = leg, client, deadline, resumed
+        self.unanswered: deque[float] = deque()  # when each unanswered line of the client was forwarded
+        self.request_sent = established
+        self.announced_end = ""  # result announced by the server's last line: completed or cancelled
         leg.host_record = client.server_connection = self
-        self.timer = node.at(until, self.late)
-        if not stood:
-            # A resumed connection has no other server: it waits for the kernel to repeat the handshake.
+        self.deadline_timer = node.at(deadline, self.on_deadline)
+        if not established:
+            # A resumed connection has no other server: it waits while the kernel retries the handshake.
             wait = math.inf if resumed else node.names.connect_timeout
-            self.open(leg.server.host_record.address, min(wait, max(0.0, until - node.now)))
+            self.open(leg.server.host_record.address, min(wait, max(0.0, deadline - node.now)))
 
     @property
     def endpoint(self) -> Endpoint:
@@ -142,14 +161,15 @@
 
     def ready(self) -> None:
         if self.client.remote_end and not self.leg.established:
-            # Guards against a line sent, or an answer counted, for a client whose end came in the same batch.
+            # The client closed in the same batch. It is handled first, so that nothing is sent for it and the
+            # server's answer is not counted.
             self.client.process()
         if not self.closed and not self.request_sent:
             self.client.abandon_if_closed()
         if not self.closed and not self.request_sent and not self.remote_end:
-            self.speak()
+            self.send_request_line()
         while not self.closed and not self.leg.established and (line := self.ring.take_line()):
-            self.answered(line)
+            self.on_answer(line)
         if self.closed:
             return
         if self.leg.established:
@@ -159,28 +179,30 @@
         elif self.ring.line_too_long:
             self.end(model.ERROR, "line-too-long", "rst")
         elif self.has_ended():
-            self.lost()
+            self.on_connection_ended()
 
-    def speak(self) -> None:
-        """The first byte goes out now, or the connection counts as never made."""
-        if refusal := self.refusal():
-            # Not the server's: guards against a cold one that counts as failing since it came up late.
-            self.end(model.MOOT if refusal == COLD_BUDGET else model.NO_CONN, refusal)
+    def send_request_line(self) -> None:
+        """Sends the request, or ends the leg as never sent if it must not be sent any more."""
+        if reason := self.reason_not_to_send():
+            # A slow start budget that is spent by the time a connection is up is no failure of the server.
+            self.end(model.MOOT if reason == COLD_BUDGET else model.NO_CONN, reason)
         else:
             self.request_sent = True
             self.node.counters["upstream_requests"] += 1
-            self.write(lines.with_remaining_wait(self.client.request_line, self.until - self.node.now))
+            self.write(lines.with_remaining_wait(self.client.request_line, self.deadline - self.node.now))
+
+    def reason_not_to_send(self) -> str:
+        """Why the request must not be sent to this server now; empty if it may be.
 
-    def refusal(self) -> str:
-        """The one guard before a first line is written: why it must not be, or ''. It asks the clock itself,
-        since the turn may have begun long ago."""
+        This is the only check before a request is written. It reads the clock itself, since `node.now` may be
+        old: the turn may have begun long ago."""
         now = self.node.clock()
-        if self.answered_already():
+        if self.client_is_answered():
             return "client-answered"
         if self.resumed:
             return ""
         if not self.leg.server.usable:
-            return "drain-heard"  # while we connected
+            return "drain-heard"  # while connecting
         if now >= self.leg.call.write_by:
             return "repeat-window-over"
         slow_start = self.node.balancer.slow_start
@@ -193,17 +215,19 @@
     def request_id(self) -> str:
         return self.client.request_line.id
 
-    def answered_already(self) -> bool:
-        """Is the client's answer out, or decided on in this batch and about to go out?"""
+    def client_is_answered(self) -> bool:
+        """Whether the client has its answer, or will get it at the end of this turn."""
         return self.client.closed or self.leg.call.done
 
-    def answered(self, line: bytes) -> None:
+    def on_answer(self, line: bytes) -> None:
+        """Handles the server's answer to the request: UP establishes the connection, others end the leg."""
         kind, _ = lines.parse_server_line(line)
-        if self.answered_already():
-            # Guards against a leg that stands for nobody, and against a second answer behind the first.
+        if self.client_is_answered():
+            # Otherwise a connection would be established for a client that is gone, or the client would get a
+            # second answer.
             self.end(model.CANCELLED, "client-answered")
         elif kind == "up":
-            self.timer.cancel()
+            self.deadline_timer.cancel()
             self.paired, self.client.paired = self.client, self
             self.endpoint.connections[self] = None
             self.client.write_final(line)
@@ -212,26 +236,27 @@
         else:
             if kind == model.COMPLETED:
                 self.client.write_final(line)
-                self.client.count_outcome("failed")  # it was never up
+                self.client.count_outcome("failed")  # the connection was never established
             self.end(kind or model.ERROR, f"answer-{kind or 'unknown'}")
 
     def on_line(self, line: bytes) -> None:
         kind, rest = lines.parse_server_line(line)
         if kind in (model.COMPLETED, model.CANCELLED):
-            # Guards against a server that hangs between its last line and the end that its client waits for.
+            # The client waits for the connection to close, also if the server hangs after its last line.
             self.announced_end = kind
-            self.node.after(SAID, self.lost)
+            self.node.after(ANNOUNCED_END_SECONDS, self.on_connection_ended)
         elif line.startswith(b"LOAD "):
             self.node.on_load_line(self.leg, rest)
         elif self.unanswered:
             self.endpoint.line_times.append(self.node.now - self.unanswered.popleft())
 
-    def lost(self) -> None:
-        """The server, or the way to it, has ended the connection, or has said so and not done it."""
+    def on_connection_ended(self) -> None:
+        """The server or the network has ended the connection, or the server announced its end and hangs."""
         if self.closed:
             return
         if self.leg.established:
-            # Guards against a reset that takes along the last line: who has said so has ended in order.
+            # A reset would discard the last line on its way to the client. A server that announced the end
+            # has ended in order, even if a reset follows.
             self.client.finish(
                 f"server-{self.announced_end or self.remote_end}",
                 "fin" if self.announced_end else self.remote_end,
@@ -242,13 +267,15 @@
         else:
             self.end(model.RESET, self.remote_end)
 
-    def late(self) -> None:
+    def on_deadline(self) -> None:
+        """Ends the leg if the server has not answered in time."""
         if not self.leg.established:
             self.end(model.TIMEOUT if self.request_sent else model.NO_CONN, "timeout")
 
     def is_silent(self) -> bool:
-        """No whole line comes back, and not because the client takes none. What is held of one says nothing:
-        guards against a server that hangs in the middle of a line."""
+        """Whether the server has left a line unanswered for SILENCE_SECONDS while the client accepts data.
+
+        Part of a line is no answer: a server may hang in the middle of one."""
         return (
             bool(self.unanswered)
             and self.node.now - self.unanswered[0] > SILENCE_SECONDS
@@ -256,10 +283,10 @@
         )
 
     def end(self, kind: str, reason: str, how: str = "fin") -> None:
-        """The leg's one result; the connection to the server ends with it."""
+        """Ends the leg with its one result, `kind`, and closes the connection; see `Connection.finish`."""
         if self.closed:
             return
-        self.timer.cancel()
+        self.deadline_timer.cancel()
         self.cancel_connect()
         self.endpoint.connections.pop(self, None)
         attempt = len(self.leg.call.legs)
@@ -269,39 +296,42 @@
 
 
 class Probe(OutgoingConnection):
-    """One question for a server's health, or for its load report where probes bring one."""
+    """A health check of one server: PING, or STATS if probes fetch a load report."""
 
     side = "probe"
 
     def __init__(self, node: Any, server: Server):
         super().__init__(node)
-        self.server, self.begun, self.request_sent = server, node.now, False
-        self.fields = len(node.settings.report)
+        self.server, self.started_at, self.request_sent = server, node.now, False
+        self.report_fields = len(node.settings.report)
         node.limits.probes_in_flight += 1
-        self.node.after(PROBE_WAIT, self.over_with, model.TIMEOUT)
-        self.open(server.host_record.address, PROBE_WAIT)
+        self.node.after(PROBE_TIMEOUT_SECONDS, self.complete, model.TIMEOUT)
+        self.open(server.host_record.address, PROBE_TIMEOUT_SECONDS)
 
     def ready(self) -> None:
         if not self.request_sent and not self.remote_end:
             self.request_sent = True
-            self.write(b"STATS\r\n" if self.fields else b"PING\r\n")
+            self.write(b"STATS\r\n" if self.report_fields else b"PING\r\n")
         line = (self.ring.take_line() or b"").strip()
-        if line == b"PONG" and self.fields:
-            line = (self.ring.take_line() or b"").strip()  # the report may stand on a line of its own
-        if line == b"PONG" and not self.fields:
-            self.over_with(model.COMPLETED)
-        elif self.fields and (values := lines.parse_report(line, self.fields)):
-            self.over_with(model.COMPLETED, values)
+        if line == b"PONG" and self.report_fields:
+            line = (self.ring.take_line() or b"").strip()  # the report may follow on a line of its own
+        if line == b"PONG" and not self.report_fields:
+            self.complete(model.COMPLETED)
+        elif self.report_fields and (values := lines.parse_report(line, self.report_fields)):
+            self.complete(model.COMPLETED, values)
         elif line:
-            self.node.counters["bad_reports"] += bool(self.fields)
-            self.over_with(model.ERROR)
+            self.node.counters["bad_reports"] += bool(self.report_fields)
+            self.complete(model.ERROR)
         elif self.remote_end:
-            self.over_with(model.RESET if self.request_sent else model.NO_CONN)
+            self.complete(model.RESET if self.request_sent else model.NO_CONN)
 
-    def over_with(self, kind: str, report: tuple[float, ...] = ()) -> None:
+    def complete(self, kind: str, report: tuple[float, ...] = ()) -> None:
+        """Closes the probe and tells the balancer its result, `kind`, with the values of the report."""
         if not self.closed:
             self.cancel_connect()
             self.node.limits.probes_in_flight -= 1
             self.node.counters[f"probe_{kind.replace(' ', '_')}"] += 1
             self.finish(kind, server=self.server.host_record.name)
-            self.node.balancer.on_probe_result(self.server, Result(kind, self.node.now - self.begun, report))
+            self.node.balancer.on_probe_result(
+                self.server, Result(kind, self.node.now - self.started_at, report)
+            )
