--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -1,8 +1,8 @@
-"""Ring buffers, and the end of a TCP connection that reads into one.
+"""Ring buffers, and the base class of all TCP connections, which read into one.
 
-Owns the bytes that have come in and are not yet taken: one ring for each direction of a connection, of fixed
-size, which pauses reading while it is full. It never looks into lines, never decides, and never acts in a
-callback beyond queueing itself for the node's next turn.
+A ring holds the bytes of one direction of a connection that were received and not yet consumed. It has a
+fixed size; reading is paused while it is full. The callbacks of asyncio only store data and queue the
+connection for the node's next turn; lines are looked at, and decisions made, in that turn.
 """
 
 from __future__ import annotations
@@ -17,29 +17,29 @@
 
 from bellrack.net.lines import MAX_LINE_BYTES
 
-SIZE = 8192  # of a ring: a whole line and the start of the next
-HIGH = 16384  # bytes that a transport may hold unsent before the other side's reading pauses
-FLUSH_SECONDS = 0.5  # seconds that one side's last lines wait for the other to take them
-LINGER = 1.0  # seconds that the other side has to end after we have
-DROPPED = 65536  # bytes read after our end, for the sake of our last line; more only cost time
-UNHEARD = 15000  # milliseconds after which the kernel gives up bytes that nobody takes
-ABORT = struct.pack("ii", 1, 0)  # linger of nought: closing resets
-NUMBERS = itertools.count(1)  # of this process's connections, in the order in which they came
-SCRATCH = memoryview(bytearray(SIZE))  # what comes after our end goes here and is dropped
+RING_BYTES = 8192  # a whole line and the start of the next
+WRITE_BUFFER_BYTES = 16384  # unsent bytes of a transport above which the paired connection pauses reading
+FLUSH_SECONDS = 0.5  # that the last lines of a closed side wait while the other side accepts no data
+LINGER_SECONDS = 1.0  # that the remote end has to close after we have
+MAX_DISCARDED_BYTES = 65536  # read after we closed, so that our last line is not lost; more only costs time
+TCP_USER_TIMEOUT_MS = 15000  # after which the kernel drops a connection whose data is not acknowledged
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: close() sends a reset
+CONNECTION_NUMBERS = itertools.count(1)  # of this process, in the order of creation
+DISCARD_BUFFER = memoryview(bytearray(RING_BYTES))  # receives what is read after we closed
 
 
 class Ring:
-    """A fixed number of bytes, first in, first out."""
+    """A byte queue of fixed size."""
 
     __slots__ = ("size", "data", "view", "start", "length")
 
-    def __init__(self, size: int = SIZE):
+    def __init__(self, size: int = RING_BYTES):
         self.size, self.data = size, bytearray()
         self.start = self.length = 0
 
     def writable_space(self) -> memoryview:
-        """Free room in one piece; empty only when the ring is full."""
-        if not self.data:  # guards against hundreds of connections that say nothing, each with its ring
+        """Returns free space in one piece, to be filled before `commit`; empty only if the ring is full."""
+        if not self.data:  # allocated at first use: hundreds of idle connections need no buffer
             self.data = bytearray(self.size)
             self.view = memoryview(self.data)
         if not self.length:
@@ -48,6 +48,7 @@
         return self.view[end - size : self.start] if end >= size else self.view[end:]
 
     def commit(self, count: int) -> None:
+        """Adds the first `count` bytes of the writable space to the queue."""
         self.length += count
 
     @property
@@ -55,26 +56,27 @@
         return self.length == self.size
 
     def take_line(self) -> bytes | None:
-        """Take the first whole line, its end included."""
-        length = self._length()
+        """Removes and returns the first whole line, its end included; None if there is none."""
+        length = self._line_length()
         return self.take(length) if length else None
 
     @property
     def line_too_long(self) -> bool:
-        """Longer than a line may be, and no end in sight."""
-        return self.length > MAX_LINE_BYTES and not self._length()
+        """Whether the first line is longer than MAX_LINE_BYTES, with no end in sight."""
+        return self.length > MAX_LINE_BYTES and not self._line_length()
 
-    def _length(self) -> int:
+    def _line_length(self) -> int:
+        """Length of the first whole line; 0 if there is none."""
         size = self.size
-        over = self.start + self.length - size
+        wrapped = self.start + self.length - size
         at = self.data.find(b"\n", self.start, min(self.start + self.length, size))
-        if at < 0 < over:
-            at = self.data.find(b"\n", 0, over)
+        if at < 0 < wrapped:
+            at = self.data.find(b"\n", 0, wrapped)
             return size - self.start + at + 1 if at >= 0 else 0
         return at + 1 - self.start if at >= 0 else 0
 
     def peek(self, count: int | None = None) -> bytes:
-        """The first so many of the bytes held, or all of them; they stay."""
+        """Returns the first `count` bytes, or all, without removing them."""
         count = self.length if count is None else count
         if not count:
             return b""
@@ -85,56 +87,58 @@
         return out
 
     def take(self, count: int) -> bytes:
+        """Removes and returns the first `count` bytes."""
         out = self.peek(count)
         self.start, self.length = (self.start + count) % self.size, self.length - count
         return out
 
 
 class Connection(asyncio.BufferedProtocol):
-    """One end of a connection. What is read waits in its ring until the node's turn calls `ready`."""
+    """A TCP connection. Received bytes wait in its ring until the node's turn calls `ready`."""
 
     side = "link"
-    forwarded_counter = ""  # the counter of the lines that go on to the other end
-    has_priority = False  # its turn comes before the others' of the batch
+    forwarded_counter = ""  # the counter of the lines that are forwarded to the paired connection
+    has_priority = False  # processed before the other connections of a turn
 
     def __init__(self, node: Any):
-        self.node, self.ring, self.number = node, Ring(), next(NUMBERS)
+        self.node, self.ring, self.number = node, Ring(), next(CONNECTION_NUMBERS)
         self.transport: Any = None
-        self.paired: Connection | None = None  # where whole lines go on to, once there is one
+        self.paired: Connection | None = None  # whole lines are forwarded to it
         self.queued = self.paused = self.blocked = self.closed = False
-        self.remote_end = ""  # how the other side ended: "fin" or "rst"
-        self.flush_deadline = 0.0  # until when its last lines wait, once it has
-        self.counted = False  # among the descriptors
-        self.dropped = 0  # bytes that came after our end
-        self.expiry: asyncio.TimerHandle | None = None  # until when it may last as it is
+        self.remote_end = ""  # how the remote end closed: "fin" or "rst"
+        self.flush_deadline = 0.0  # until when its last lines wait to be forwarded after it closed
+        self.counted = False  # whether its descriptor is counted
+        self.discarded = 0  # bytes received after we closed
+        self.expiry: asyncio.TimerHandle | None = None  # see `expire_after`
 
-    # Callbacks: they only note and queue.
+    # Callbacks of asyncio: they only store and queue.
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=HIGH)
+        transport.set_write_buffer_limits(high=WRITE_BUFFER_BYTES)
         if sock := transport.get_extra_info("socket"):
-            # Guards against a side that vanished: nothing else would ever end a connection to it.
+            # Without these options a connection to a peer that has vanished would never end.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNHEARD)
-        self.count(True)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+        self.count_descriptor(True)
         self.on_connected()
 
     def on_connected(self) -> None: ...
 
-    def count(self, on: bool) -> None:
+    def count_descriptor(self, on: bool) -> None:
+        """Counts this connection's descriptor, or counts it no longer."""
         if self.counted != on:
             self.counted = on
             self.node.limits.count_descriptors(1 if on else -1)
 
     def get_buffer(self, hint: int) -> memoryview:
-        return SCRATCH if self.closed else self.ring.writable_space()
+        return DISCARD_BUFFER if self.closed else self.ring.writable_space()
 
     def buffer_updated(self, count: int) -> None:
         if self.closed:
-            # Guards against a client that goes on sending, 60 MB if it likes, when its answer is out.
-            self.dropped += count
-            if self.dropped > DROPPED:
+            # A client may go on sending after its answer, even 60 MB; that is cut short.
+            self.discarded += count
+            if self.discarded > MAX_DISCARDED_BYTES:
                 self.transport.abort()
             return
         self.ring.commit(count)
@@ -146,10 +150,10 @@
     def eof_received(self) -> bool:
         self.remote_end = self.remote_end or "fin"
         self.wake()
-        return not self.closed  # after our own end there is nothing left to wait for
+        return not self.closed  # False closes the transport: both ends are closed
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.count(False)
+        self.count_descriptor(False)
         self.node.limits.untrack(self)
         self.expire_after(None)
         self.remote_end = self.remote_end or ("rst" if error else "fin")
@@ -164,8 +168,9 @@
             self.paired.wake()
 
     def remote_closed(self) -> bool:
-        """Has the other side ended or reset, as far as the kernel knows by now? Guards against an end that a
-        long turn, a pause in reading or bytes still unread hide."""
+        """Whether the remote end has closed or reset, asked of the kernel.
+
+        asyncio may not have reported that yet: because of a long turn, paused reading or unread bytes."""
         if self.remote_end or self.closed:
             return True
         if self.transport is None or (sock := self.transport.get_extra_info("socket")) is None:
@@ -177,13 +182,15 @@
         return bool(poll.poll(0))
 
     def wake(self) -> None:
+        """Queues the connection for the node's next turn."""
         if not self.queued and not self.closed:
             self.queued = True
             self.node.queue(self.process, first=self.has_priority)
 
-    # In the node's turn.
+    # Run in the node's turn.
 
     def process(self) -> None:
+        """Handles what was received, and resumes reading once the ring has space."""
         self.queued = False
         if not self.closed:
             self.ready()
@@ -192,11 +199,11 @@
             self.transport.resume_reading()
 
     def ready(self) -> None:
-        """There are bytes to look at, room to write, or the other side has ended."""
+        """Called if bytes were received, the paired connection accepts data, or the remote end closed."""
         raise NotImplementedError
 
     def forward_lines(self) -> None:
-        """Whole lines go on to the other end, unchanged, while it has room."""
+        """Forwards whole lines to the paired connection, unchanged, until that is blocked."""
         out = []
         while not self.paired.blocked and (line := self.ring.take_line()):
             out.append(line)
@@ -206,12 +213,12 @@
             self.paired.write(b"".join(out))
 
     def on_line(self, line: bytes) -> None:
-        """What a line tells on its way."""
+        """Called for each line that is forwarded."""
 
     def has_ended(self) -> bool:
-        """It has ended, and what it sent has gone on or waited long enough.
+        """Whether the remote end has closed and its last lines are forwarded, or have waited FLUSH_SECONDS.
 
-        Guards against a pair kept up by a side that takes nothing."""
+        Without that limit a peer that accepts no data would keep both connections open."""
         if not self.remote_end or not (self.paired and self.paired.blocked):
             return bool(self.remote_end)
         if not self.flush_deadline:
@@ -220,48 +227,54 @@
         return self.node.now >= self.flush_deadline
 
     def write(self, data: bytes) -> None:
+        """Writes, unless the connection is closed."""
         if not self.closed and self.transport and not self.transport.is_closing():
             self.transport.write(data)
 
-    def finish(self, reason: str, how: str = "fin", **figures: Any) -> None:
-        """End it: after what was written, or at once with a reset. Leaves the connection's log line."""
+    def finish(self, reason: str, how: str = "fin", **fields: Any) -> None:
+        """Closes the connection and logs its end with `reason` and `fields`; does nothing if already closed.
+
+        `how`: "fin" sends what was written, then closes and waits for the remote end; "now" does not wait;
+        "rst" resets at once."""
         if self.closed:
             return
         self.closed = True
-        self.node.log_end(self, reason, figures)
+        self.node.log_end(self, reason, fields)
         if self.transport is None:
             return
         if how == "rst":
             sock = self.transport.get_extra_info("socket")
             if sock is not None and sock.fileno() >= 0:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             self.transport.abort()
         elif self.remote_end or self.transport.is_closing() or how == "now":
             self.transport.close()
         else:
-            # Guards against a close with bytes still unread, which resets and takes our last line with it;
-            # and against a reset that has come in but was not told of yet.
+            # Only the write side is closed at first: close() with unread bytes sends a reset, which discards
+            # our last line. Fails with OSError if a reset was received that asyncio has not reported yet.
             with contextlib.suppress(OSError):
                 self.transport.write_eof()
             if self.paused:
                 self.transport.resume_reading()
-            # Guards against whole lines that are lost with a side that is slow, and one that takes nothing.
-            self.expire_after(FLUSH_SECONDS if self.blocked else LINGER, self.transport.abort)
+            # Time for a slow peer to take the last whole lines; a peer that takes nothing is cut off.
+            self.expire_after(FLUSH_SECONDS if self.blocked else LINGER_SECONDS, self.transport.abort)
             self.node.limits.evictable.setdefault(self, self.node.now)
 
     def log_fields(self) -> dict[str, Any]:
-        """What its log line tells of it beside its number."""
+        """What its log line has beside its number, side and reason."""
         return {}
 
-    def expire_after(self, wait: float | None, then: Any = None, *values: Any) -> None:
-        """At most so long as it is now."""
+    def expire_after(self, wait: float | None, callback: Any = None, *args: Any) -> None:
+        """Calls `callback` in `wait` seconds, in place of an earlier one; None only cancels that."""
         if self.expiry:
             self.expiry.cancel()
-        self.expiry = self.node.after(wait, then, *values) if wait is not None else None
+        self.expiry = self.node.after(wait, callback, *args) if wait is not None else None
 
     def evict(self) -> None:
-        """Its descriptor is needed and nothing is owed to it: guards against ends that wait long."""
+        """Aborts a connection to which nothing is owed, since its descriptor is needed.
+
+        Otherwise connections that wait long for their remote end would use up the descriptors."""
         self.node.limits.untrack(self)
         if self.transport:
             self.transport.abort()
-            self.count(False)  # the descriptor is free before the next is accepted
+            self.count_descriptor(False)  # the descriptor is free before the next connection is accepted
