--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -1,8 +1,8 @@
-"""One balancer on sockets: it hosts the decisions and carries out what they ask for.
+"""One balancer on sockets: hosts the decisions (`choice.Balancer`) and carries out what they order.
 
-Owns the books, the clients' requests on their way to the decisions, and the start and the end of the
-process. It never chooses a server, never lets one faulty connection end the program, and begins no attempt
-for a client that the kernel knows to be gone.
+A node keeps the accounts of calls and legs, passes the clients' requests to the decisions, and starts and
+ends the process. It chooses no server itself. An error with one connection does not end the process, and no
+attempt is begun for a client that the kernel reports as closed.
 """
 
 from __future__ import annotations
@@ -31,24 +31,27 @@
 from bellrack.net.shutdown import Shutdown
 from bellrack.net.turns import TurnLoop
 
-KNOWN_LIST_WAIT = 2.0  # seconds after the start for which we wait for a word of discovery if we know a list
+# Seconds after the start to wait for discovery before a list from before the start is used.
+KNOWN_LIST_WAIT = 2.0
 
 
 class Node(TurnLoop, Accounting):
+    """The process's one balancer with its sockets and timers; the `Host` of the decisions."""
+
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop):
         TurnLoop.__init__(self, loop, log.Counters())
         self.config, self.names = config, config.names
         self.clients: dict[ClientConnection, None] = {}
-        self.admin_connections: dict[
-            AdminConnection, None
-        ] = {}  # operators whose call is not whole, oldest first
+        # Operators whose request is not complete, oldest first.
+        self.admin_connections: dict[AdminConnection, None] = {}
         self.peers: PeerSocket | None = None
         self.limits = limits.Limits(config.sockets)
         self.started_at = self.clock()
         self.resumed = ResumedConnections(self, self.started_at, limits.FIRST_LINE_SECONDS)
         self.limits.expects_resumed = self.resumed.expects_more
-        self.takes_requests = True  # but where it listens before it is ready
-        # Where lists are pushed, what the discovery has counts as told from our first moment on.
+        self.takes_requests = True  # False while it listens before it is ready
+        # Where discovery pushes lists (`asks` is off), the list that it has counts as known to this process
+        # from the start, so an older one is not used at once.
         self.readiness, self.changed = (
             Readiness(self.started_at, KNOWN_LIST_WAIT, config.settings.asks),
             asyncio.Event(),
@@ -63,13 +66,19 @@
         Accounting.__init__(self, config.settings, config.seed, self.clock())
         self.invariants = Invariants(self.counters, config.settings)
 
-    def log_end(self, link: Any, reason: str, figures: dict) -> None:
-        self.counters[f"ended_{link.side}"] += 1
+    def log_end(self, connection: Any, reason: str, fields: dict) -> None:
+        """Counts and logs the end of a connection."""
+        self.counters[f"ended_{connection.side}"] += 1
         log.event(
-            "ended", side=link.side, reason=reason, connection=link.number, **link.log_fields(), **figures
+            "ended",
+            side=connection.side,
+            reason=reason,
+            connection=connection.number,
+            **connection.log_fields(),
+            **fields,
         )
 
-    # What the balancer may do: each is carried out when the module has had the whole batch.
+    # The `Host` of the decisions. Orders are carried out once the decisions have had all events of the turn.
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
         leg, server.last_attempted, server.needs_attempt = self.begin_leg(call, server), self.now, False
@@ -77,7 +86,7 @@
         return leg
 
     def cancel(self, leg: Leg) -> None:
-        self.act(self.cancelled, leg)
+        self.act(self.cancel_leg, leg)
 
     def reject(self, call: Call, wait: float = 0.0) -> None:
         self.answer(call, lines.busy_line(min(wait, self.settings.max_open_wait)), "rejected")
@@ -98,54 +107,61 @@
         self.act(self.discovery.fetch)
 
     def probe(self, server: Server) -> None:
-        self.act(self.probing, server)
+        self.act(self.start_probe, server)
 
     def send_datagram(self, peer: int | None, data: bytes) -> None:
         if self.peers and len(data) <= MAX_DATAGRAM_BYTES:
             self.act(self.peers.send, peer, data)
 
-    def set_timer(self, when: float, what: Any) -> None:
-        self.at(when, self.on_timer, what)
+    def set_timer(self, when: float, token: Any) -> None:
+        self.at(when, self.on_timer, token)
 
     def log(self, text: str) -> None:
         log.event("mode", text=text)
 
-    def on_timer(self, what: Any) -> None:
-        self.balancer.on_timer(what)
+    def on_timer(self, token: Any) -> None:
+        """A timer of the decisions has expired; `token` is what they passed to `set_timer`."""
+        self.balancer.on_timer(token)
 
-    def answer(self, call: Call, line: bytes, how: str) -> None:
+    def answer(self, call: Call, line: bytes, reason: str) -> None:
+        """Ends a call with `line` as its final answer; `reason` is "rejected" or "released"."""
         call.done = True
-        self.counters[how] += 1
-        call.host_record.count_outcome("rejected" if how == "rejected" else "failed")
-        self.act(call.host_record.answer, line, how)
+        self.counters[reason] += 1
+        call.host_record.count_outcome("rejected" if reason == "rejected" else "failed")
+        self.act(call.host_record.answer, line, reason)
 
-    def connect(self, leg: Leg, until: float) -> None:
+    def connect(self, leg: Leg, deadline: float) -> None:
+        """Opens the connection of a leg, unless its client is gone or descriptors are short."""
         client: ClientConnection = leg.call.host_record
         if not leg.call.done:
             client.abandon_if_closed()
         if leg.call.done:
             self.leg_ended(leg, Result(model.MOOT), True)
-        elif self.limits.lacks(limits.DESCRIPTORS_PER_ATTEMPT):  # never sent: that proves it has not run
+        elif self.limits.lacks(limits.DESCRIPTORS_PER_ATTEMPT):  # nothing was sent, so it cannot have run
             self.leg_ended(leg, Result(model.MOOT), False)
         else:
             self.counters["legs"] += 1
-            ServerConnection(self, leg, client, until)
+            ServerConnection(self, leg, client, deadline)
 
-    def probing(self, server: Server) -> None:
+    def start_probe(self, server: Server) -> None:
+        """Sends a probe, unless too many are in flight."""
         if server.host_record and self.limits.may_probe():
             self.counters["probes"] += 1
             Probe(self, server)
         else:
             self.counters["probes_held_back"] += 1
 
-    def cancelled(self, leg: Leg) -> None:
+    def cancel_leg(self, leg: Leg) -> None:
+        """Ends a leg that is not established."""
         if leg.host_record and not leg.established:
             leg.host_record.end(model.CANCELLED, "cancelled")
 
-    # What happens to it.
+    # Events of connections.
 
     def on_request_line(self, client: ClientConnection) -> None:
-        """A first line that is well formed."""
+        """Creates the call of a well-formed request line and passes it to the decisions.
+
+        Raises LineError with a reason code if its fields do not fit the settings or the state."""
         request_line = client.request_line
         values, wait = request_line.values, request_line.number("d")
         kind = self.names.types.get(values.get("c", ""))
@@ -153,9 +169,9 @@
             raise lines.LineError("unknown-type")
         wait = self.names.default_timeouts[kind] if wait is None else wait / 1000
         resumes = "at" in values
-        if not resumes and wait > limits.MAX_WAIT_SECONDS:  # resumed ones say that they wait for an hour
+        if not resumes and wait > limits.MAX_WAIT_SECONDS:  # resumed connections ask to wait for an hour
             raise lines.LineError("bad-d")
-        # A resumed connection whose first try failed comes again as what it was at its server.
+        # A resumed connection keeps its id on a retry, so for it only open ids count as taken.
         taken = request_line.id in self.limits.open_ids if resumes else self.limits.knows_id(request_line.id)
         if taken:
             raise lines.LineError("id-known")
@@ -183,7 +199,7 @@
             return
         self.resumed.window.on_request()
         if not self.takes_requests or self.shutdown and not self.shutdown.admits_requests:
-            # Nothing was sent, so trying again is harmless; the front deals it to another balancer.
+            # Nothing was sent, so a retry is safe; the load balancer in front sends it to another balancer.
             call.refusal = "not-ready" if not self.takes_requests else "shutdown"
             self.reject(call)
         else:
@@ -191,9 +207,10 @@
                 self.invariants.violated(Invariant.SERVED_UNREADY, request_line.id)
             self.balancer.on_call(call)
 
-    def on_connection_established(self, leg: Leg, resumes: bool) -> None:
+    def on_connection_established(self, leg: Leg, resumed: bool) -> None:
+        """The server has accepted the request of a leg; `resumed`: of a resumed connection."""
         self.counters["stood"] += 1
-        if resumes:
+        if resumed:
             self.resumed.on_established(leg.call.host_record)
             leg.call.legs.append(leg)
             self.resume_leg(leg)
@@ -204,24 +221,26 @@
         if self.shutdown and not self.hot_restart.handoff_sender:
             self.act(leg.call.host_record.move, "moved")
 
-    def on_leg_over(self, link: ServerConnection, kind: str) -> None:
-        leg = link.leg
+    def on_leg_over(self, connection: ServerConnection, kind: str) -> None:
+        """The leg of `connection` has ended with the result `kind`."""
+        leg = connection.leg
         self.counters[f"leg_{kind.replace(' ', '_')}"] += 1
-        if link.resumed and not leg.established:
-            self.resumed.on_attempt_ended(link, kind)
+        if connection.resumed and not leg.established:
+            self.resumed.on_attempt_ended(connection, kind)
         else:
             self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.established or kind == model.COMPLETED)
         if kind == model.COMPLETED:
-            link.client.finish("completed")
+            connection.client.finish("completed")
 
-    def on_load_line(self, leg: Leg, figure: str) -> None:
-        """A LOAD line: where delays are told and no loads, the milliseconds a message takes; else a load.
+    def on_load_line(self, leg: Leg, text: str) -> None:
+        """Handles a LOAD line: a delay in milliseconds if servers report delays and no loads, else a load.
 
-        Measured: the latter come once a second on one connection a server while over a third of the shortest
-        aim and once when back under, while lines are answered within 3 ms all the time."""
-        value = lines.parse_number(figure)
+        Delays come once a second, on one connection per server, while they are over a third of the shortest
+        message aim, and once more when they are below it. Lines are answered within 3 ms all that time, so
+        timing them does not show the delay."""
+        value = lines.parse_number(text)
         if value is None:
-            return  # it says nothing of the server
+            return  # malformed; this says nothing about the server
         endpoint: Endpoint = leg.server.host_record
         if self.names.reports_delay and not self.names.reports_load:
             endpoint.delay_reported_at = self.now
@@ -230,9 +249,10 @@
         else:
             leg.load = value
 
-    # Its beginning and its end.
+    # Start and end of the process.
 
     async def serve(self) -> None:
+        """Runs the balancer from its start to the end of its shutdown."""
         server_list.load_known(self)
         if not self.settings.asks:
             self.watch()
@@ -244,7 +264,7 @@
         await transient.retry(self.listeners.open_admin)
         predecessor = await self.hot_restart.find_predecessor()
         await startup.wait_until_ready(self, alone=predecessor is None)
-        if not self.shutdown:  # guards against a door that is opened only to be closed on who comes
+        if not self.shutdown:  # otherwise clients would be accepted only to be turned away
             await self.take_requests(predecessor.listening_socket if predecessor else None)
         await self.finished.wait()
         self.invariants.check_exit(self.clients)
@@ -254,6 +274,7 @@
         self.stop()
 
     def handle_signals(self) -> None:
+        """Installs the signal handlers, and handles signals that came before them."""
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.queue, self.begin_shutdown)
         self.loop.add_signal_handler(signal.SIGHUP, self.queue, reload.reload, self)
@@ -264,12 +285,12 @@
             self.queue(self.log_counters)
 
     async def take_requests(self, listening: socket.socket | None) -> None:
-        """Be ready; `listening`: the socket of the process that served before."""
+        """Opens the clients' listener, on the predecessor's socket `listening` if there is one, and serves."""
         if not self.listeners.listener:
             await transient.retry(lambda: self.listeners.open(listening))
         self.takes_requests = True
         if listening:
-            self.balancer.slow_start.suspend(False)  # what was issued until now is the predecessor's
+            self.balancer.slow_start.suspend(False)  # the predecessor has issued what was due until now
         self.hot_restart.publish(took=True)
         self.address = self.listeners.socket.getsockname()
         log.event(
@@ -283,29 +304,30 @@
         )
 
     def can_serve(self) -> bool:
-        """It takes calls and has a list, by discovery or, if that is late, from before."""
+        """Whether it accepts requests and has a list: from discovery or, if that is late, from before."""
         listening = self.takes_requests and self.listeners.listener is not None
         return listening and self.readiness.has_usable_list(self.clock()) and not self.shutdown
 
     def log_counters(self) -> None:
-        """What operators are told at their door, as one line."""
+        """Logs the counters that operators get from the admin address, as one line."""
         log.event("counters", **metrics.collect(self), longest_turn_us=int(1e6 * self.longest_turn))
 
     def begin_shutdown(self) -> None:
-        """Asked to end: move what stands, spread over the time there is, and go once empty."""
+        """Begins to shut down: moves the connections, spread over the time limit, and ends once none is left."""
         self.shutdown = self.shutdown or Shutdown(self)
         self.changed.set()
 
 
 def run(config: Config) -> None:
+    """Runs a balancer with this configuration until it has shut down."""
     log.configure()
     start_signals.install()
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(
-            lambda _, said: log.event(
-                "loop", what=said.get("message", ""), error=repr(said.get("exception", ""))
+            lambda _, context: log.event(
+                "loop", what=context.get("message", ""), error=repr(context.get("exception", ""))
             )
         )
         await Node(config, loop).serve()
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -144,8 +144,8 @@
     Mutant(
         "BYE is no answer",
         "net/node.py",
-        '            link.client.finish("completed")\n',
-        '            link.resumed or link.client.finish("completed")\n',
+        '            connection.client.finish("completed")\n',
+        '            connection.resumed or connection.client.finish("completed")\n',
     ),
     Mutant(
         "usable servers only",
