--- a/bellrack/net/__init__.py
+++ b/bellrack/net/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions on real sockets."""
+"""The balancer on sockets: connections, discovery, operators' requests, hot restart."""
--- a/bellrack/net/lines.py
+++ b/bellrack/net/lines.py
@@ -1,7 +1,7 @@
-"""The forms on the sockets: lines of clients and servers, entries of the list, HTTP answers.
+"""Formats on the sockets: lines of clients and servers, lists of servers, HTTP responses.
 
-Owns parsing and writing of text, from bytes to plain values and back. It never reads or writes a socket,
-keeps no state of a connection but the part of an HTTP answer that is still to come, and decides nothing.
+Parses bytes into plain values and formats them. Pure: no I/O, and no state beyond the parts of an HTTP
+response or a JSON object that are not complete yet.
 """
 
 from __future__ import annotations
@@ -17,29 +17,30 @@
 from bellrack import model
 
 STATES = {"in_service": model.READY, "terminating": model.DRAINING, "terminated": model.GONE}
-ANSWERS = {
+RESULT_OF_WORD = {
     "UP": "up",
     "BYE": model.COMPLETED,
     "MOVE": model.CANCELLED,
     "ERR": model.ERROR,
     "BUSY": model.FULL,
 }
-MAX_DISCOVERY_BYTES = 1 << 22  # bytes of one line or head of discovery
-DIGITS = 16  # of a number on a line
-MAX_LINE_BYTES = 4096  # bytes of a line of clients and servers, its end included
-# Printable but for the comma, and for the name no equals sign; names of other tongues come as UTF-8.
+MAX_DISCOVERY_BYTES = 1 << 22  # of one line, or the head, of a response of discovery
+MAX_NUMBER_DIGITS = 16  # of a number on a request line
+MAX_LINE_BYTES = 4096  # of a line of clients and servers, its end included
+# A name and a value of printable characters without commas, the name without equals signs. Bytes from 0x80 on
+# are allowed, since names in other scripts come as UTF-8.
 PAIR = rb"[!-+\--<>-~\x80-\xff]+=[!-+\--~\x80-\xff]*"
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # of JSON; none goes over the end of a line
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')  # never contains the end of a line
 REQUEST_LINE = re.compile(rb"OPEN ([!-~]+) ([0-9A-Fa-f]{1,16}) (%b(?:,%b)*)\r\n" % (PAIR, PAIR))
 
 
 class LineError(ValueError):
-    """Input that is not as the pages have it; the text is a reason code."""
+    """Malformed input; the message is a reason code, which is logged."""
 
 
 @dataclass
 class RequestLine:
-    """An OPEN line: its own bytes, and what it says."""
+    """A request line (OPEN): its bytes, and the fields that were parsed from it."""
 
     line: bytes
     id: str
@@ -47,10 +48,13 @@
     values: dict[str, str]
 
     def number(self, name: str, base: int = 10) -> int | None:
+        """Returns the value of `name` as a number; None if the line has no such name.
+
+        Raises LineError if the value is no number or has over MAX_NUMBER_DIGITS digits."""
         if name not in self.values:
             return None
         try:
-            if self.values[name].isalnum() and len(self.values[name]) <= DIGITS:
+            if self.values[name].isalnum() and len(self.values[name]) <= MAX_NUMBER_DIGITS:
                 return int(self.values[name], base)
         except ValueError:
             pass
@@ -58,17 +62,19 @@
 
 
 def id_hash(name: str) -> int:
-    """The same number for a server at every balancer and start; the interpreter's own hash is not."""
+    """Hashes a name to 64 bits. Unlike `hash()`, all balancers get the same result, also after a restart."""
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
 
 def parse_request_line(line: bytes) -> RequestLine:
-    """Strict, since the line goes on to a server as it is."""
-    form = REQUEST_LINE.fullmatch(line)
-    if not form or len(line) > MAX_LINE_BYTES:
+    """Parses a client's request line. Strict, since the line is forwarded to a server unchanged.
+
+    Raises LineError."""
+    match = REQUEST_LINE.fullmatch(line)
+    if not match or len(line) > MAX_LINE_BYTES:
         raise LineError("not-open")
     try:
-        name, key, pairs = (part.decode() for part in form.groups())
+        name, key, pairs = (part.decode() for part in match.groups())
     except UnicodeDecodeError:
         raise LineError("not-utf-8") from None
     values = dict(pair.split("=", 1) for pair in pairs.split(","))
@@ -78,52 +84,55 @@
 
 
 def is_resumed_request(data: bytes) -> bool:
-    """Do these bytes, whole lines or not, begin a resumed connection?"""
+    """Whether these bytes, which may end within a line, contain the request line of a resumed connection."""
     return any(
         line.startswith(b"OPEN ") and (b" at=" in line or b",at=" in line) for line in data.split(b"\n")
     )
 
 
-def with_remaining_wait(asked: RequestLine, seconds: float) -> bytes:
-    """The line as it goes on: unchanged, but for how long we will wait."""
-    if "d" not in asked.values:
-        return asked.line
-    head, space, pairs = asked.line.removesuffix(b"\r\n").rpartition(b" ")
+def with_remaining_wait(request: RequestLine, seconds: float) -> bytes:
+    """Returns the line to forward: unchanged, but a wait (`d`) becomes `seconds`."""
+    if "d" not in request.values:
+        return request.line
+    head, space, pairs = request.line.removesuffix(b"\r\n").rpartition(b" ")
     wait = b"d=%d" % max(1, int(seconds * 1000))
-    kept = [wait if pair.startswith(b"d=") else pair for pair in pairs.split(b",")]
-    return head + space + b",".join(kept) + b"\r\n"
+    pairs_to_send = [wait if pair.startswith(b"d=") else pair for pair in pairs.split(b",")]
+    return head + space + b",".join(pairs_to_send) + b"\r\n"
 
 
 def parse_server_line(line: bytes) -> tuple[str, str]:
-    """What a server's line means, '' for none of the known, and the rest of it."""
+    """Returns the result that a server's line stands for ("" if unknown), and the rest of the line."""
     word, _, rest = line.decode("ascii", "replace").strip().partition(" ")
-    return ANSWERS.get(word, ""), rest
+    return RESULT_OF_WORD.get(word, ""), rest
 
 
 def busy_line(wait: float) -> bytes:
+    """Formats BUSY with the wait in seconds after which the client should retry; without one if it is 0."""
     return b"BUSY %d\r\n" % int(wait * 1000) if wait > 0 else b"BUSY\r\n"
 
 
 @dataclass
 class Entry:
-    """A server as the list has it."""
+    """A server as listed."""
 
     name: str
-    address: tuple[str, int] | None  # a server that is gone needs none
+    address: tuple[str, int] | None  # None only for a server that is gone
     zone: str
-    row: tuple[str, int, float | None, float]  # state, cell, weight (none if it is no figure), start
+    row: tuple[str, int, float | None, float]  # state, cell, weight (None if it is not a number), start
     machine: str
 
 
 @dataclass
 class Listing:
+    """A list of servers, or changes of one (`whole` is False)."""
+
     version: int
     whole: bool
     entries: list[Entry]
 
 
 def parse_list(raw: Any) -> Listing:
-    """A list or the changes of one, from its JSON object."""
+    """Parses a list, or changes of one, from its JSON object. Raises LineError."""
     try:
         return Listing(
             int(raw["generation"]), bool(raw["reset"]), [parse_entry(item) for item in raw["instances"]]
@@ -133,29 +142,31 @@
 
 
 def list_message(rows: Iterable[tuple], version: int = 0, whole: bool = True) -> dict[str, Any]:
-    """A list, or changes of one, in the form that `listing` reads, from rows of what an entry has."""
-    states = {state: word for word, state in STATES.items()}
+    """Formats a list, or changes of one, in the form that `parse_list` reads.
+
+    Each row is a name, address, zone, state, cell, weight, start (Unix time in seconds) and machine type."""
+    lifecycles = {state: word for word, state in STATES.items()}
     return {
         "generation": version,
         "reset": whole,
         "instances": [
             {
                 "instanceId": name,
-                "hostPort": format_address(place) if place else "",
+                "hostPort": format_address(address) if address else "",
                 "zone": zone,
-                "lifecycle": states[state],
+                "lifecycle": lifecycles[state],
                 "cell": cell,
                 "weight": weight,
                 "startedAtMs": since * 1000,
                 "machineType": kind,
             }
-            for name, place, zone, state, cell, weight, since, kind in rows
+            for name, address, zone, state, cell, weight, since, kind in rows
         ],
     }
 
 
 def update_message(news: Listing) -> dict[str, Any]:
-    """News of discovery in the form in which they came."""
+    """Formats an update of discovery in the form in which it came."""
     rows = (
         (
             e.name,
@@ -173,8 +184,10 @@
 
 
 def parse_entry(item: Any) -> Entry:
-    """One server. Guards against a list lost for one entry: in a state that we do not know it gets nothing
-    new, and one that is gone needs no address."""
+    """Parses one entry.
+
+    A server in an unknown state counts as draining, and one that is gone needs no address: otherwise one such
+    entry would make the whole list unusable."""
     state = STATES.get(item["lifecycle"], model.DRAINING)
     if state == model.GONE:
         item = {"hostPort": "", "zone": ""} | item
@@ -193,87 +206,92 @@
     )
 
 
-def parse_number(told: Any) -> float | None:
-    """A number, nought or more and finite; None for whatever else a line or a list may hold."""
+def parse_number(value: Any) -> float | None:
+    """Returns a finite number of 0 or more; None for anything else that a line or a list may contain."""
     try:
-        number = float(told)
+        number = float(value)
     except (TypeError, ValueError, OverflowError):
         return None
-    return number if 0 <= number < math.inf and not isinstance(told, bool) else None
+    return number if 0 <= number < math.inf and not isinstance(value, bool) else None
 
 
 def parse_report(line: bytes, count: int) -> tuple[float, ...] | None:
-    """The values of a load report, `PONG` before them or not; nothing if one is missing or no figure."""
+    """Returns the `count` values of a load report, with PONG before them or without; None if malformed."""
     values = tuple(map(parse_number, line.removeprefix(b"PONG").split()))
     return values if len(values) == count and None not in values else None
 
 
 def parse_address(text: str) -> tuple[str, int]:
+    """Parses HOST:PORT. Raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
-        raise ValueError(f"no address: {text!r}")
+        raise ValueError(f"not an address (HOST:PORT): {text!r}")
     return host, int(port)
 
 
-def format_address(place: tuple[str, int]) -> str:
-    return f"{place[0]}:{place[1]}"
+def format_address(address: tuple[str, int]) -> str:
+    return f"{address[0]}:{address[1]}"
 
 
 class HttpResponseReader:
-    """An HTTP/1.1 answer as it comes in: `feed` returns what the bytes add to the body."""
+    """Reads an HTTP/1.1 response as it is received."""
 
     def __init__(self) -> None:
-        self.rest = bytearray()
-        self.status = 0
+        self.rest = bytearray()  # received and not parsed yet
+        self.status = 0  # 0 until the head is complete
         self.chunked = self.done = False
-        self.left: int | None = None  # of the body or the chunk; None: until the end of the connection
+        self.left: int | None = None  # bytes to come of the body or chunk; None: until the connection ends
 
     def feed(self, data: bytes) -> bytes:
+        """Returns what `data` adds to the body. Raises LineError if the response is malformed or too long."""
         self.rest += data
         body = b""
         while not self.done:
             if not self.status:
-                if not self._head():
+                if not self._parse_head():
                     break
             elif self.left is None and not self.chunked:
-                body += self._cut(len(self.rest))
+                body += self._consume(len(self.rest))
                 break
             elif self.left:
-                part = self._cut(min(self.left, len(self.rest)))
+                part = self._consume(min(self.left, len(self.rest)))
                 if not part:
                     break
                 body += part
                 self.left -= len(part)
                 self.done = not self.left and not self.chunked
-            elif not self._chunk():
+            elif not self._parse_chunk_line():
                 break
         if len(self.rest) > MAX_DISCOVERY_BYTES:
             raise LineError("too-long")
         return body
 
-    def _cut(self, count: int) -> bytes:
+    def _consume(self, count: int) -> bytes:
         part = bytes(self.rest[:count])
         del self.rest[:count]
         return part
 
-    def _line(self) -> bytes | None:
+    def _take_line(self) -> bytes | None:
         at = self.rest.find(b"\r\n")
-        return self._cut(at + 2)[:-2] if at >= 0 else None
+        return self._consume(at + 2)[:-2] if at >= 0 else None
 
-    def _head(self) -> bool:
+    def _parse_head(self) -> bool:
+        """Parses the head; False if it is not complete."""
         at = self.rest.find(b"\r\n\r\n")
         if at < 0:
             return False
-        first, *fields = self._cut(at + 4)[:-4].decode("latin-1").split("\r\n")
+        first, *fields = self._consume(at + 4)[:-4].decode("latin-1").split("\r\n")
         words = first.split(" ", 2)
         if len(words) < 2 or not words[0].startswith("HTTP/1.") or not words[1].isdigit():
             raise LineError("not-http")
         if words[1].startswith("1"):
-            return True  # an interim answer; the real one follows
+            return True  # an interim response; the final one follows
         self.status = int(words[1])
-        named = {name.strip().lower(): value.strip() for name, _, value in (f.partition(":") for f in fields)}
-        self.chunked = named.get("transfer-encoding", "").lower() == "chunked"
-        length = named.get("content-length", "")
+        headers = {
+            name.strip().lower(): value.strip() for name, _, value in (f.partition(":") for f in fields)
+        }
+        self.chunked = headers.get("transfer-encoding", "").lower() == "chunked"
+        length = headers.get("content-length", "")
         if self.chunked:
             self.left = 0
         elif length.isdigit():
@@ -283,9 +301,9 @@
             raise LineError("bad-length")
         return True
 
-    def _chunk(self) -> bool:
-        """The line before a chunk; the one that ends the chunk before it is empty."""
-        line = self._line()
+    def _parse_chunk_line(self) -> bool:
+        """Parses the line before a chunk, or the empty line that ends one; False if it is not complete."""
+        line = self._take_line()
         if line is None:
             return False
         if line:
@@ -300,17 +318,18 @@
 
 
 class JsonObjectReader:
-    """JSON objects as they come in by lines, each on one line or indented over several."""
+    """Reads JSON objects line by line; each may be on one line or indented over several."""
 
     def __init__(self) -> None:
         self.text, self.depth = b"", 0
 
     def feed(self, line: bytes) -> Any:
-        """A line, its end included: the object that it makes whole, or None. Raises LineError for what is no
-        JSON. An empty line between two objects is nothing."""
+        """Takes a line, its end included, and returns the object that it completes, or None.
+
+        Empty lines between objects are ignored. Raises LineError if the text is not JSON or is too long."""
         self.text += line
-        bare = STRING.sub(b"", line)
-        self.depth += sum(map(bare.count, (b"{", b"["))) - sum(map(bare.count, (b"}", b"]")))
+        unquoted = JSON_STRING.sub(b"", line)
+        self.depth += sum(map(unquoted.count, (b"{", b"["))) - sum(map(unquoted.count, (b"}", b"]")))
         if self.depth > 0:
             if len(self.text) > MAX_DISCOVERY_BYTES:
                 raise LineError("too-long")
@@ -320,11 +339,12 @@
 
     @property
     def whole(self) -> bool:
-        """Is there nothing of an object that has not ended?"""
+        """Whether no object is incomplete."""
         return not self.text
 
 
 def parse_json(text: bytes) -> Any:
+    """Parses JSON. Raises LineError."""
     try:
         return json.loads(text)
     except (ValueError, RecursionError):
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -285,7 +285,7 @@
             self.queue(self.log_counters)
 
     async def take_requests(self, listening: socket.socket | None) -> None:
-        """Opens the clients' listener, on the predecessor's socket `listening` if there is one, and serves."""
+        """Opens the clients' listener, on a predecessor's socket `listening` if there is one."""
         if not self.listeners.listener:
             await transient.retry(lambda: self.listeners.open(listening))
         self.takes_requests = True
@@ -313,7 +313,7 @@
         log.event("counters", **metrics.collect(self), longest_turn_us=int(1e6 * self.longest_turn))
 
     def begin_shutdown(self) -> None:
-        """Begins to shut down: moves the connections, spread over the time limit, and ends once none is left."""
+        """Begins to shut down: moves connections, spread over the time limit, and ends once none is left."""
         self.shutdown = self.shutdown or Shutdown(self)
         self.changed.set()
 
--- a/bellrack/net/turns.py
+++ b/bellrack/net/turns.py
@@ -1,8 +1,8 @@
-"""The loop of turns of one process: its clock, its queues and its timers.
+"""The work queues of one process, which are run in turns, with its clock and timers.
 
-Callbacks of the sockets only queue. Each turn fixes `now` and then runs what is queued: changes of the list
-first, then the actions that the decisions asked for, then all other events, each queue in its order. What
-does not fit in a turn's time slice waits for the next, so that the sockets are polled in between.
+Callbacks of sockets and timers only queue calls. Each turn sets `now` and runs what is queued: list changes
+first, then actions that the decisions have ordered, then all other events, each queue in its order. What does
+not fit into the time slice of a turn waits for the next one, so that the sockets are polled in between.
 """
 
 from __future__ import annotations
@@ -16,78 +16,85 @@
 
 from bellrack.net import log
 
-TIME_SLICE = 0.02  # seconds after which a turn stops: the sockets are polled well within 0.1
+TIME_SLICE_SECONDS = 0.02  # after which a turn stops: the sockets are polled well within 0.1 s
 
 Queue = deque[tuple[Callable, tuple]]
 
 
 class TurnLoop:
-    """Times are seconds of Unix time, by a clock that no step of the system's clock moves."""
+    """Queues calls and runs them in turns on the event loop.
+
+    Times are seconds of Unix time, of a clock that a step of the system's clock does not move."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, counters: log.Counters):
         self.loop, self.counters = loop, counters
-        # Anchored once: starts of servers are in Unix time, and a step of that clock must not move timers.
+        # Set once: starts of servers are in Unix time, but a step of that clock must not move timers.
         self.anchor = time.time() - time.monotonic()
         self.list_changes: Queue = deque()
-        self.actions: Queue = deque()  # asked for by the decisions
+        self.actions: Queue = deque()  # ordered by the decisions
         self.events: Queue = deque()
-        self.turning, self.longest_turn = False, 0.0  # seconds
+        self.turn_scheduled, self.longest_turn = False, 0.0  # seconds
         self.stopped = False
-        self.now = self.clock()  # fixed for a turn
+        self.now = self.clock()  # constant within a turn
 
     def clock(self) -> float:
+        """The present time; `now` is the time at which the turn began."""
         return time.monotonic() + self.anchor
 
-    def queue(self, what: Callable, *values: Any, first: bool = False) -> None:
-        """For the next turn; this is all that callbacks do."""
+    def queue(self, callback: Callable, *args: Any, first: bool = False) -> None:
+        """Queues a call for the next turn, `first` before all others. asyncio callbacks do nothing else."""
         if self.stopped:
             return
-        (self.list_changes if first else self.events).append((what, values))
-        if not self.turning:
-            self.turning = True
+        (self.list_changes if first else self.events).append((callback, args))
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
             self.loop.call_soon(self.turn)
 
-    def act(self, what: Callable, *values: Any) -> None:
-        """For the end of this turn, once the decisions have had all that is queued."""
-        self.actions.append((what, values))
+    def act(self, callback: Callable, *args: Any) -> None:
+        """Queues a call for the end of this turn, once the decisions have had all events of the turn."""
+        self.actions.append((callback, args))
 
-    def at(self, when: float, what: Callable, *values: Any) -> asyncio.TimerHandle:
-        return self.loop.call_at(when - self.anchor, self.queue, what, *values)
+    def at(self, when: float, callback: Callable, *args: Any) -> asyncio.TimerHandle:
+        """Queues a call at the time `when`."""
+        return self.loop.call_at(when - self.anchor, self.queue, callback, *args)
 
-    def after(self, wait: float, what: Callable, *values: Any) -> asyncio.TimerHandle:
-        return self.loop.call_later(wait, self.queue, what, *values)
+    def after(self, wait: float, callback: Callable, *args: Any) -> asyncio.TimerHandle:
+        """Queues a call in `wait` seconds."""
+        return self.loop.call_later(wait, self.queue, callback, *args)
 
     def stop(self) -> None:
-        """Run nothing more: the event loop goes on for a while when it is taken down."""
+        """Drops all queued calls and runs no more: the event loop runs on for a while during its shutdown."""
         self.stopped = True
         for queue in (self.list_changes, self.actions, self.events):
             queue.clear()
 
     def turn(self) -> None:
+        """Runs what is queued, for one time slice, and schedules the next turn if anything is left."""
         self.now = self.clock()
         self.run_queue(self.list_changes, len(self.list_changes))
-        # Left by the turn before: in order, so nothing is decided between what came first and what is done.
+        # Actions that the previous turn left run before new events: no event is handled between an earlier
+        # decision and its action.
         self.run_queue(self.actions)
         if not self.actions:
-            self.run_queue(self.events, len(self.events))  # what comes meanwhile waits for the next
+            self.run_queue(self.events, len(self.events))  # events queued meanwhile wait for the next turn
             self.run_queue(self.actions)
         self.longest_turn = max(self.longest_turn, self.clock() - self.now)
-        self.turning = bool(self.list_changes or self.events or self.actions)
-        if self.turning:
+        self.turn_scheduled = bool(self.list_changes or self.events or self.actions)
+        if self.turn_scheduled:
             self.loop.call_soon(self.turn)
 
-    def run_queue(self, queue: Queue, most: float = math.inf) -> None:
-        """One of them at least, and more until the time slice is over."""
-        while queue and most > 0:
+    def run_queue(self, queue: Queue, max_calls: float = math.inf) -> None:
+        """Runs at least one queued call, and more until the time slice is over."""
+        while queue and max_calls > 0:
             self.guarded(*queue.popleft())
-            most -= 1
-            if self.clock() - self.now >= TIME_SLICE:
+            max_calls -= 1
+            if self.clock() - self.now >= TIME_SLICE_SECONDS:
                 break
 
-    def guarded(self, what: Callable, values: tuple) -> None:
-        """Guards against a fault with one connection that would end the program, and all others with it."""
+    def guarded(self, callback: Callable, args: tuple) -> None:
+        """Runs a call and logs its exception: an error with one connection must not end the process."""
         try:
-            what(*values)
+            callback(*args)
         except Exception:
             self.counters["faults"] += 1
-            log.exception("fault", doing=getattr(what, "__qualname__", what))
+            log.exception("fault", doing=getattr(callback, "__qualname__", callback))
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -296,7 +296,7 @@
         ended = world.node.loop.time() + 0.05
         await world.until(lambda: world.node.loop.time() > ended)
         assert begun in ([], ["by a timer"])  # before its end, if at all
-        assert not world.node.turning
+        assert not world.node.turn_scheduled
 
 
 @played
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -728,7 +728,7 @@
         ("{", "Expecting"),
         ("[]", "not an object"),
         ("{}", "'listen'"),
-        ('{"listen": "here", "discovery": "127.0.0.1:1"}', "no address: 'here'"),
+        ('{"listen": "here", "discovery": "127.0.0.1:1"}', "not an address (HOST:PORT): 'here'"),
         (configured(trafficTypes=[], specifics={}), "no traffic types"),
         (configured(peersTotal=0), "peersTotal is 0"),
         (configured(az="x"), "invalid literal"),
