--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -89,16 +89,16 @@
         for link in links:
             link.transport.pause_reading()
         unread = {link: taken(link) for link in links}
-        words = {"in": written(unread[client]), "opened": client.opened}
+        message = {"in": written(unread[client]), "opened": client.opened}
         if client.paired:
-            words |= self.standing(client.server_connection) | {
+            message |= self.standing(client.server_connection) | {
                 "back": written(unread[client.server_connection])
             }
         elif client.call:  # a resumed connection that is not up yet: it goes over as if unread
-            words["in"] = written(client.request_line.line)
+            message["in"] = written(client.request_line.line)
         fds = [link.transport.get_extra_info("socket").fileno() for link in links]
         try:
-            socket.send_fds(self.sock, [json.dumps(words).encode()], fds)
+            socket.send_fds(self.sock, [json.dumps(message).encode()], fds)
         except OSError:
             for link, data in unread.items():  # nobody has it: all as it was
                 put_back(link, data)
@@ -160,14 +160,14 @@
 
     def take(self, data: bytes, fds: list[int]) -> None:
         try:
-            words = json.loads(data)
-            if len(fds) != 1 + ("line" in words):
+            message = json.loads(data)
+            if len(fds) != 1 + ("line" in message):
                 raise ValueError(f"{len(fds)} descriptors")
             client = ClientConnection(self.node)
-            if "opened" in words:
-                client.opened = float(words["opened"]) + self.node.hot_restart.clock_ahead
-            put_back(client, read(words["in"]))
-            links = [client, self.standing(client, words)] if "line" in words else [client]
+            if "opened" in message:
+                client.opened = float(message["opened"]) + self.node.hot_restart.clock_ahead
+            put_back(client, read(message["in"]))
+            links = [client, self.standing(client, message)] if "line" in message else [client]
         except (ValueError, KeyError, TypeError, AttributeError) as error:
             # Guards against what another version hands over in a form of its own.
             log.event("handover", taken="not one connection", error=repr(error))
@@ -179,10 +179,10 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def standing(self, client: ClientConnection, words: dict[str, Any]) -> ServerConnection:
+    def standing(self, client: ClientConnection, message: dict[str, Any]) -> ServerConnection:
         """The call and its one leg, as they stood in the other process."""
-        node, request_line = self.node, lines.parse_request_line(words["line"].encode())
-        name, place = str(words["server"]), lines.parse_address(words["place"])
+        node, request_line = self.node, lines.parse_request_line(message["line"].encode())
+        name, place = str(message["server"]), lines.parse_address(message["place"])
         server = node.server(lines.id_hash(name))
         server.host_record = server.host_record or Endpoint(name, place)
         call = node.new_call(
@@ -192,14 +192,14 @@
             group=request_line.number("g", 16) or 0,
         )
         ahead = node.hot_restart.clock_ahead
-        leg = Leg(call, server, float(words["sent"]) + ahead)
+        leg = Leg(call, server, float(message["sent"]) + ahead)
         call.legs.append(leg)
         call.host_record, client.call, client.request_line = client, call, request_line
         link = ServerConnection(node, leg, client, node.now, established=True)
-        link.unanswered.extend(float(when) + ahead for when in words["asked"])
+        link.unanswered.extend(float(when) + ahead for when in message["asked"])
         client.answered = True
-        link.announced_end = str(words["said"])
-        put_back(link, read(words["back"]))
+        link.announced_end = str(message["said"])
+        put_back(link, read(message["back"]))
         # Neither takes a line until both are up: guards against one that goes nowhere.
         client.blocked = link.blocked = True
         link.paired, client.paired = client, link
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -211,7 +211,7 @@
     ),
     Mutant(
         "a half request has its time anew from each process",
-        (("net/handoff.py", '            if "opened" in words:\n', "            if False:\n"),),
+        (("net/handoff.py", '            if "opened" in message:\n', "            if False:\n"),),
         "restart",
         ("half_request",),
     ),
