--- a/bellrack/net/handoff.py
+++ b/bellrack/net/handoff.py
@@ -1,8 +1,8 @@
-"""Connections that go over to the process that comes after us, as they are.
+"""Hot restart: hands the connections of this process over to its successor, as they are.
 
-Owns the form in which a connection goes over, and both of its ends. Nobody at either side of a connection
-notices: no byte is lost, sent twice or out of order, and nothing is moved. It never hands over a call that is
-still owed its answer: that stays with the process that took it.
+Defines the message that describes a connection, its sender and its receiver. Neither client nor server
+notices: no byte is lost, sent twice or reordered, and no connection is moved. A call that waits for its
+answer stays with the process that accepted it, unless its connection is a resumed one.
 """
 
 from __future__ import annotations
@@ -22,43 +22,47 @@
 from bellrack.net.ring import Connection
 from bellrack.net.servers import Endpoint, ServerConnection
 
-MESSAGE = 65536  # bytes: a line and two full rings, written out, are half of that
-SLICE = 16  # connections that go over in one turn: guards against a pause for all others
+MAX_MESSAGE_BYTES = 65536  # a request line and two full rings, in base64, are half of that
+CONNECTIONS_PER_TURN = 16  # handed over in one turn, so that the other connections do not have to pause
 
 
 def socket_pair() -> tuple[socket.socket, socket.socket]:
-    """The way over: whole messages, each with the descriptors that it speaks of."""
+    """Returns the two sockets of a hand-off. They carry whole messages, each with its descriptors."""
     return socket.socketpair(socket.AF_UNIX, socket.SOCK_SEQPACKET)
 
 
-def taken(link: Connection) -> bytes:
-    """What has come in and was not yet read."""
-    return link.ring.take(link.ring.length)
+def take_unread(connection: Connection) -> bytes:
+    """Removes and returns what was received and not consumed yet."""
+    return connection.ring.take(connection.ring.length)
 
 
-def put_back(link: Connection, data: bytes) -> None:
-    link.ring.writable_space()[: len(data)] = data
-    link.ring.commit(len(data))
+def put_back(connection: Connection, data: bytes) -> None:
+    """Puts received bytes into the empty ring of a connection."""
+    connection.ring.writable_space()[: len(data)] = data
+    connection.ring.commit(len(data))
 
 
-def written(data: bytes) -> str:
+def encode(data: bytes) -> str:
+    """Encodes bytes for the message."""
     return base64.b64encode(data).decode()
 
 
-def read(text: str) -> bytes:
+def decode(text: str) -> bytes:
+    """Reverses `encode`. Raises ValueError."""
     return base64.b64decode(text, validate=True)
 
 
 class HandoffEnd:
-    """One end of the way over."""
+    """One end of a hand-off: its socket, which counts as a descriptor."""
 
     def __init__(self, node: Any, sock: socket.socket):
         self.node, self.sock = node, sock
-        self.descriptors_passed = 0  # descriptors that went over so far
+        self.descriptors_passed = 0  # sent or received so far
         sock.setblocking(False)
         node.limits.count_descriptors(1)
 
     def close(self) -> None:
+        """Closes the socket, unless it is closed."""
         if self.sock.fileno() >= 0:
             self.node.loop.remove_reader(self.sock.fileno())
             self.sock.close()
@@ -66,67 +70,73 @@
 
 
 class HandoffSender(HandoffEnd):
-    """The end of the process that goes."""
+    """The end of the process that shuts down."""
 
     def send_batch(self) -> bool:
-        """Some of those that can go: standing, or not yet heard a word of. Are there more?"""
-        left = SLICE
+        """Sends some of the connections that are established or have sent nothing yet.
+
+        Returns True if more may be left."""
+        left = CONNECTIONS_PER_TURN
         for client in list(self.node.clients):
-            # One that is to be resumed and sends more before it is up is malformed: it is answered here.
-            resumes = client in self.node.resumed.pending and not client.ring.length
-            if client.call is None or client.paired or resumes:
+            # A resumed connection that sent more before it was established is malformed: it is answered here.
+            resumable = client in self.node.resumed.pending and not client.ring.length
+            if client.call is None or client.paired or resumable:
                 if not left:
                     return True
                 left -= self.send_connection(client)
         return False
 
     def send_connection(self, client: ClientConnection) -> bool:
-        links = [client, client.server_connection] if client.paired else [client]
-        for link in links:
-            going = link.transport is None or link.transport.is_closing() or link.closed
-            if going or link.remote_end or link.transport.get_write_buffer_size():
-                return False  # it ends by itself, or may go when what it was sent is out
-        for link in links:
-            link.transport.pause_reading()
-        unread = {link: taken(link) for link in links}
-        message = {"in": written(unread[client]), "opened": client.opened}
+        """Sends a client's connection, with that to its server if established.
+
+        Returns False if that is not possible now."""
+        connections = [client, client.server_connection] if client.paired else [client]
+        for connection in connections:
+            ending = connection.transport is None or connection.transport.is_closing() or connection.closed
+            if ending or connection.remote_end or connection.transport.get_write_buffer_size():
+                return False  # it ends here, or can be sent once its write buffer is empty
+        for connection in connections:
+            connection.transport.pause_reading()
+        unread = {connection: take_unread(connection) for connection in connections}
+        message = {"in": encode(unread[client]), "opened": client.opened}
         if client.paired:
-            message |= self.standing(client.server_connection) | {
-                "back": written(unread[client.server_connection])
+            message |= self.describe_established(client.server_connection) | {
+                "back": encode(unread[client.server_connection])
             }
-        elif client.call:  # a resumed connection that is not up yet: it goes over as if unread
-            message["in"] = written(client.request_line.line)
-        fds = [link.transport.get_extra_info("socket").fileno() for link in links]
+        elif client.call:  # resumed and not established yet: sent as if its line were unread
+            message["in"] = encode(client.request_line.line)
+        fds = [connection.transport.get_extra_info("socket").fileno() for connection in connections]
         try:
             socket.send_fds(self.sock, [json.dumps(message).encode()], fds)
         except OSError:
-            for link, data in unread.items():  # nobody has it: all as it was
-                put_back(link, data)
-                if not link.paused:
-                    link.transport.resume_reading()
+            for connection, data in unread.items():  # the successor received nothing: undo
+                put_back(connection, data)
+                if not connection.paused:
+                    connection.transport.resume_reading()
             return False
         self.descriptors_passed += len(fds)
-        self.gone(client, links)
+        self.release(client, connections)
         return True
 
-    def standing(self, link: ServerConnection) -> dict[str, Any]:
+    def describe_established(self, connection: ServerConnection) -> dict[str, Any]:
+        """The part of the message on an established server connection. Times are on this process's clock."""
         return {
-            "line": link.client.request_line.line.decode(),
-            "server": link.endpoint.name,
-            "place": lines.format_address(link.endpoint.address),
-            "sent": link.leg.sent,
-            "asked": list(link.unanswered),
-            "said": link.announced_end,
+            "line": connection.client.request_line.line.decode(),
+            "server": connection.endpoint.name,
+            "place": lines.format_address(connection.endpoint.address),
+            "sent": connection.leg.sent,
+            "asked": list(connection.unanswered),
+            "said": connection.announced_end,
         }
 
-    def gone(self, client: ClientConnection, links: list[Connection]) -> None:
-        """Ours no more: our copies of the descriptors are closed, which neither side sees."""
+    def release(self, client: ClientConnection, connections: list[Connection]) -> None:
+        """Gives up connections that were sent. The peers do not notice that our descriptors are closed."""
         self.node.counters["handed_over"] += 1
-        for link in links:
-            link.closed = True
-            link.expire_after(None)
-            self.node.log_end(link, "handed-over", {})
-            link.transport.abort()
+        for connection in connections:
+            connection.closed = True
+            connection.expire_after(None)
+            self.node.log_end(connection, "handed-over", {})
+            connection.transport.abort()
         if client.paired:
             leg = client.server_connection.leg
             client.server_connection.endpoint.connections.pop(client.server_connection, None)
@@ -140,25 +150,27 @@
 
 
 class HandoffReceiver(HandoffEnd):
-    """The end of the process that comes."""
+    """The end of the successor."""
 
     def __init__(self, node: Any, sock: socket.socket):
         super().__init__(node, sock)
         self.tasks: set[asyncio.Task] = set()
-        node.loop.add_reader(sock.fileno(), self.come)
+        node.loop.add_reader(sock.fileno(), self.on_readable)
 
-    def come(self) -> None:
+    def on_readable(self) -> None:
+        """Receives some messages and queues them."""
         with contextlib.suppress(BlockingIOError):
-            for _ in range(SLICE):
-                data, fds, _, _ = socket.recv_fds(self.sock, MESSAGE, 2)
+            for _ in range(CONNECTIONS_PER_TURN):
+                data, fds, _, _ = socket.recv_fds(self.sock, MAX_MESSAGE_BYTES, 2)
                 if not data:
                     self.close()
                     return
                 self.descriptors_passed += len(fds)
-                self.node.limits.count_descriptors(len(fds))  # before they become connections
-                self.node.queue(self.take, data, fds)
+                self.node.limits.count_descriptors(len(fds))  # until the connections count themselves
+                self.node.queue(self.receive, data, fds)
 
-    def take(self, data: bytes, fds: list[int]) -> None:
+    def receive(self, data: bytes, fds: list[int]) -> None:
+        """Takes over the connections of one message, or closes their descriptors if it is malformed."""
         try:
             message = json.loads(data)
             if len(fds) != 1 + ("line" in message):
@@ -166,65 +178,71 @@
             client = ClientConnection(self.node)
             if "opened" in message:
                 client.opened = float(message["opened"]) + self.node.hot_restart.clock_ahead
-            put_back(client, read(message["in"]))
-            links = [client, self.standing(client, message)] if "line" in message else [client]
+            put_back(client, decode(message["in"]))
+            connections = (
+                [client, self.restore_established(client, message)] if "line" in message else [client]
+            )
         except (ValueError, KeyError, TypeError, AttributeError) as error:
-            # Guards against what another version hands over in a form of its own.
+            # A predecessor of another version may send messages of another form.
             log.event("handover", taken="not one connection", error=repr(error))
             for fd in fds:
                 os.close(fd)
             self.node.limits.count_descriptors(-len(fds))
             return
-        task = self.node.loop.create_task(self.connect(links, [socket.socket(fileno=fd) for fd in fds]))
+        task = self.node.loop.create_task(self.connect(connections, [socket.socket(fileno=fd) for fd in fds]))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def standing(self, client: ClientConnection, message: dict[str, Any]) -> ServerConnection:
-        """The call and its one leg, as they stood in the other process."""
+    def restore_established(self, client: ClientConnection, message: dict[str, Any]) -> ServerConnection:
+        """Restores the call and its one leg as in the predecessor, and returns its server connection.
+
+        Raises ValueError, KeyError, TypeError or AttributeError if the message is malformed."""
         node, request_line = self.node, lines.parse_request_line(message["line"].encode())
-        name, place = str(message["server"]), lines.parse_address(message["place"])
+        name, address = str(message["server"]), lines.parse_address(message["place"])
         server = node.server(lines.id_hash(name))
-        server.host_record = server.host_record or Endpoint(name, place)
+        server.host_record = server.host_record or Endpoint(name, address)
         call = node.new_call(
             node.names.types.get(request_line.values.get("c", ""), 0),
             0.0,
             key=request_line.key,
             group=request_line.number("g", 16) or 0,
         )
-        ahead = node.hot_restart.clock_ahead
-        leg = Leg(call, server, float(message["sent"]) + ahead)
+        clock_offset = node.hot_restart.clock_ahead
+        leg = Leg(call, server, float(message["sent"]) + clock_offset)
         call.legs.append(leg)
         call.host_record, client.call, client.request_line = client, call, request_line
-        link = ServerConnection(node, leg, client, node.now, established=True)
-        link.unanswered.extend(float(when) + ahead for when in message["asked"])
+        connection = ServerConnection(node, leg, client, node.now, established=True)
+        connection.unanswered.extend(float(when) + clock_offset for when in message["asked"])
         client.answered = True
-        link.announced_end = str(message["said"])
-        put_back(link, read(message["back"]))
-        # Neither takes a line until both are up: guards against one that goes nowhere.
-        client.blocked = link.blocked = True
-        link.paired, client.paired = client, link
-        # In the books before anything can end it: guards against a leg that is taken off before it is put on.
+        connection.announced_end = str(message["said"])
+        put_back(connection, decode(message["back"]))
+        # Neither forwards a line until both are connected; such a line would be lost.
+        client.blocked = connection.blocked = True
+        connection.paired, client.paired = client, connection
+        # Recorded before anything can end it; otherwise the leg would be removed before it was added.
         node.limits.open_ids[request_line.id] = client
-        link.endpoint.connections[link] = None
+        connection.endpoint.connections[connection] = None
         node.resume_leg(leg)
-        return link
+        return connection
 
-    async def connect(self, links: list[Connection], socks: list[socket.socket]) -> None:
+    async def connect(self, connections: list[Connection], socks: list[socket.socket]) -> None:
+        """Attaches received sockets to their connections."""
         try:
-            for link, sock in zip(links, socks):
+            for connection, sock in zip(connections, socks):
                 sock.setblocking(False)
-                await self.node.loop.connect_accepted_socket(lambda link=link: link, sock)
+                await self.node.loop.connect_accepted_socket(lambda connection=connection: connection, sock)
         finally:
-            self.node.limits.count_descriptors(-len(socks))  # each connection counts itself
-            self.node.queue(self.start_forwarding, links)
+            self.node.limits.count_descriptors(-len(socks))  # each connection counts itself by now
+            self.node.queue(self.start_forwarding, connections)
 
-    def start_forwarding(self, links: list[Connection]) -> None:
-        client = links[0]
+    def start_forwarding(self, connections: list[Connection]) -> None:
+        """Lets lines pass, or moves the client if one of its two connections has been lost."""
+        client = connections[0]
         self.node.counters["taken_over"] += 1
-        if client.paired and any(link.transport is None for link in links):
+        if client.paired and any(connection.transport is None for connection in connections):
             client.move("not-taken-over", model.RESET)
-        for link in links:
-            link.blocked = False
-            link.wake()
-        if self.node.shutdown:  # it may have moved what stands already
+        for connection in connections:
+            connection.blocked = False
+            connection.wake()
+        if self.node.shutdown:  # the shutdown may have moved the established connections already
             client.move("leaving")
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -168,7 +168,7 @@
     Mutant(
         "stays with the old process",
         "net/handoff.py",
-        "if client.call is None or client.paired or resumes:",
+        "if client.call is None or client.paired or resumable:",
         "if client.call is None or client.paired:",
     ),
     Mutant(
