--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Rings, lines, HTTP answers and log lines, without a socket."""
+"""Ring buffers, lines, HTTP responses, lists and log lines, without a socket."""
 
 import logging
 
@@ -13,24 +13,24 @@
 
 @settings(derandomize=True)
 @given(st.lists(st.binary(min_size=1, max_size=9) | st.sampled_from([b"\r\n", b"a\r\nb\r\n"]), max_size=60))
-def test_a_ring_gives_back_what_went_in(pieces):
-    ring, plain = Ring(16), bytearray()
+def test_ring_returns_what_was_put_in(pieces):
+    ring, expected = Ring(16), bytearray()
     for piece in pieces:
         while piece:
-            room = ring.writable_space()
-            assert len(room) > 0 or ring.full
-            part = piece[: len(room)]
-            room[: len(part)] = part
+            space = ring.writable_space()
+            assert len(space) > 0 or ring.full
+            part = piece[: len(space)]
+            space[: len(part)] = part
             ring.commit(len(part))
-            plain += part
+            expected += part
             piece = piece[len(part) :]
             while (line := ring.take_line()) is not None:
-                assert line.endswith(b"\n") and plain.startswith(line) and b"\n" not in line[:-1]
-                del plain[: len(line)]
-            assert b"\n" not in plain and ring.length == len(plain)
+                assert line.endswith(b"\n") and expected.startswith(line) and b"\n" not in line[:-1]
+                del expected[: len(line)]
+            assert b"\n" not in expected and ring.length == len(expected)
             if ring.full:
-                assert ring.take(ring.length) == bytes(plain)
-                plain.clear()
+                assert ring.take(ring.length) == bytes(expected)
+                expected.clear()
 
 
 BODY = (b'{"a":1}\n', b"\n", b"x" * 300)
@@ -42,25 +42,25 @@
 SIZED = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 309\r\n\r\n" + b"".join(BODY)
 
 
-@pytest.mark.parametrize("answer", [CHUNKED, SIZED])
+@pytest.mark.parametrize("response", [CHUNKED, SIZED])
 @pytest.mark.parametrize("step", [1, 2, 3, 7, 1000])
-def test_an_answer_comes_out_the_same_in_any_pieces(answer, step):
-    reply = lines.HttpResponseReader()
-    body = b"".join(reply.feed(answer[at : at + step]) for at in range(0, len(answer), step))
-    assert (reply.status, reply.done, body) == (200, True, b"".join(BODY))
+def test_parses_an_http_response_the_same_in_any_pieces(response, step):
+    reader = lines.HttpResponseReader()
+    body = b"".join(reader.feed(response[at : at + step]) for at in range(0, len(response), step))
+    assert (reader.status, reader.done, body) == (200, True, b"".join(BODY))
 
 
 @pytest.mark.parametrize(
-    "answer",
+    "response",
     [
         b"SSH-2.0\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_what_is_not_an_answer_is_refused(answer):
+def test_rejects_a_malformed_http_response(response):
     with pytest.raises(lines.LineError):
-        lines.HttpResponseReader().feed(answer)
+        lines.HttpResponseReader().feed(response)
 
 
 @pytest.mark.parametrize(
@@ -77,12 +77,12 @@
         },
     ],
 )
-def test_a_list_that_cannot_be_read_is_refused(raw):
+def test_rejects_a_malformed_list(raw):
     with pytest.raises(lines.LineError):
         lines.parse_list(raw)
 
 
-def test_a_list_is_not_lost_for_an_entry_that_is_odd_or_gone():
+def test_accepts_a_list_with_an_entry_in_an_unknown_state_or_without_an_address():
     odd = {"instanceId": "s-1", "hostPort": "h:1", "zone": "a", "lifecycle": "resting"}
     gone = {"instanceId": "s-2", "lifecycle": "terminated"}
     news = lines.parse_list({"generation": 1, "reset": False, "instances": [odd, gone]})
@@ -93,8 +93,8 @@
 
 
 @pytest.mark.parametrize("weight", [0, -1, float("inf"), float("nan"), None, "many", True, 10**400])
-def test_a_weight_or_a_start_that_is_no_figure_spoils_no_sums(weight):
-    # Guards against one odd entry that makes every mean over servers odd.
+def test_ignores_a_weight_or_start_that_is_not_a_finite_number(weight):
+    # One such entry would make every mean over the servers infinite or not a number.
     raw = {
         "instanceId": "s",
         "hostPort": "h:1",
@@ -103,21 +103,21 @@
         "weight": weight,
         "startedAtMs": float("nan"),
     }
-    assert lines.parse_entry(raw).row[2:] == (None, 0.0)  # what was listed before stands
+    assert lines.parse_entry(raw).row[2:] == (None, 0.0)  # the weight listed before is kept
     assert lines.parse_entry(raw | {"weight": 3.5}).row[2] == 3.5
 
 
 @pytest.mark.parametrize("text", [b"[" * 100_000, b"{", b"\xff"])
-def test_what_is_not_json_is_refused(text):
+def test_rejects_text_that_is_not_json(text):
     with pytest.raises(lines.LineError):
         lines.parse_json(text)
 
 
-def test_marks_are_the_same_at_every_start():
+def test_id_hash_is_the_same_in_every_process():
     assert lines.id_hash("s-5be2a07c") == 0x850D21AD14919D0C
 
 
-def test_a_log_line_is_key_value_pairs_on_one_line():
+def test_log_line_is_key_value_pairs_on_one_line():
     record = logging.LogRecord("bellrack", logging.INFO, "", 0, "ended", None, None)
     record.figures = {"side": "client", "took": 0.25, "text": 'said "no"\n', "none": ""}
     text = log.KeyValue().format(record)
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -1,5 +1,6 @@
-"""Rule 2 at the write: a referenced call is repeated only in the time that drop repeats, however late its
-connection comes up and however long the process is held up between reading its clock and writing."""
+"""Rule 2, checked when the request is written: a referenced call is repeated only within the time in which
+servers drop repeats, however late the connection is established and however long the process is paused
+between reading its clock and writing."""
 
 import asyncio
 
@@ -8,17 +9,17 @@
 
 from bellrack.net import servers
 
-TTL = 0.6  # seconds
-HELD_UP = 0.15  # STANDING.md: "held up for up to 0.15 s between reading its clock and writing"
+TTL_SECONDS = 0.6
+MAX_STALL_SECONDS = 0.15  # STANDING.md: "held up for up to 0.15 s between reading its clock and writing"
 
 
-def kinds(effect):
+def traffic_types(effect):
     return [
         {
             "name": "chat",
             "effect": effect,
             "group": "all",
-            "keyTtlUs": TTL * 1e6,
+            "keyTtlUs": TTL_SECONDS * 1e6,
             "guardTimeUs": 2e6,
             "setupTargetUs": 3e5,
         }
@@ -29,37 +30,42 @@
 
 
 class SlowConnects:
-    """Connections to servers come up only when the test says so, from the second on."""
+    """Delays connections to servers, once active, until the test releases them."""
 
     def __init__(self, monkeypatch, loop):
-        self.come_up, self.waiting, self.real = asyncio.Event(), 0, loop.sock_connect
-        monkeypatch.setattr(servers.OutgoingConnection, "_open", self.held(servers.OutgoingConnection._open))
+        self.released, self.waiting, self.real = asyncio.Event(), 0, loop.sock_connect
+        monkeypatch.setattr(
+            servers.OutgoingConnection, "_open", self.delayed(servers.OutgoingConnection._open)
+        )
         self.active = False
 
-    def held(self, honest):
-        async def opened(link, address, wait):
-            if self.active and link.side == "server":
+    def delayed(self, connect):
+        async def delayed_connect(connection, address, wait):
+            if self.active and connection.side == "server":
                 self.waiting += 1
-                await self.come_up.wait()
-            await honest(link, address, wait)
+                await self.released.wait()
+            await connect(connection, address, wait)
 
-        return opened
+        return delayed_connect
 
 
 @pytest.mark.parametrize("effect, again", [("dedup", False), ("retryable", True)])
-@pytest.mark.parametrize("late", [TTL + 0.05, TTL - HELD_UP + 0.05])
+@pytest.mark.parametrize("late", [TTL_SECONDS + 0.05, TTL_SECONDS - MAX_STALL_SECONDS + 0.05])
 @played
-async def test_a_repeat_whose_connection_comes_up_late_is_not_written(monkeypatch, effect, again, late):
-    async with World(servers=2, trafficTypes=kinds(effect), caps=CAPS) as world:
-        slow = SlowConnects(monkeypatch, world.node.loop)
+async def test_does_not_send_a_referenced_repeat_that_is_established_after_the_window(
+    monkeypatch, effect, again, late
+):
+    async with World(servers=2, trafficTypes=traffic_types(effect), caps=CAPS) as world:
+        connects = SlowConnects(monkeypatch, world.node.loop)
         client = await world.call("c=chat,t=acme,d=1900")
         _, first, _ = await world.leg()
-        slow.active = True
-        first.end("rst")  # it may have run
-        await world.until(lambda: slow.waiting)
+        connects.active = True
+        first.end("rst")  # the request may have run
+        await world.until(lambda: connects.waiting)
         sent = next(iter(world.node.clients)).call.legs[0].sent
-        world.node.anchor += max(0.0, sent + late - world.node.clock())  # so much time has passed
-        slow.come_up.set()
+        # Moves the clock on to `late` seconds after the first attempt.
+        world.node.anchor += max(0.0, sent + late - world.node.clock())
+        connects.released.set()
         if again:
             _, server, line = await world.leg()
             assert line.startswith("OPEN ")
@@ -72,8 +78,8 @@
 
 @pytest.mark.parametrize("effect", ["dedup", "retryable"])
 @played
-async def test_a_repeat_in_time_is_written(monkeypatch, effect):
-    async with World(servers=2, trafficTypes=kinds(effect), caps=CAPS) as world:
+async def test_sends_a_repeat_within_the_window(monkeypatch, effect):
+    async with World(servers=2, trafficTypes=traffic_types(effect), caps=CAPS) as world:
         client = await world.call("c=chat,t=acme,d=1900")
         _, first, _ = await world.leg()
         first.end("rst")
