--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -1,4 +1,6 @@
-"""What is owed at the instant at which something ends: each bad order is made by stand-ins, every time."""
+"""What happens if a server, a client, the process or the list ends at an unlucky moment.
+
+The test plays the other sides, so that each unlucky order of events happens in every run."""
 
 import asyncio
 import errno
@@ -23,20 +25,21 @@
     return f"{len(text.encode()):x}\r\n{text}\r\n".encode()
 
 
-def listed(version, *entries, whole=True):
+def list_line(version, *entries, whole=True):
     return json.dumps({"generation": version, "reset": whole, "instances": entries}) + "\n"
 
 
-# A server that hangs, or ends, in the middle.
+# A server that hangs or closes in the middle.
 
 
 @pytest.mark.parametrize("part", ["half a ", "x" * 3000])
 @played
-async def test_a_server_that_hangs_in_the_middle_of_a_line_is_left(monkeypatch, part):
-    # Seen on roll+brink: 17 bytes of a line held, the client's lines unanswered for 7 s, and no MOVE.
+async def test_moves_the_client_of_a_server_that_hangs_in_the_middle_of_a_line(monkeypatch, part):
+    # Fault seen in the scenario roll+brink: 17 bytes of a line in the ring, the client's lines unanswered for
+    # 7 s, and no MOVE.
     monkeypatch.setattr(servers, "SILENCE_SECONDS", 0.2)
     monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.05)
-    quiet = {"messageAimUs": [1e9], "tellsDelay": False}  # lateness alone moves nobody
+    quiet = {"messageAimUs": [1e9], "tellsDelay": False}  # late messages alone move no connection
     async with World(specifics=quiet) as world:
         client, server = await world.standing()
         client.say("M 1")
@@ -47,7 +50,7 @@
 
 @pytest.mark.parametrize("last", ["BYE", "MOVE"])
 @played
-async def test_a_server_that_says_its_last_and_does_not_end_is_ended_for_it(last):
+async def test_closes_for_a_server_that_hangs_after_its_last_line(last):
     async with World() as world:
         client, server = await world.standing()
         server.say(last)
@@ -57,7 +60,7 @@
 
 @pytest.mark.parametrize("last", ["BYE", "MOVE"])
 @played
-async def test_a_last_line_is_not_lost_with_the_reset_behind_it(last):
+async def test_a_reset_after_the_last_line_does_not_lose_it(last):
     async with World() as world:
         client, server = await world.standing()
         server.say(last)
@@ -66,37 +69,37 @@
 
 
 @played
-async def test_a_slow_client_still_gets_whole_lines_when_its_server_has_ended():
+async def test_a_slow_client_gets_whole_lines_after_its_server_has_closed():
     async with World() as world:
         client, server = await world.standing()
         client.writer.transport.pause_reading()
-        link = next(iter(world.node.clients))
-        while not link.blocked:
+        connection = next(iter(world.node.clients))
+        while not connection.blocked:
             server.writer.write((b"x" * 1000 + b"\r\n") * 3)
             await asyncio.sleep(0.001)
         server.end("fin")
-        await world.until(lambda: link.closed)  # it waited as long as it may
+        await world.until(lambda: connection.closed)  # after FLUSH_SECONDS
         client.writer.transport.resume_reading()
-        told = [await client.line()]
-        while told[-1] not in ("fin", "rst"):
-            told.append(await client.line())
-        assert told[-1] == "fin" and all(len(line) == 1000 for line in told[:-1])
+        received = [await client.line()]
+        while received[-1] not in ("fin", "rst"):
+            received.append(await client.line())
+        assert received[-1] == "fin" and all(len(line) == 1000 for line in received[:-1])
 
 
-# One answer, whatever comes at the same instant.
+# One answer, whatever happens in the same turn.
 
 
 @pytest.mark.parametrize("first, told", [("time", "BUSY 500"), ("server", "UP 1")])
 @played
-async def test_time_and_answer_at_the_same_instant_give_one_answer(monkeypatch, first, told):
-    # Guards against UP behind the BUSY that was decided on in the same batch, and the other way round.
+async def test_timeout_and_answer_in_one_turn_give_one_answer(monkeypatch, first, told):
+    # Otherwise the client gets UP after the BUSY that was decided in the same turn, or BUSY after UP.
     async with World() as world:
         batch = Batch(monkeypatch, world.node)
         client = await world.call()
         _, server, _ = await world.leg()
         call = next(iter(world.node.clients)).call
-        due = (world.node.balancer.on_timer, call)
-        batch.of(*((due, "server") if first == "time" else ("server", due)))
+        timeout = (world.node.balancer.on_timer, call)
+        batch.of(*((timeout, "server") if first == "time" else ("server", timeout)))
         server.say("UP 1")
         assert await client.line() == told
         if first == "time":
@@ -104,13 +107,13 @@
         else:
             client.say("M 1")
             assert await server.line() == "M 1"
-        counted = world.node.counters
-        assert counted["completed.chat"] + counted["rejected.chat"] == 1
+        counters = world.node.counters
+        assert counters["completed.chat"] + counters["rejected.chat"] == 1
 
 
 @pytest.mark.parametrize("effect, told", [("retryable", "BUSY 500"), ("fragile", "ERR")])
 @played
-async def test_time_and_error_at_the_same_instant_give_one_answer(monkeypatch, effect, told):
+async def test_timeout_and_error_in_one_turn_give_one_answer(monkeypatch, effect, told):
     async with World(servers=2, effect=effect) as world:
         batch = Batch(monkeypatch, world.node)
         client = await world.call()
@@ -121,28 +124,29 @@
         assert world.arrived.empty() and world.node.counters["legs"] == 1
 
 
-# A client that leaves while it waits is not sent on.
+# Nothing is sent for a client that closes while it waits.
 
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
 @played
-async def test_a_client_that_leaves_as_its_leg_comes_up_is_not_sent_on(monkeypatch, how):
+async def test_sends_nothing_for_a_client_that_closes_as_its_attempt_connects(monkeypatch, how):
     async with World() as world:
         batch = Batch(monkeypatch, world.node)
-        batch.of("server", "client end")  # the connection is up, and its client has gone: in one batch
+        batch.of("server", "client end")  # connected, and the client closed, in one turn
         client = await world.call()
         await world.until(lambda: batch.held)
         client.end(how)
         _, server = await asyncio.wait_for(world.arrived.get(), 5)
-        assert await server.line() == how  # and not the line
+        assert await server.line() == how  # and not the request
         await world.until(lambda: not world.node.clients)
         assert not world.node.counters["upstream_requests"] and not world.node.balancer.open_legs
 
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
 @played
-async def test_a_burst_that_leaves_at_once_is_not_sent_on(how):
-    # The line and the end of each are there before the balancer looks: none of them is connected for.
+async def test_makes_no_attempt_for_a_burst_of_clients_that_close_at_once(how):
+    # The request and the end of each have arrived before the balancer reads: no connection to a server is
+    # opened.
     async with World(servers=2) as world:
 
         def burst():
@@ -153,22 +157,22 @@
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
                 sock.close()
 
-        burst()  # the loop stands meanwhile
+        burst()  # the event loop does not run meanwhile
         await world.until(lambda: world.node.counters["ended_client"] >= 60 and not world.node.clients)
         assert not world.node.counters["upstream_requests"] and not world.node.balancer.open_legs
 
 
 @played
-async def test_a_kept_call_whose_client_has_left_is_not_sent_when_a_server_comes():
+async def test_does_not_send_a_queued_call_whose_client_has_closed_when_a_server_is_listed():
     async with World(servers=0) as world:
         client = await world.call()
         await world.until(lambda: world.node.balancer.queued)
         client.end("fin")
         await world.until(lambda: not world.node.clients)
-        place = await asyncio.start_server(world.served(0), "127.0.0.1")
-        world.listeners.append(place)
-        entry = world.entry(0, "{}:{}".format(*place.sockets[0].getsockname()))
-        world.watch.writer.write(chunk(listed(50, entry)))
+        listener = await asyncio.start_server(world.served(0), "127.0.0.1")
+        world.listeners.append(listener)
+        entry = world.entry(0, "{}:{}".format(*listener.sockets[0].getsockname()))
+        world.watch.writer.write(chunk(list_line(50, entry)))
         await world.until(lambda: world.node.servers)
         await world.standing()
         await world.until(lambda: not world.node.balancer.queued)
@@ -179,12 +183,12 @@
 
 
 @played
-async def test_asked_to_end_it_waits_for_a_line_that_is_half_there(monkeypatch):
+async def test_shutdown_waits_for_the_rest_of_a_request_line(monkeypatch):
     monkeypatch.setattr(shutdown, "STAY", 0.1)
     async with World() as world:
         slow, silent = await world.dial(), await world.dial()
         slow.writer.write(b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch")
-        await world.until(lambda: [one.ring.length for one in world.node.clients if one.ring.length] == [43])
+        await world.until(lambda: [c.ring.length for c in world.node.clients if c.ring.length] == [43])
         world.node.queue(world.node.begin_shutdown)
         await world.until(
             lambda: world.node.shutdown and world.node.clock() - world.node.shutdown.started_at > 0.3
@@ -199,18 +203,18 @@
 
 
 @played
-async def test_asked_to_end_it_answers_who_waits_in_the_door(monkeypatch):
+async def test_shutdown_answers_clients_in_the_accept_queue(monkeypatch):
     monkeypatch.setattr(shutdown, "STAY", 0.0)
     async with World() as world:
         waiting = []
 
-        def come_and_leave():
+        def connect_and_shut_down():
             for number in range(5):
                 waiting.append(socket.create_connection(world.node.address))
                 waiting[-1].sendall(b"OPEN %016x 7f3a9c21e0b4d655 c=chat,t=acme,d=2000\r\n" % (number + 1))
-            world.node.begin_shutdown()  # nothing has been accepted since the loop last looked
+            world.node.begin_shutdown()  # none of them has been accepted yet
 
-        world.node.queue(come_and_leave)
+        world.node.queue(connect_and_shut_down)
         await world.until(lambda: len(waiting) == 5)
         for sock in waiting:
             client = Peer(*await asyncio.open_connection(sock=sock))
@@ -223,25 +227,25 @@
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ECONNABORTED])
 @played
-async def test_asked_to_end_it_ends_also_if_its_door_fails(monkeypatch, error):
+async def test_shutdown_ends_even_if_accepting_fails(monkeypatch, error):
     monkeypatch.setattr(shutdown, "STAY", 0.0)
     async with World() as world:
-        door = mock.Mock(wraps=world.node.listeners.socket)
-        door.accept.side_effect = OSError(error, "no")
-        monkeypatch.setattr(world.node.listeners.listener, "sockets", [door])
+        listening_socket = mock.Mock(wraps=world.node.listeners.socket)
+        listening_socket.accept.side_effect = OSError(error, "no")
+        monkeypatch.setattr(world.node.listeners.listener, "sockets", [listening_socket])
         world.node.queue(world.node.begin_shutdown)
         await asyncio.wait_for(world.serving, 2)
-        assert door.accept.called and not world.node.counters["faults"]
+        assert listening_socket.accept.called and not world.node.counters["faults"]
 
 
 @pytest.mark.parametrize(
     "effect, told", [("retryable", "BUSY 500"), ("fragile", "ERR"), ("dedup", "BUSY 500")]
 )
 @played
-async def test_asked_to_end_it_answers_who_waits_for_a_server_that_hangs(monkeypatch, effect, told):
+async def test_shutdown_answers_clients_of_a_server_that_hangs(monkeypatch, effect, told):
     monkeypatch.setattr(shutdown, "LONGEST", 0.3)
     async with World(effect=effect) as world:
-        client = await world.call("c=chat,t=acme,d=30000")  # longer than there is time
+        client = await world.call("c=chat,t=acme,d=30000")  # longer than the shutdown lasts
         await world.leg()
         world.node.queue(world.node.begin_shutdown)
         assert [await client.line(), await client.line()] == [told, "fin"]
@@ -250,23 +254,24 @@
 
 
 @played
-async def test_a_server_that_says_nothing_is_silent_however_much_its_client_sends():
+async def test_a_server_counts_as_silent_however_much_its_client_sends():
     async with World() as world:
         client, _ = await world.standing()
-        (link,) = next(iter(world.node.servers.values())).host_record.connections
+        (connection,) = next(iter(world.node.servers.values())).host_record.connections
         for sent in (100, 200):
             client.writer.write(b"M\r\n" * 100)
             await world.until(lambda sent=sent: world.node.counters["lines_to_servers"] == sent)
-            assert not link.is_silent()
+            assert not connection.is_silent()
             world.node.anchor += 1.5
             world.node.now = world.node.clock()
-        assert link.is_silent()
+        assert connection.is_silent()
 
 
 @pytest.mark.parametrize("words", [b"", b"PING\r\n", b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch"])
 @played
-async def test_asked_to_end_it_answers_who_says_nothing_before_it_goes(monkeypatch, words):
-    """Their request may cross our end: some come 0.4 s after the signal and write 2.75 s later."""
+async def test_shutdown_answers_clients_without_a_request_before_it_ends(monkeypatch, words):
+    """Their request may cross the end of the process: some connect 0.4 s after the signal and write 2.75 s
+    later."""
     monkeypatch.setattr(shutdown, "LONGEST", 0.5)
     async with World() as world:
         ordinary, _ = await world.standing()
@@ -285,24 +290,24 @@
 
 
 @played
-async def test_a_process_that_has_ended_begins_nothing_more():
-    """While the loop is taken down its timers still run: a watch or an attempt would begin for nobody."""
+async def test_runs_nothing_after_the_end_of_the_shutdown():
+    """Timers still run while the event loop is closed; they must not begin a watch or an attempt."""
     async with World() as world:
-        begun = []
-        world.node.after(0.0, begun.append, "by a timer")
+        calls = []
+        world.node.after(0.0, calls.append, "by a timer")
         world.node.finished.set()
         await world.serving
-        world.node.queue(begun.append, "by an event")
+        world.node.queue(calls.append, "by an event")
         ended = world.node.loop.time() + 0.05
         await world.until(lambda: world.node.loop.time() > ended)
-        assert begun in ([], ["by a timer"])  # before its end, if at all
+        assert calls in ([], ["by a timer"])  # the timer may run before the end
         assert not world.node.turn_scheduled
 
 
 @played
-async def test_asked_to_end_before_its_door_is_open_it_ends_in_order(tmp_path):
+async def test_shutdown_before_listening_ends_cleanly(tmp_path):
     async with World(discovery="push") as world:
-        await world.question()  # of the world's own node
+        await world.question()  # from the node of `world`
         path = tmp_path / "config.json"
         path.write_text(json.dumps(world.raw))
         process = await asyncio.create_subprocess_exec(
@@ -314,54 +319,54 @@
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
         )
-        await world.question()  # it waits for its list, which does not come
+        await world.question()  # from the process, which waits for a list that does not come
         process.send_signal(signal.SIGTERM)
         _, said = await asyncio.wait_for(process.communicate(), 5)
         assert process.returncode == 0 and b"Traceback" not in said and b"event=serving" not in said
 
 
-# Being told.
+# Discovery.
 
 
-@pytest.mark.parametrize("begun", [HEAD, HEAD + chunk('{"generation": 50,\n'), b"HTTP/1.1 200 OK\r\nX: "])
+@pytest.mark.parametrize("start", [HEAD, HEAD + chunk('{"generation": 50,\n'), b"HTTP/1.1 200 OK\r\nX: "])
 @pytest.mark.parametrize("part", [b"x", b"1\r\n \r\n"])
 @played
-async def test_a_watch_that_only_dribbles_is_silent(monkeypatch, begun, part):
+async def test_a_watch_without_whole_lines_counts_as_silent(monkeypatch, start, part):
     monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.3)
     monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.05)
     monkeypatch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.02)
-    if part == b"x" and begun.endswith(b"\n"):
+    if part == b"x" and start.endswith(b"\n"):
         part = b"9" * 1  # the head of a chunk that never ends
     async with World() as world:
         watch, _ = await world.question()
-        watch.writer.write(begun)
+        watch.writer.write(start)
 
-        async def dribble():
+        async def write_parts():
             while True:
                 watch.writer.write(part)
                 await asyncio.sleep(0.05)
 
-        dribbling = asyncio.create_task(dribble())
+        writing = asyncio.create_task(write_parts())
         await world.question()
-        dribbling.cancel()
+        writing.cancel()
 
 
 @played
-async def test_a_watch_whose_call_had_to_wait_is_silent_only_from_its_head_on():
+async def test_silence_of_a_watch_counts_from_the_head_of_its_response():
     async with World() as world:
         watch, _ = await world.question()
-        asked = world.node.discovery.current
-        before = asked.last_received
+        request = world.node.discovery.current
+        before = request.last_received
         watch.writer.write(HEAD[:20])
-        await world.until(lambda: asked.response.rest)
-        assert asked.last_received == before
+        await world.until(lambda: request.response.rest)
+        assert request.last_received == before
         watch.writer.write(HEAD[20:])
-        await world.until(lambda: asked.response.status)
-        assert asked.last_received > before
+        await world.until(lambda: request.response.status)
+        assert request.last_received > before
 
 
 @played
-async def test_an_empty_line_keeps_a_watch_and_nothing_else_of_its_kind(monkeypatch):
+async def test_empty_lines_keep_a_watch_open(monkeypatch):
     monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.3)
     monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.05)
     async with World() as world:
@@ -375,7 +380,7 @@
 
 
 @played
-async def test_a_list_may_come_indented():
+async def test_accepts_an_indented_list():
     async with World(servers=2) as world:
         watch, _ = await world.question()
         one, other = world.node.servers.values()
@@ -399,7 +404,7 @@
 
 
 @played
-async def test_a_fetch_that_is_not_answered_is_given_up(monkeypatch):
+async def test_gives_up_a_fetch_that_is_not_answered(monkeypatch):
     monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.1)
     async with World(discovery="push") as world:
         await world.question()
@@ -409,54 +414,55 @@
 
 
 @played
-async def test_where_lists_are_pushed_the_door_opens_on_the_list_of_now():
-    # What the agent has counts as told from the first moment: the list that we know may name what drains.
+async def test_with_pushed_lists_listens_on_the_current_list():
+    # The list of discovery counts as known from the start, so servers of the older, known list may be
+    # draining.
     world = World(servers=2, discovery="push", patience=5.0)
 
     async def agent():
         watch, _ = await world.question()
         draining = world.entries[0] | {"lifecycle": "terminating"}
-        watch.writer.write(HEAD + chunk(listed(50, draining, whole=False)))
+        watch.writer.write(HEAD + chunk(list_line(50, draining, whole=False)))
 
     answering = asyncio.create_task(agent())
     async with world:
         assert world.node.readiness.list_received and answering.done()
         states = {server.host_record.name: server.state for server in world.node.servers.values()}
         assert states == {"s-0": model.DRAINING, "s-1": model.READY}
-        clients = []  # kept open: one that is dropped has left, and a client that has left is not sent on
+        clients = []  # kept open: nothing is sent for a client that has closed
         for _ in range(4):
             clients.append(await world.call())
             assert (await world.leg())[0] == 1
 
 
 @played
-async def test_where_lists_are_pushed_a_broken_watch_is_renewed_within_the_grace_of_a_drain():
-    # A change counts as told at once there, whether or not a watch is open.
+async def test_with_pushed_lists_renews_a_broken_watch_within_the_drain_grace():
+    # A change counts as known at once, whether or not a watch is open.
     async with World(discovery="push") as world:
         for _ in range(3):
             watch, _ = await world.question()
-            begun = world.node.loop.time()
+            broken_at = world.node.loop.time()
             watch.end("rst")
         await world.question()
-        assert world.node.loop.time() - begun < world.node.settings.drain_grace
+        assert world.node.loop.time() - broken_at < world.node.settings.drain_grace
 
 
-def test_a_list_service_that_fails_is_asked_again_while_the_list_stands():
+def test_retries_a_failed_discovery_while_the_list_is_valid():
     bench = Bench(settings(ask_within=1.0))
     for _ in range(40):
         bench.wakes.clear()
         bench.balancer.on_discovery_failed()
         ((when, what),) = bench.wakes
-        assert what == "watch" and when - bench.now <= 1.5  # four times that holds after a call that failed
+        assert what == "watch" and when - bench.now <= 1.5  # up to four times that after a failed call
 
 
-# Has it run? Two servers, each in a zone and a cell of its own.
+# Whether an attempt may have run. Two servers, each in a zone and a cell of its own.
 
-RAN = ("ERR", "garbage", "UP\0", "MOVE", "fin", "rst", "half")
+MAY_HAVE_RAN = ("ERR", "garbage", "UP\0", "MOVE", "fin", "rst", "half")
 EFFECTS = [("retryable", "all"), ("dedup", "all"), ("dedup", "zone"), ("dedup", "cell"), ("fragile", "all")]
 
 
-def kinds(effect, group):
+def traffic_types(effect, group):
     return [
         {
             "name": "chat",
@@ -469,26 +475,26 @@
     ]
 
 
-@pytest.mark.parametrize("outcome", [*RAN, "BUSY"])
+@pytest.mark.parametrize("outcome", [*MAY_HAVE_RAN, "BUSY"])
 @pytest.mark.parametrize("effect, group", EFFECTS)
 @played
-async def test_what_follows_a_failed_leg_where_only_another_group_is_left(effect, group, outcome):
-    """It goes there where the leg never ran or trying again is harmless; nowhere else, and then the answer is
-    one that promises nothing."""
-    async with World(servers=2, apart=True, trafficTypes=kinds(effect, group)) as world:
+async def test_retries_in_another_group_only_if_that_is_safe(effect, group, outcome):
+    """The call is retried there if the leg never ran or a repeat does no harm. Otherwise the answer is ERR,
+    which does not say whether it ran."""
+    async with World(servers=2, apart=True, trafficTypes=traffic_types(effect, group)) as world:
         client = await world.call()
         number, server, _ = await world.leg()
-        assert number == 0  # of our own zone
+        assert number == 0  # in the balancer's own zone
         drained = [world.entries[0] | {"lifecycle": "terminating"}]
-        news = lines.parse_list({"generation": 50, "reset": False, "instances": drained})
-        world.node.queue(world.node.server_list.on_list, news)
+        update = lines.parse_list({"generation": 50, "reset": False, "instances": drained})
+        world.node.queue(world.node.server_list.on_list, update)
         await world.until(lambda: world.node.server_list.version == 50)
         if outcome in ("fin", "rst", "half"):
             server.writer.write(b"UP 1" * (outcome == "half"))
             server.end(outcome.replace("half", "fin"))
         else:
             server.say(outcome)
-        if outcome in RAN and (effect == "fragile" or group != "all"):
+        if outcome in MAY_HAVE_RAN and (effect == "fragile" or group != "all"):
             assert [await client.line(), await client.line()] == ["ERR", "fin"]
             assert world.arrived.empty() and world.node.counters["legs"] == 1
         else:
@@ -499,22 +505,22 @@
 
 @pytest.mark.parametrize("effect, group", EFFECTS)
 @played
-async def test_short_of_descriptors_a_leg_was_never_sent(monkeypatch, effect, group):
-    async with World(servers=2, apart=True, trafficTypes=kinds(effect, group)) as world:
+async def test_a_leg_without_descriptors_counts_as_never_sent(monkeypatch, effect, group):
+    async with World(servers=2, apart=True, trafficTypes=traffic_types(effect, group)) as world:
         monkeypatch.setattr(world.node.limits, "lacks", lambda more: True)
         client = await world.call()
         assert [await client.line(), await client.line()] == ["BUSY 500", "fin"]
         assert world.arrived.empty() and not world.node.counters["legs"]
 
 
-# Short of time.
+# Short deadlines.
 
 
-@pytest.mark.parametrize("wait, goes", [(0.012, True), (0.1, True), (0.0, False), (-1.0, False)])
-def test_a_short_deadline_leaves_time_for_a_leg(wait, goes):
-    bench = Bench(settings())  # an answer's way is taken for 24 ms
+@pytest.mark.parametrize("wait, sent", [(0.012, True), (0.1, True), (0.0, False), (-1.0, False)])
+def test_a_short_deadline_leaves_time_for_an_attempt(wait, sent):
+    bench = Bench(settings())  # 24 ms are allowed for the answer to reach the client
     bench.fleet(0, 0)
     call = bench.call(guard=wait)
-    assert bool(bench.sent) == goes and call.done != goes
+    assert bool(bench.sent) == sent and call.done != sent
     for _, until in bench.sent:
         assert bench.now + 0.7 * wait < until < call.deadline
--- a/tests/test_resumption.py
+++ b/tests/test_resumption.py
@@ -34,9 +34,8 @@
 
 def test_times_agree_with_the_protocol():
     assert (ALL_READY_SECONDS, RESUME_TIMEOUT_SECONDS) == (30.0, 40.0)
-    assert (
-        LISTEN_AFTER_SECONDS <= ALL_READY_SECONDS - 10
-    )  # this process may have started 10 s after the 30 s began
+    # This process may have started 10 s after the 30 s began.
+    assert LISTEN_AFTER_SECONDS <= ALL_READY_SECONDS - 10
 
 
 @pytest.mark.parametrize("requested", [False, True])
@@ -139,7 +138,7 @@
 
 
 def test_hung_attempts_time_out_and_later_ones_get_longer():
-    # Each attempt times attempting early enough for another; later ones are longer, for a slow server.
+    # Each attempt times out early enough for another; later ones are longer, for a slow server.
     resumption, now, attempts = Resumption(100.0, 7), 100.0, []
     while not isinstance(action := next_action(resumption, now), Expire):
         if isinstance(action, Attempt):
