--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The program on sockets: what passes through it, how connections end, and a test for each failure found."""
+"""The balancer on sockets: forwarding, how connections end, and a regression test for each fault found."""
 
 import asyncio
 import json
@@ -18,8 +18,8 @@
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
-async def serves(world):
-    """The run has begun: an ordinary request came, and an end is owed to those that say nothing."""
+async def begin_run(world):
+    """Serves an ordinary request, which shows that the run has begun: silent connections are closed in time."""
     client, server = await world.standing()
     client.end("fin")
     assert await server.line() == "fin"
@@ -28,7 +28,7 @@
 
 
 @played
-async def test_a_call_stands_and_its_lines_pass_unchanged():
+async def test_establishes_a_connection_and_forwards_its_lines_unchanged():
     async with World() as world:
         client = await world.call("c=chat,t=acme,d=2000,g=00ff,h=3.5")
         _, server, line = await world.leg()
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("how", ["fin", "rst"])
 @pytest.mark.parametrize("side", [0, 1])
 @played
-async def test_a_connection_ends_as_its_other_side_did(how, side):
+async def test_closes_a_connection_the_way_its_other_side_closed(how, side):
     async with World() as world:
         pair = await world.standing()
         pair[side].end(how)
@@ -61,15 +61,15 @@
 
 
 @played
-async def test_after_every_kind_of_end_nothing_is_left(monkeypatch):
-    # Guards against legs, ids and descriptors that leak with each client of a bad kind until none are left.
+async def test_leaves_nothing_behind_after_any_kind_of_end(monkeypatch):
+    # Otherwise legs, ids or descriptors leak with each such client until none are left.
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.2)
     async with World(servers=2) as world:
-        room = world.node.limits
+        node_limits = world.node.limits
         await world.question()
         await world.until(lambda: world.node.discovery.current.transport)
-        before = room.descriptors
-        await serves(world)
+        before = node_limits.descriptors
+        await begin_run(world)
         for words in (b"", b"OPEN", b"PING\r\n", b"x" * 9000, b"OPEN 1 2 c=chat\r\nmore", b"\0\r\n" * 900):
             client = await world.dial()
             client.writer.write(words)
@@ -99,9 +99,11 @@
             client.end("fin")
         while not world.arrived.empty():
             world.arrived.get_nowait()[1].end("rst")
-        await world.until(lambda: room.descriptors == before and not (room.open_ids or room.evictable))
-        stands = [server.local_state for server in world.node.servers.values()]
-        assert not any(stand.open_legs or stand.established_legs or stand.legs_by_group for stand in stands)
+        await world.until(
+            lambda: node_limits.descriptors == before and not (node_limits.open_ids or node_limits.evictable)
+        )
+        states = [server.local_state for server in world.node.servers.values()]
+        assert not any(state.open_legs or state.established_legs or state.legs_by_group for state in states)
         assert not (world.node.clients or world.node.balancer.open_legs or world.node.counters["faults"])
 
 
@@ -120,7 +122,7 @@
     ],
 )
 @played
-async def test_a_failed_leg_goes_again_only_if_that_is_harmless(effect, answer, told):
+async def test_retries_a_failed_leg_only_if_that_is_safe(effect, answer, told):
     async with World(servers=2, effect=effect) as world:
         client = await world.call()
         first, server, _ = await world.leg()
@@ -137,7 +139,7 @@
 
 
 @played
-async def test_an_unreachable_server_proves_that_a_leg_never_ran():
+async def test_retries_a_once_only_call_if_a_server_is_unreachable():
     async with World(servers=2, effect="fragile") as world:
         world.listeners[0].close()
         for _ in range(4):
@@ -149,16 +151,17 @@
 
 
 @played
-async def test_a_pause_of_our_own_is_not_a_connect_that_failed(monkeypatch):
-    # Guards against 54 connects at a start with little CPU: made and written, then given up for the time-out.
-    opened = servers.OutgoingConnection.open
+async def test_a_pause_of_this_process_is_not_a_failed_connect(monkeypatch):
+    # Fault seen: 54 connects at a start with little CPU were established and written, then given up by
+    # timeout.
+    honest_open = servers.OutgoingConnection.open
 
-    def paused(self, *args):
-        opened(self, *args)
+    def open_and_pause(self, *args):
+        honest_open(self, *args)
         if self.side == "server":
-            self.node.loop.call_soon(time.sleep, 0.3)  # longer than the connect time-out
+            self.node.loop.call_soon(time.sleep, 0.3)  # longer than the connect timeout
 
-    monkeypatch.setattr(servers.OutgoingConnection, "open", paused)
+    monkeypatch.setattr(servers.OutgoingConnection, "open", open_and_pause)
     async with World() as world:
         client = await world.call()
         _, server, _ = await world.leg()
@@ -167,18 +170,18 @@
 
 
 @played
-async def test_a_call_that_no_server_answers_is_answered_by_its_guard_time():
+async def test_answers_a_call_by_its_timeout_if_no_server_does():
     async with World() as world:
         client = await world.call("c=chat,t=acme,d=300")
         _, server, _ = await world.leg()
-        begun = world.node.loop.time()
-        assert await client.line() == "BUSY 500"  # repeatable, so trying again does no harm
+        started_at = world.node.loop.time()
+        assert await client.line() == "BUSY 500"  # repeatable, so a retry is safe
         assert await client.line() == "fin" and await server.line() == "fin"
-        assert 0.2 < world.node.loop.time() - begun < 0.316
+        assert 0.2 < world.node.loop.time() - started_at < 0.316
 
 
 @played
-async def test_a_leg_that_comes_up_for_an_answered_call_is_ended():
+async def test_closes_a_leg_that_is_accepted_after_its_call_was_answered():
     async with World() as world:
         client = await world.call()
         _, server, _ = await world.leg()
@@ -190,41 +193,44 @@
 
 
 @played
-async def test_without_servers_a_call_is_told_when_to_come_back():
+async def test_without_servers_tells_the_client_when_to_retry():
     async with World(servers=0) as world:
         client = await world.call()
         assert [await client.line(), await client.line()] == ["BUSY 500", "fin"]
 
 
-@pytest.mark.parametrize("tells, heard", [(False, 0.25), (True, 0.0)])
+@pytest.mark.parametrize("reports_load, delay_ratio", [(False, 0.25), (True, 0.0)])
 @played
-async def test_load_lines_tell_delays_where_no_loads_are_told(tells, heard):
-    # Guards against a module that is never told of late messages: lines come back at once even then.
-    special = {"messageAimUs": [1e5], "tellsDelay": True, "tellsLoad": tells}
+async def test_load_lines_are_delays_if_servers_report_no_loads(reports_load, delay_ratio):
+    # Without it the decisions never learn of late messages: lines are answered at once even then.
+    special = {"messageAimUs": [1e5], "tellsDelay": True, "tellsLoad": reports_load}
     async with World(specifics=special) as world:
         client, server = await world.standing()
         server.say("LOAD 25.0")
         assert await client.line() == "LOAD 25.0"
-        stand = next(iter(world.node.servers.values())).local_state
-        assert (stand.delay_ratio, next(iter(stand.established_legs)).load) == (heard, 25.0 if tells else 0.0)
+        state = next(iter(world.node.servers.values())).local_state
+        assert (state.delay_ratio, next(iter(state.established_legs)).load) == (
+            delay_ratio,
+            25.0 if reports_load else 0.0,
+        )
 
 
-@pytest.mark.parametrize("figure", ["nan", "inf", "-inf", "-1", "", "x", "1e999"])
+@pytest.mark.parametrize("load", ["nan", "inf", "-inf", "-1", "", "x", "1e999"])
 @played
-async def test_a_load_that_is_no_figure_says_nothing_and_harms_nothing(figure):
+async def test_ignores_a_load_that_is_not_a_finite_number(load):
     async with World() as world:
         client, server = await world.standing()
-        server.say(f"LOAD {figure}")
+        server.say(f"LOAD {load}")
         server.say("\x00\x7f  garbage")
         assert (await client.line()).startswith("LOAD") and (await client.line()).endswith("garbage")
-        stand = next(iter(world.node.servers.values())).local_state
-        assert (stand.delay_ratio, stand.limit, world.node.counters["faults"]) == (0.0, float("inf"), 0)
+        state = next(iter(world.node.servers.values())).local_state
+        assert (state.delay_ratio, state.limit, world.node.counters["faults"]) == (0.0, float("inf"), 0)
         await world.standing()
 
 
 @pytest.mark.parametrize("broken", [b'{"generation":1}', b"[" * 50_000, b'{"generation":1e999,"reset":true}'])
 @played
-async def test_a_broken_list_harms_its_own_connection_alone(broken, monkeypatch):
+async def test_a_malformed_list_affects_only_its_own_connection(broken, monkeypatch):
     monkeypatch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.05)
     async with World() as world:
         watch, _ = await world.question()
@@ -236,7 +242,7 @@
         await world.standing()
 
 
-def test_a_pause_of_our_own_is_not_taken_for_a_late_server():
+def test_a_pause_of_this_process_is_not_a_delay_of_the_server():
     endpoint = servers.Endpoint("s-0", ("127.0.0.1", 1))
     endpoint.line_times = [0.002, 0.8, 0.9]
     assert endpoint.take_line_time(100.0) == 0.002
@@ -246,8 +252,8 @@
 
 
 @played
-async def test_a_reset_not_yet_told_of_does_not_fail_the_end():
-    # Guards against a fault in the turn that left a connection without its end.
+async def test_closes_without_error_after_an_unreported_reset():
+    # Fault seen: an exception in the turn left a connection open.
     async with World() as world:
         client = socket.create_connection(world.node.address)
         client.sendall(b"OPEN 1 2 c=chat,d=2000\r\n")
@@ -261,29 +267,29 @@
 
 
 @played
-async def test_a_server_that_falls_silent_is_late_and_then_left(monkeypatch):
+async def test_a_silent_server_counts_as_late_and_then_its_clients_are_moved(monkeypatch):
     monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.05)
     monkeypatch.setattr(servers, "SILENCE_SECONDS", 0.3)
     monkeypatch.setattr("bellrack.choice.MOVE_SHARE", 0.0)
     async with World() as world:
         client, _ = await world.standing()
         client.say("M 1")
-        stand = next(iter(world.node.servers.values())).local_state
-        await world.until(lambda: stand.delay_ratio > 0.5)
+        state = next(iter(world.node.servers.values())).local_state
+        await world.until(lambda: state.delay_ratio > 0.5)
         assert [await client.line(), await client.line()] == ["MOVE", "fin"]
         assert world.node.counters["leg_reset"] == 1
 
 
 @played
-async def test_a_drain_heard_while_a_leg_connects_keeps_it_from_being_sent(monkeypatch):
-    gate, opened = asyncio.Event(), servers.OutgoingConnection._open
+async def test_sends_nothing_to_a_server_that_drains_while_a_leg_connects(monkeypatch):
+    released, connect = asyncio.Event(), servers.OutgoingConnection._open
 
-    async def slowly(self, *args):
+    async def connect_late(self, *args):
         if self.side == "server":
-            await gate.wait()
-        await opened(self, *args)
+            await released.wait()
+        await connect(self, *args)
 
-    monkeypatch.setattr(servers.OutgoingConnection, "_open", slowly)
+    monkeypatch.setattr(servers.OutgoingConnection, "_open", connect_late)
     async with World(servers=2) as world:
         client = await world.call()
         await world.until(lambda: world.node.counters["legs"])
@@ -294,29 +300,29 @@
             lines.parse_list({"generation": 42, "reset": False, "instances": [drained]}),
             first=True,
         )
-        gate.set()
+        released.set()
         number, _, line = await world.leg()
-        assert (number, line) == (int(chosen), "fin")  # it came up and ended without a byte
+        assert (number, line) == (int(chosen), "fin")  # connected, and closed without a byte
         number, server, _ = await world.leg()
         server.say("UP 1")
         assert number != int(chosen) and await client.line() == "UP 1"
 
 
 @played
-async def test_a_list_change_goes_before_the_calls_of_its_batch():
-    # Guards against a call placed by a list that the same batch has outdated.
+async def test_handles_a_list_change_before_the_calls_of_its_turn():
+    # Otherwise a call is placed by a list that a change of the same turn has outdated.
     async with World() as world:
         watch, _ = await world.question()
         client = await world.call()
         await world.until(lambda: world.node.counters["legs"])
-        order, link = [], next(iter(world.node.clients))
+        order, connection = [], next(iter(world.node.clients))
         world.node.discovery.current.ready = lambda: order.append("list")
-        link.ready = lambda: order.append("call")
-        link.wake()
+        connection.ready = lambda: order.append("call")
+        connection.wake()
         world.node.discovery.current.wake()
         await world.until(lambda: len(order) == 2)
         assert order == ["list", "call"]
-        del link.ready
+        del connection.ready
         client.end("fin")
 
 
@@ -349,8 +355,8 @@
     ],
 )
 @played
-async def test_a_malformed_line_gets_one_failing_answer_and_the_end(line):
-    # Guards against passing on what no client sent: the line goes to a server as it is.
+async def test_answers_a_malformed_line_with_syntax_and_closes(line):
+    # The line is forwarded to a server as it is, so a malformed one must not get that far.
     async with World() as world:
         client = await world.dial()
         client.writer.write(line)
@@ -360,8 +366,8 @@
 
 
 @played
-async def test_a_call_whose_client_floods_it_is_dropped_and_not_sent_again():
-    # Guards against a call refused by the host that the module goes on placing.
+async def test_does_not_retry_a_call_whose_client_sends_too_much():
+    # Otherwise the decisions go on to place a call that the node has refused.
     async with World(servers=2) as world:
         client = await world.call()
         _, server, _ = await world.leg()
@@ -373,8 +379,8 @@
 
 
 @played
-async def test_an_id_that_was_taken_is_refused_and_no_server_hears_of_it(monkeypatch):
-    # Guards against a bad client with another's id: three servers answered ERR and counted as failing.
+async def test_rejects_an_id_in_use_without_asking_a_server(monkeypatch):
+    # Fault seen: a client used another's id; three servers answered ERR and counted as failing.
     async with World(servers=3) as world:
         client, server = await world.standing()
         for _ in range(3):
@@ -392,8 +398,8 @@
 
 
 @played
-async def test_connections_from_before_the_start_come_before_the_run():
-    # For 70 s, by the pages; an ordinary request that came first proves nothing (tests/test_resumed.py).
+async def test_rejects_resumed_connections_after_the_startup_window():
+    # They are admitted for 70 s; an ordinary request before them changes nothing (tests/test_resumed.py).
     async with World(servers=1) as world:
         await world.standing()
         world.node.resumed.window.started -= resumption.ALL_READY_SECONDS + resumption.RESUME_TIMEOUT_SECONDS
@@ -402,28 +408,28 @@
 
 
 @played
-async def test_whoever_sends_no_whole_first_line_is_let_go_in_time(monkeypatch):
-    # Guards against an end that is owed and not given, against questions that keep a connection, and against
-    # an end without an answer for whose line is whole in that instant.
+async def test_closes_connections_without_a_whole_first_line_in_time(monkeypatch):
+    # Otherwise a connection stays open without a request, or by means of PING, or it is closed without an
+    # answer just as its line becomes complete.
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.2)
     async with World() as world:
-        await serves(world)
-        begun = world.node.loop.time()
-        for words in (b"", b"OPEN 1 2 c=", b"PING\r\n", b"PING\r\nOPEN"):
+        await begin_run(world)
+        started_at = world.node.loop.time()
+        for data in (b"", b"OPEN 1 2 c=", b"PING\r\n", b"PING\r\nOPEN"):
             client = await world.dial()
-            client.writer.write(words)
-            # After PING too: a request may cross the end, and one that is read and not answered is lost.
-            told = b"PONG\r\n" * words.startswith(b"P") + b"BUSY 1500\r\n"
-            assert await client.reader.read() == told
-        assert world.node.loop.time() - begun < 1.5
+            client.writer.write(data)
+            # Also after PING: a request may be under way, and one that is read and not answered is lost.
+            expected = b"PONG\r\n" * data.startswith(b"P") + b"BUSY 1500\r\n"
+            assert await client.reader.read() == expected
+        assert world.node.loop.time() - started_at < 1.5
         client = await world.dial()
         client.writer.write(b"PING\r\n" * 1000)
         assert (await client.reader.read()).count(b"\r\n") == limits.MAX_PINGS + 1
 
 
 @played
-async def test_what_comes_after_the_answer_is_not_read_to_its_end():
-    # Guards against 60 MB that are read and dropped, which costs a core what it should serve with.
+async def test_stops_reading_from_a_client_that_sends_on_after_its_answer():
+    # Fault seen: 60 MB were read and discarded, which used up the processor time of other clients.
     async with World() as world:
         client = await world.dial()
         client.writer.write(b"x" * 20_000_000)
@@ -431,7 +437,7 @@
 
 
 @played
-async def test_those_that_say_nothing_go_before_a_call_is_told_busy(monkeypatch):
+async def test_evicts_silent_connections_before_it_rejects_a_call(monkeypatch):
     monkeypatch.setattr(limits, "SILENT_GRACE_SECONDS", 0.05)
     async with World() as world:
         silent = [await world.dial() for _ in range(30)]
@@ -445,8 +451,8 @@
 
 
 @played
-async def test_an_endless_line_of_a_server_moves_its_client():
-    # Guards against a client left open with its server gone.
+async def test_moves_the_client_of_a_server_that_sends_an_endless_line():
+    # Otherwise the client stays open although its server is gone.
     async with World() as world:
         client, server = await world.standing()
         server.writer.write(b"x" * 5000)
@@ -454,7 +460,7 @@
 
 
 @played
-async def test_the_front_is_answered_and_a_client_that_leaves_is_forgotten():
+async def test_answers_pings_and_forgets_a_client_that_closes():
     async with World() as world:
         front = await world.dial()
         front.say("PING")
@@ -471,10 +477,10 @@
 
 
 @played
-async def test_connections_from_before_the_start_are_taken_up_where_they_were():
+async def test_resumes_connections_at_their_own_server():
     async with World(servers=3) as world:
         unknown = await world.call("c=chat,t=acme,d=300,at=s-9")
-        assert await unknown.line() == "ERR"  # not elsewhere: no other server has it
+        assert await unknown.line() == "ERR"  # not sent elsewhere: no other server has the connection
         client = await world.call("c=chat,t=acme,d=4294967,at=s-2")
         number, server, line = await world.leg()
         assert number == 2 and line.endswith("at=s-2")
@@ -486,21 +492,21 @@
 
 
 @played
-async def test_short_of_descriptors_it_says_busy_before_accepting_fails():
+async def test_short_of_descriptors_rejects_before_accepting_fails():
     async with World(sockets=60) as world:
         world.node.limits.descriptors = 60 - world.node.limits.reserve - 4
         clients = [await world.call() for _ in range(12)]
-        answered = [client for client in clients if await settled(client) == "BUSY 1500"]
-        assert 7 <= len(answered) <= 11
-        for client in answered:
+        rejected = [client for client in clients if await answer_or_wait(client) == "BUSY 1500"]
+        assert 7 <= len(rejected) <= 11
+        for client in rejected:
             client.end("fin")
-        await world.until(lambda: len(world.node.clients) == 12 - len(answered))
+        await world.until(lambda: len(world.node.clients) == 12 - len(rejected))
         front = await world.dial()
         front.say("PING")
         assert await front.line() == "PONG"
 
 
-async def settled(client):
+async def answer_or_wait(client):
     try:
         return await asyncio.wait_for(client.reader.readline(), 0.2) and "BUSY 1500"
     except TimeoutError:
@@ -508,14 +514,14 @@
 
 
 @played
-async def test_what_nobody_reads_is_bounded():
+async def test_bounds_what_it_buffers_for_a_client_that_does_not_read():
     async with World() as world:
         client, server = await world.standing()
         client.writer.transport.pause_reading()
-        link = next(iter(world.node.clients))
+        connection = next(iter(world.node.clients))
         server.writer.write((b"x" * 1000 + b"\r\n") * 20000)
-        await world.until(lambda: link.blocked and link.paired.paused)
-        assert link.transport.get_write_buffer_size() < 40000
+        await world.until(lambda: connection.blocked and connection.paired.paused)
+        assert connection.transport.get_write_buffer_size() < 40000
         client.writer.transport.resume_reading()
         for _ in range(20000):
             assert len(await client.line()) == 1000
@@ -523,15 +529,18 @@
 
 @pytest.mark.parametrize("side", [0, 1])
 @played
-async def test_a_side_that_takes_nothing_does_not_keep_up_what_the_other_has_ended(side):
+async def test_a_side_that_reads_nothing_does_not_keep_a_closed_pair_open(side):
     async with World() as world:
         pair = await world.standing()
         pair[side].writer.transport.pause_reading()
         pair[side].writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client = next(iter(world.node.clients))
-        for link in (client, client.paired):  # full before the side counts as silent
-            link.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        while not (client.blocked or client.paired.blocked):  # and no ring full, which would hide the end
+        for connection in (client, client.paired):  # small buffers, full before the server counts as silent
+            connection.transport.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_SNDBUF, 4096
+            )
+        # Stops as soon as one side is blocked: a full ring would hide the end.
+        while not (client.blocked or client.paired.blocked):
             pair[1 - side].writer.write((b"x" * 1000 + b"\r\n") * 3)
             await asyncio.sleep(0.001)
         pair[1 - side].end("rst")
@@ -539,7 +548,7 @@
 
 
 @played
-async def test_asked_to_end_it_moves_what_stands_and_goes():
+async def test_shutdown_moves_established_connections_and_ends():
     async with World() as world:
         pairs = [await world.standing() for _ in range(4)]
         waiting = await world.call()
@@ -548,11 +557,12 @@
         late = await world.call()
         assert await late.line() == "BUSY"
         server.say("UP 9")
-        begun = world.node.loop.time()
+        started_at = world.node.loop.time()
         assert [await waiting.line(), await waiting.line()] == ["UP 9", "MOVE"]
         for index, (client, server) in enumerate(pairs):
             assert await client.reader.read(6) == b"MOVE\r\n"
-            assert world.node.loop.time() - begun > 0.4 + 0.2 * index  # spread, none to be dealt here again
+            # Moved at spread times, so that none is sent to this process again.
+            assert world.node.loop.time() - started_at > 0.4 + 0.2 * index
             assert [await client.line(), await server.line()] == ["fin", "fin"]
             client.end("fin")
         waiting.end("fin")
@@ -565,7 +575,7 @@
 
 
 @played
-async def test_the_watch_brings_changes_and_is_renewed_when_it_fails(monkeypatch):
+async def test_watch_brings_changes_and_is_renewed_when_it_fails(monkeypatch):
     monkeypatch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.05)
     monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.05)
     monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.4)
@@ -582,10 +592,10 @@
         watch.writer.write(HEAD + chunk("\n") + chunk(json.dumps(change) + "\n"))
         one, other = world.node.servers.values()
         await world.until(lambda: one.state == model.DRAINING)
-        unanswered, target = await world.question()  # the one before fell silent
+        unanswered, target = await world.question()  # the previous watch fell silent
         assert target.endswith("after=43") and other.state == model.READY
         assert world.node.counters["list_failures"] == 1
-        watch, _ = await world.question()  # and so did this one, which had not begun
+        watch, _ = await world.question()  # and so did this one, before its response began
         assert world.node.counters["list_failures"] == 2
         whole = {"generation": 50, "reset": True, "instances": [world.entries[0]]}
         watch.writer.write(HEAD + chunk(json.dumps(whole) + "\n"))
@@ -603,8 +613,9 @@
 
 
 @played
-async def test_on_sighup_the_list_comes_from_the_new_address_and_a_bad_file_changes_nothing(tmp_path, caplog):
-    # Guards against ending on SIGHUP, versions that start lower, and the old watch's end taken for a failure.
+async def test_sighup_switches_to_the_new_discovery_address_and_ignores_a_bad_file(tmp_path, caplog):
+    # Otherwise SIGHUP ends the process, lower versions are ignored, or the end of the old watch counts as a
+    # failure.
     async with World(servers=2) as world:
         old, _ = await world.question()
         whole = {"generation": 90, "reset": True, "instances": world.entries}
@@ -613,8 +624,8 @@
         client, server = await world.standing()
         file = tmp_path / "config.json"
         world.node.config.path = str(file)
-        asked = asyncio.Queue()
-        second = await asyncio.start_server(lambda *both: asked.put_nowait(Peer(*both)), "127.0.0.1")
+        requests = asyncio.Queue()
+        second = await asyncio.start_server(lambda *both: requests.put_nowait(Peer(*both)), "127.0.0.1")
         world.listeners.append(second)
         text = json.dumps(world.raw | {"discovery": "{}:{}".format(*second.sockets[0].getsockname())})
         caplog.set_level("INFO", logger="bellrack")
@@ -623,20 +634,20 @@
                 file.write_text(bad)
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0.03)
-        told = [record.figures["taken"] for record in caplog.records if record.msg == "reload"]
-        assert told == ["nothing"] * 4 and asked.empty() and world.node.server_list.version == 90
+        taken = [record.figures["taken"] for record in caplog.records if record.msg == "reload"]
+        assert taken == ["nothing"] * 4 and requests.empty() and world.node.server_list.version == 90
         file.write_text(text)
         for _ in range(2):
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0.03)
-        new = await asyncio.wait_for(asked.get(), 2)
-        assert (await new.line()).split()[1] == "/v1/endpoints?watch=1&after=0" and asked.empty()
+        new = await asyncio.wait_for(requests.get(), 2)
+        assert (await new.line()).split()[1] == "/v1/endpoints?watch=1&after=0" and requests.empty()
         gone = {
             "generation": 91,
             "reset": False,
             "instances": [world.entry(0, world.entries[0]["hostPort"], "terminating")],
         }
-        old.writer.write(chunk(json.dumps(gone) + "\n"))  # the old one still tells what it has to
+        old.writer.write(chunk(json.dumps(gone) + "\n"))  # the old watch still brings its changes
         one, other = world.node.servers.values()
         await world.until(lambda: one.state == model.DRAINING)
         assert world.node.server_list.version == 0
@@ -653,7 +664,7 @@
 
 
 @played
-async def test_a_server_that_is_gone_is_forgotten_once_it_holds_nothing(monkeypatch):
+async def test_forgets_a_server_that_is_gone_once_it_has_no_connections(monkeypatch):
     monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.02)
     monkeypatch.setattr(server_watch, "FORGET_AFTER_SECONDS", 0.1)
     async with World(servers=2) as world:
@@ -675,7 +686,7 @@
 
 
 @played
-async def test_where_changes_come_unasked_the_host_holds_the_watch(monkeypatch):
+async def test_with_pushed_lists_the_node_keeps_a_watch_open(monkeypatch):
     monkeypatch.setattr(discovery, "WATCH_RETRY_GRACE_SHARE", 0.05)
     async with World(**LIVE) as world:
         (await world.question())[0].end("rst")
@@ -683,11 +694,11 @@
 
 
 @played
-async def test_probes_and_datagrams():
+async def test_sends_probes_and_datagrams():
     async with World() as world:
-        found, heard = [], []
-        world.node.balancer.on_probe_result = lambda server, result: found.append(result.kind)
-        world.node.balancer.on_datagram = lambda peer, data: heard.append((peer, data))
+        results, received = [], []
+        world.node.balancer.on_probe_result = lambda server, result: results.append(result.kind)
+        world.node.balancer.on_datagram = lambda peer, data: received.append((peer, data))
         server = next(iter(world.node.servers.values()))
         for answer in ("PONG", "NO", ""):
             world.node.probe(server)
@@ -696,24 +707,24 @@
             assert line == "PING"
             peer.writer.write(answer.encode() + b"\r\n" if answer else b"")
             assert await peer.line() == "fin"
-        assert found == [model.COMPLETED, model.ERROR, model.TIMEOUT]
+        assert results == [model.COMPLETED, model.ERROR, model.TIMEOUT]
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
             free.bind(("127.0.0.1", 0))
-            place = free.getsockname()
-        world.node.config.peer_listen, world.node.config.peers = place, [place]
-        world.node.config.peers_all = place
+            address = free.getsockname()
+        world.node.config.peer_listen, world.node.config.peers = address, [address]
+        world.node.config.peers_all = address
         world.node.peers = await PeerSocket.open(world.node)
         world.node.send_datagram(0, b"one")
         world.node.send_datagram(None, b"x" * 257)
         world.node.send_datagram(None, b"all")
         world.node.queue(int)
-        await world.until(lambda: len(heard) == 2)
-        assert heard == [(0, b"one"), (0, b"all")]
+        await world.until(lambda: len(received) == 2)
+        assert received == [(0, b"one"), (0, b"all")]
         world.node.peers.transport.close()
 
 
 @played
-async def test_a_fault_in_one_turn_ends_neither_the_program_nor_other_connections(capsys):
+async def test_an_exception_in_a_turn_ends_neither_the_process_nor_other_connections(capsys):
     async with World() as world:
         client, server = await world.standing()
         world.node.queue(lambda: 1 // 0)
@@ -735,25 +746,25 @@
         (configured(caps={}), "'maxLegs'"),
     ],
 )
-def test_an_unusable_configuration_is_one_plain_line(tmp_path, capsys, monkeypatch, text, told):
+def test_reports_an_unusable_configuration_on_one_line(tmp_path, capsys, monkeypatch, text, told):
     assert told in refused(tmp_path, capsys, monkeypatch, text)
 
 
 @played
-async def test_a_slow_writer_keeps_its_place_in_a_crowd_that_finishes_nothing(monkeypatch):
-    # Guards against true clients, 2 s at their line, that are let go as the oldest of a crowd.
+async def test_keeps_a_slow_writer_among_many_connections_that_never_finish(monkeypatch):
+    # Fault seen: clients that need 2 s for their line were evicted as the oldest of many.
     monkeypatch.setattr(limits, "SILENT_GRACE_SECONDS", 0.0)
     async with World(sockets=120) as world:
-        room = world.node.limits
-        room.descriptors = 20  # as in a process of its own: what tests before this left open counts not
+        node_limits = world.node.limits
+        node_limits.descriptors = 20  # as in a process of its own, without what earlier tests left open
         slow = await world.dial()
         slow.writer.write(b"OPEN 00000000000000")
-        await world.until(lambda: room.partial_lines)
-        crowd = []
+        await world.until(lambda: node_limits.partial_lines)
+        others = []
         for number in range(200):
-            crowd.append(await world.dial())
+            others.append(await world.dial())
             if number % 2:
-                crowd[-1].say("PING")
+                others[-1].say("PING")
             if number % 20 == 19:
                 slow.writer.write(b"")
                 await asyncio.sleep(0.002)
@@ -762,25 +773,25 @@
         _, server, _ = await world.leg()
         server.say("UP 1")
         assert await slow.line() == "UP 1"
-        for peer in crowd:
+        for peer in others:
             peer.end("rst")
 
 
-def test_who_writes_no_more_goes_before_who_still_writes():
-    room, gone = limits.Limits(100), []
+def test_evicts_connections_that_stopped_writing_before_those_that_still_write():
+    node_limits, evicted = limits.Limits(100), []
 
-    class Waiting:
+    class WaitingConnection:
         def evict(self):
-            gone.append(self)
-            room.untrack(self)
-            room.count_descriptors(-1)
-
-    room.descriptors = 78
-    silent, stopped, slow = Waiting(), Waiting(), Waiting()
-    room.evictable[silent] = 2.0
-    room.on_partial_line(slow, 1.0)
-    room.on_partial_line(stopped, 1.1)
-    room.on_partial_line(slow, 2.5)
-    room.make_room(3.0)
-    assert gone == [silent, stopped, slow]
-    assert limits.FIRST_LINE_SECONDS > 2.5  # true clients may take 2 s to write theirs, and come late
+            evicted.append(self)
+            node_limits.untrack(self)
+            node_limits.count_descriptors(-1)
+
+    node_limits.descriptors = 78
+    silent, stopped, slow = WaitingConnection(), WaitingConnection(), WaitingConnection()
+    node_limits.evictable[silent] = 2.0
+    node_limits.on_partial_line(slow, 1.0)
+    node_limits.on_partial_line(stopped, 1.1)
+    node_limits.on_partial_line(slow, 2.5)
+    node_limits.make_room(3.0)
+    assert evicted == [silent, stopped, slow]
+    assert limits.FIRST_LINE_SECONDS > 2.5  # clients may take 2 s to write their line, and connect late
