--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -19,7 +19,7 @@
 
 
 async def begin_run(world):
-    """Serves an ordinary request, which shows that the run has begun: silent connections are closed in time."""
+    """Serves an ordinary request. It shows that the run has begun: silent connections are closed in time."""
     client, server = await world.standing()
     client.end("fin")
     assert await server.line() == "fin"
