--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -1,7 +1,7 @@
-"""Mutants of resumed connections, played by hand: `python tests/play_mutants.py`. Takes some minutes.
+"""Mutation tests of resumed connections, run by hand: `python tests/play_mutants.py`. Takes some minutes.
 
-Each takes one part of the code out, or turns it round, in a copy of the program, and plays the tests there.
-Prints the tests that convict it. Exits with 1 if a mutant is convicted by none, or no longer applies.
+Each mutant removes or inverts one part of the code in a copy of the program, and the tests are run there.
+Prints the tests that detect it. Exits with 1 if a mutant is detected by no test, or no longer applies.
 """
 
 import re
@@ -15,20 +15,20 @@
 
 ROOT = Path(__file__).parent.parent
 TESTS = ("tests/test_resumption.py", "tests/test_resumed.py")
-AT_ONCE = 4  # copies that are played beside one another
+MAX_PARALLEL = 4  # copies that are tested at the same time
 
 
 @dataclass(frozen=True)
 class Mutant:
     name: str
     file: str  # below bellrack/
-    old: str  # stands there once
+    old: str  # occurs exactly once in the file
     new: str
 
 
 MUTANTS = [
     Mutant(
-        "window closes at one request",
+        "window closes at the first request",
         "net/resumption.py",
         "        return now <= self.closes_at\n",
         "        return now <= self.closes_at and not self.requested\n",
@@ -46,55 +46,55 @@
         "        return True\n",
     ),
     Mutant(
-        "time of the traffic type",
+        "deadline of the traffic type",
         "net/node.py",
         'self.resumed.admit(client, wait if "d" in values else None)',
         "self.resumed.admit(client, wait)",
     ),
     Mutant(
-        "silence ends before the run",
+        "silent connections are closed before the run",
         "net/clients.py",
         "if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):",
         "if False:",
     ),
     Mutant(
-        "silence lasts in service",
+        "silent connections are never closed",
         "net/clients.py",
         "if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):",
         "if self.call is None:",
     ),
     Mutant(
-        "no evidence of others",
+        "resumed connections do not show that others follow",
         "net/resumption.py",
         "return self.admits(now) and (pending > 0 or now - self.last_resumed < self.evidence_seconds)",
         "return False",
     ),
     Mutant(
-        "request before counts",
+        "an earlier request counts",
         "net/resumption.py",
         "self.last_resumed, self.requested, self.client_line_seen = now, False, False",
         "self.last_resumed = now",
     ),
     Mutant(
-        "BUSY at the line",
+        "rejects at the request line",
         "net/clients.py",
         'if "at" not in self.request_line.values and not self.node.limits.make_room(self.node.now):',
         "if not self.node.limits.make_room(self.node.now):",
     ),
     Mutant(
-        "BUSY before the line",
+        "rejects before the request line",
         "net/clients.py",
         "        if not expected and not self.node.resumed.expects_more():\n",
         "        if True:\n",
     ),
     Mutant(
-        "BUSY before the line, first of all",
+        "rejects the first resumed connection before its request line",
         "net/clients.py",
         "        if not expected and not self.node.resumed.expects_more():\n",
         "        if not self.node.resumed.expects_more():\n",
     ),
     Mutant(
-        "silent ones go at once",
+        "silent connections are evicted at once",
         "net/limits.py",
         "spared_for = RESUMED_GRACE_SECONDS if self.expects_resumed() else SILENT_GRACE_SECONDS",
         "spared_for = SILENT_GRACE_SECONDS",
@@ -112,19 +112,19 @@
         "",
     ),
     Mutant(
-        "EMFILE kills the task",
+        "EMFILE ends the task",
         "net/servers.py",
         "        sock = None\n        try:\n            sock = socket.socket(socket.AF_INET)",
         "        sock = socket.socket(socket.AF_INET)\n        try:\n            pass",
     ),
     Mutant(
-        "one attempt takes all",
+        "one attempt uses up the time",
         "net/resumption.py",
         "return Attempt(min(now + timeout, self.answer_by))",
         "return Attempt(self.answer_by)",
     ),
     Mutant(
-        "attempts do not grow",
+        "attempts do not get longer",
         "net/resumption.py",
         "self.timeouts += timed_out",
         "pass",
@@ -136,55 +136,55 @@
         "        self.state = State.CLOSED\n        self.may",
     ),
     Mutant(
-        "time-out of requests",
+        "connect timeout of ordinary requests",
         "net/servers.py",
         "wait = math.inf if resumed else node.names.connect_timeout",
         "wait = node.names.connect_timeout",
     ),
     Mutant(
-        "BYE is no answer",
+        "BYE is not an answer",
         "net/node.py",
         '            connection.client.finish("completed")\n',
         '            connection.resumed or connection.client.finish("completed")\n',
     ),
     Mutant(
-        "usable servers only",
+        "only usable servers",
         "net/servers.py",
         "elif not self.resumes and not server.usable:",
         "elif not server.usable:",
     ),
     Mutant(
-        "not answered at the end",
+        "not answered at shutdown",
         "net/shutdown.py",
         "        self.node.resumed.answer_all()\n",
         "",
     ),
     Mutant(
-        "always BUSY at the end",
+        "always BUSY at shutdown",
         "net/resumed.py",
         "if resumption.may_have_run or client.server_connection and client.server_connection.request_sent:",
         "if False:",
     ),
     Mutant(
-        "stays with the old process",
+        "not handed over",
         "net/handoff.py",
         "if client.call is None or client.paired or resumable:",
         "if client.call is None or client.paired:",
     ),
     Mutant(
-        "hot restart opens the window",
+        "a hot restart opens the window again",
         "net/hot_restart.py",
         'node.resumed.window.started = min(node.started_at, float(told.get("started", node.started_at)))',
         "pass",
     ),
     Mutant(
-        "does not listen unready",
+        "does not listen before it is ready",
         "net/startup.py",
         "listen_at = node.started_at + resumption.LISTEN_AFTER_SECONDS if alone else math.inf",
         "listen_at = math.inf",
     ),
     Mutant(
-        "takes requests unready",
+        "takes requests before it is ready",
         "net/startup.py",
         "    node.takes_requests = False\n",
         "",
@@ -196,49 +196,49 @@
         "return False",
     ),
     Mutant(
-        "by hand held back too",
+        "cordons are held back too",
         "net/resumed.py",
         "return held_back and not leg.server.cordoned",
         "return held_back",
     ),
     Mutant(
-        "held back for ever",
+        "moves are held back for ever",
         "accounting.py",
         "            leg.server.local_state.established_legs[leg] = None\n",
         "            pass\n",
     ),
     Mutant(
-        "all come back at once",
+        "no jitter",
         "net/resumption.py",
         "self._jitter = 1 + DELAY_JITTER_SHARE * (id_hash % 1024 / 1024 - 0.5)",
         "self._jitter = 1",
     ),
     Mutant(
-        "left ones are not forgotten",
+        "closed clients are not forgotten",
         "net/clients.py",
         "        self.node.resumed.discard(self)\n",
         "",
     ),
     Mutant(
-        "the process's own move waits",
+        "moves of the shutdown are held back",
         "net/node.py",
         'self.act(leg.call.host_record.move, "moved")\n\n',
         "self.move(leg.call)\n\n",
     ),
     Mutant(
-        "an ended id is refused",
+        "the id of an ended call is refused",
         "net/node.py",
         "request_line.id in self.limits.open_ids if resumes else self.limits.knows_id(request_line.id)",
         "self.limits.knows_id(request_line.id)",
     ),
     Mutant(
-        "a line does not end the holding",
+        "a client line does not end the holding back of moves",
         "net/resumption.py",
         "self._may_precede(self.requested or self.client_line_seen, now, pending)",
         "self._may_precede(self.requested, now, pending)",
     ),
     Mutant(
-        "a line ends the waiting for lines",
+        "a client line ends the wait for silent connections",
         "net/resumption.py",
         "return self._may_precede(self.requested, now, pending)",
         "return self._may_precede(self.requested or self.client_line_seen, now, pending)",
@@ -246,8 +246,8 @@
 ]
 
 
-def play(mutant):
-    """The tests that fail with it; None if it does not apply."""
+def run_tests(mutant):
+    """Returns the tests that fail with a mutant; None if it does not apply."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder)
         for part in ("bellrack", "tests", "examples", "deploy"):
@@ -259,20 +259,20 @@
             return None
         file.write_text(text.replace(mutant.old, mutant.new))
         command = [sys.executable, "-m", "pytest", "-q", "--tb=line", "-p", "no:cacheprovider", *TESTS]
-        shown = subprocess.run(command, cwd=copy, capture_output=True, text=True)
-        failed = re.findall(r"^FAILED tests/(\S+)", shown.stdout, re.MULTILINE)
-        return failed or (["the run itself"] if shown.returncode else [])
+        result = subprocess.run(command, cwd=copy, capture_output=True, text=True)
+        failed = re.findall(r"^FAILED tests/(\S+)", result.stdout, re.MULTILINE)
+        return failed or (["the run itself"] if result.returncode else [])
 
 
 def main():
-    green = 0
-    with ThreadPoolExecutor(AT_ONCE) as pool:
-        for mutant, failed in zip(MUTANTS, pool.map(play, MUTANTS)):
-            green += not failed
-            said = "does not apply" if failed is None else f"{len(failed)} red: {' '.join(failed[:2])}"
-            print(f"{mutant.name}: {said}", flush=True)
-    print(f"{len(MUTANTS)} mutants, {green} of them convicted by none")
-    return green > 0
+    undetected = 0
+    with ThreadPoolExecutor(MAX_PARALLEL) as pool:
+        for mutant, failed in zip(MUTANTS, pool.map(run_tests, MUTANTS)):
+            undetected += not failed
+            outcome = "does not apply" if failed is None else f"{len(failed)} failed: {' '.join(failed[:2])}"
+            print(f"{mutant.name}: {outcome}", flush=True)
+    print(f"{len(MUTANTS)} mutants, {undetected} of them not detected")
+    return undetected > 0
 
 
 if __name__ == "__main__":
--- a/tests/play_resumed.py
+++ b/tests/play_resumed.py
@@ -1,20 +1,21 @@
-"""Resumed connections played by hand, for the figures in `docs/`.
+"""Plays resumed connections, for the figures in `docs/`; run by hand.
 
 Usage:
   play_resumed.py late [--processes=N] [--standing=N] [--seconds=S]
   play_resumed.py moves
   play_resumed.py start
 
-`late`: all come at once, a fifth of them write their line up to S seconds after connecting.
-`moves`: 300 at three balancers and servers of two zones, then 20 s with no request; who is still up?
-`start`: a start in the pages' own times, 70 s. Eight balancers have a list, one has none for 35 s. Clients
-come after 30 s, when DEPLOY.md lets them come at the latest, and write up to 38 s later; one server is silent
-until 60 s. Exits with 1 if one is not up.
+`late`: all connect at once; a fifth of them write their line up to S seconds after connecting.
+`moves`: 300 at three balancers and servers of two zones, then 20 s without a request; counts who is still
+established.
+`start`: a start of 70 s, with the times of DEPLOY.md. Eight balancers have a list, one has none for 35 s.
+Clients connect after 30 s, the latest time that DEPLOY.md allows, and write up to 38 s later; one server is
+silent until 60 s. Exits with 1 if a connection is not established.
 
 Options:
-  --processes=N  Balancers [default: 16].
-  --standing=N   Resumed connections of each [default: 150].
-  --seconds=S    The latest line [default: 3.5].
+  --processes=N  Number of balancers [default: 16].
+  --standing=N   Resumed connections per balancer [default: 150].
+  --seconds=S    Time of the latest line [default: 3.5].
 """
 
 import sys
@@ -34,17 +35,19 @@
     running,
 )
 
-START = 8, 150  # balancers with a list, resumed connections of each
+START_SIZES = 8, 150  # balancers with a list, resumed connections of each
 CLIENTS_COME, LIST_COMES, SERVER_ANSWERS, LAST_LINE = 30.0, 35.0, 60.0, 38.0  # seconds after the start
-UNASKED = 20.0  # seconds with no request
+IDLE_SECONDS = 20.0  # without a request
 
 
-def wait_until(begun, after):
-    time.sleep(max(0.0, begun + after - time.monotonic()))
+def wait_until(started_at, after):
+    time.sleep(max(0.0, started_at + after - time.monotonic()))
 
 
 def clients_of(number, address, names, standing, late, within=40.0):
-    """Clients of one balancer; `late`: seconds after connecting of a line, by its index."""
+    """Returns resumed clients of one balancer.
+
+    `late` returns, by a client's index, how many seconds after connecting its line is written."""
     clients = []
     for index in range(standing):
         id, server = 10_000 * (number + 1) + index, names[index % len(names)]
@@ -52,13 +55,13 @@
     return Clients(clients, within)
 
 
-def report(groups, begun):
+def report(groups, started_at):
     answers = Counter(
         "up" if client.up else " ".join(line.split()[0] for line in client.answers) or "nothing"
         for group in groups
         for client in group.clients
     )
-    print(f"{time.monotonic() - begun:.1f} s after the start: {dict(answers)}")
+    print(f"{time.monotonic() - started_at:.1f} s after the start: {dict(answers)}")
     return set(answers) != {"up"}
 
 
@@ -68,7 +71,7 @@
 
 
 def late(servers, count, standing, seconds):
-    begun = time.monotonic()
+    started_at = time.monotonic()
     with running(processes(count, balancer_settings(servers, standing))) as balancers:
         addresses = [balancer.address() for balancer in balancers]
         groups = [
@@ -83,11 +86,11 @@
         ]
         for group in groups:
             group.settle()
-        return report(groups, begun)
+        return report(groups, started_at)
 
 
 def moves(servers):
-    begun = time.monotonic()
+    started_at = time.monotonic()
     with running(processes(3, balancer_settings(servers, 100))) as balancers:
         groups = [
             clients_of(number, balancer.address(), servers.names, 100, lambda index: 0.0)
@@ -95,20 +98,20 @@
         ]
         for group in groups:
             group.settle()
-        report(groups, begun)
-        end = time.monotonic() + UNASKED
+        report(groups, started_at)
+        end = time.monotonic() + IDLE_SECONDS
         while time.monotonic() < end:
             for group in groups:
                 group.read(0.1)
-        return report(groups, begun)
+        return report(groups, started_at)
 
 
 def start(servers):
     unlisted = StandInProcess(0, number=1)
     unlisted.command("discovery", answering=False)
     servers.command("mode", mode="late", servers=servers.names[:1])
-    count, standing = START
-    raw, begun = balancer_settings(servers, standing), time.monotonic()
+    count, standing = START_SIZES
+    raw, started_at = balancer_settings(servers, standing), time.monotonic()
     balancers = processes(count, raw)
     balancers += processes(1, raw | {"known": None, "discovery": unlisted.discovery})
     try:
@@ -117,7 +120,7 @@
             line = balancers[-1].log.wait_for("event=listening")
             host, port = line.partition(" address=")[2].split()[0].split(":")
             addresses.append((host, int(port)))
-            wait_until(begun, CLIENTS_COME)
+            wait_until(started_at, CLIENTS_COME)
             groups = [
                 clients_of(
                     number,
@@ -129,15 +132,15 @@
                 )
                 for number, address in enumerate(addresses)
             ]
-            wait_until(begun, LIST_COMES)
+            wait_until(started_at, LIST_COMES)
             unlisted.command("others", entries=servers.entries)
             unlisted.command("discovery", answering=True)
-            wait_until(begun, SERVER_ANSWERS)
+            wait_until(started_at, SERVER_ANSWERS)
             servers.command("mode", mode="answers")
             servers.command("release")
             for group in groups:
                 group.settle()
-            return report(groups, begun)
+            return report(groups, started_at)
     finally:
         unlisted.end()
 
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -31,7 +31,7 @@
 
 
 async def expect_established(world, client, at=None):
-    """Accepts the next attempt, which must be at the server that its line names, and expects UP at the client."""
+    """Accepts the next attempt, which must be at the server that its line names; expects UP at the client."""
     number, server, line = await world.leg()
     assert line.endswith(f"at=s-{number}") and at in (None, f"s-{number}")
     server.say(f"UP {number}")
--- a/tests/test_resumed_live.py
+++ b/tests/test_resumed_live.py
@@ -1,7 +1,7 @@
-"""Resumed connections of several real processes: all come up, each once, each at its own server.
+"""Resumed connections of several real processes: each is established once, at its own server.
 
-Clients are threads here; servers and discovery are a process of their own (`stand_ins.py`). Nothing measures
-time: the one bound is that of the pages, 40 s from the first connection.
+Clients run in this process; servers and discovery are a process of their own (`stand_ins.py`). The only time
+limit is that of the protocol, 40 s from the first connection.
 """
 
 import os
@@ -25,7 +25,8 @@
 )
 
 SERVERS = 6
-LATE = 3.5  # seconds that the slowest client takes for its line; longer than silence may last in service
+# Until the slowest client has written its line; longer than a client may be silent during the run.
+LATE_SECONDS = 3.5
 
 
 @pytest.fixture
@@ -36,13 +37,15 @@
 
 
 def tier(folder, stand_ins, count, standing, **changes):
-    """So many balancers, started at once."""
+    """Starts `count` balancers at once."""
     raw = balancer_settings(stand_ins, standing, **changes)
     return running([BalancerProcess(folder, f"n{number}", raw) for number in range(count)])
 
 
 def resumed(stand_ins, address, numbers, written_as=None):
-    """Clients that come back to one balancer; `written_as` makes the parts of a line and their times."""
+    """Returns resumed clients of one balancer.
+
+    `written_as` returns the parts of a client's line and when each is written."""
     clients = []
     for number in numbers:
         server = stand_ins.names[number % len(stand_ins.names)]
@@ -52,8 +55,8 @@
     return clients
 
 
-def come_back(stand_ins, addresses, standing=100, written_as=None):
-    """So many clients come back to each of these balancers."""
+def reconnect(stand_ins, addresses, standing=100, written_as=None):
+    """Connects `standing` resumed clients to each of these balancers."""
     return [
         Clients(resumed(stand_ins, address, range(first, first + standing), written_as))
         for first, address in zip(range(1000, 10_000, 1000), addresses)
@@ -68,23 +71,25 @@
     return Client(f"{number:016x}", None, address, [(0.0, ordinary_line(number))])
 
 
-def all_up(stand_ins, groups):
-    """All are up, each at its own server, which was asked for no other and holds each once."""
+def expect_all_established(stand_ins, groups):
+    """Expects all clients to be established, each once at its own server, and no attempt elsewhere."""
     for group in groups:
         group.settle()
     clients = [client for group in groups for client in group.clients]
     assert [(client.id, client.answers) for client in clients if not client.up] == []
     report = stand_ins.command("report")
-    assert [told["misplaced"] for told in report.values() if told["misplaced"]] == []
-    held = {(name, id) for name, told in report.items() for id, count in told["open"].items() if count == 1}
-    assert sum(len(told["open"]) for told in report.values()) == len(held) == len(clients)
+    assert [server["misplaced"] for server in report.values() if server["misplaced"]] == []
+    held = {
+        (name, id) for name, server in report.items() for id, count in server["open"].items() if count == 1
+    }
+    assert sum(len(server["open"]) for server in report.values()) == len(held) == len(clients)
     for group in groups:
         group.close()
 
 
-def in_many_ways(number, line):
-    """At once, late, in pieces, or behind a PING."""
-    late = LATE * (number % 7 + 1) / 7
+def written_in_many_ways(number, line):
+    """Writes the line at once, late, in pieces, or after PING."""
+    late = LATE_SECONDS * (number % 7 + 1) / 7
     return {
         0: [(late, line)],
         1: [(0.0, line[:9]), (late / 2, line[9:40]), (late, line[40:])],
@@ -92,88 +97,88 @@
     }.get(number % 10, [(0.0, line)])
 
 
-# The start, on cores that are busy.
+# A start on busy cores.
 
 
-def test_hundreds_come_up_at_processes_that_share_busy_cores(tmp_path, stand_ins):
+def test_establishes_hundreds_at_processes_on_busy_cores(tmp_path, stand_ins):
     cores, standing = len(os.sched_getaffinity(0)), 120
     count = cores + 4
     with burners(cores), tier(tmp_path, stand_ins, count, standing) as balancers:
         groups = []
         for index, balancer in enumerate(balancers):
             first, address = 10_000 * (index + 1), balancer.address()
-            clients = resumed(stand_ins, address, range(first, first + standing), in_many_ways)
+            clients = resumed(stand_ins, address, range(first, first + standing), written_in_many_ways)
             if index % 3 == 1:
-                clients.insert(0, ordinary(address, first + 9000))  # before all others
+                clients.insert(0, ordinary(address, first + 9000))  # before all resumed ones
             elif index % 3 == 2:
-                for place in range(0, standing, 20):  # among the others
-                    clients.insert(place, ordinary(address, first + 9000 + place))
+                for position in range(0, standing, 20):  # among them
+                    clients.insert(position, ordinary(address, first + 9000 + position))
             groups.append(Clients(clients))
-        all_up(stand_ins, groups)
+        expect_all_established(stand_ins, groups)
 
 
-def test_who_writes_late_comes_up_where_nobody_else_shows_that_the_run_has_not_begun(tmp_path, stand_ins):
+def test_establishes_late_writers_where_no_other_connection_was_resumed(tmp_path, stand_ins):
     with tier(tmp_path, stand_ins, 1, 10) as (balancer,):
         address = balancer.address()
-        all_up(
+        expect_all_established(
             stand_ins,
-            [Clients(resumed(stand_ins, address, range(1, 11), lambda number, line: [(LATE, line)]))],
+            [Clients(resumed(stand_ins, address, range(1, 11), lambda number, line: [(LATE_SECONDS, line)]))],
         )
 
 
-# Servers in trouble.
+# Servers that fail.
 
 
 @pytest.mark.parametrize("mode", ["resets-first", "silent-first", "drains"])
-def test_all_come_up_whose_servers_are_in_trouble_at_first(tmp_path, stand_ins, mode):
+def test_establishes_all_although_servers_fail_at_first(tmp_path, stand_ins, mode):
     stand_ins.command("mode", mode=mode, servers=stand_ins.names[:3])
     if mode == "drains":
         stand_ins.command("list", state="terminating", servers=stand_ins.names[:3])
     with tier(tmp_path, stand_ins, 3, 100) as balancers:
-        groups = come_back(stand_ins, addresses_of(balancers))
-        all_up(stand_ins, groups)
+        groups = reconnect(stand_ins, addresses_of(balancers))
+        expect_all_established(stand_ins, groups)
 
 
-def test_all_come_up_where_all_servers_and_discovery_stand_still_for_a_while(tmp_path, stand_ins):
+def test_establishes_all_although_servers_and_discovery_are_paused(tmp_path, stand_ins):
     with tier(tmp_path, stand_ins, 3, 100) as balancers:
         addresses = addresses_of(balancers)
         stand_ins.pause()
-        groups = come_back(stand_ins, addresses)
+        groups = reconnect(stand_ins, addresses)
         for balancer in balancers:
             wait_for_count(balancer, "calls", 100)
-            balancer.log.wait_for("side=server reason=timeout", 100)  # each was given up once
+            balancer.log.wait_for("side=server reason=timeout", 100)  # each attempt timed out once
         stand_ins.resume()
-        all_up(stand_ins, groups)
+        expect_all_established(stand_ins, groups)
 
 
 def wait_for_count(balancer, name, count):
     end = time.monotonic() + DEADLINE
     while (counted := balancer.counters().get(name, 0)) < count:
-        assert time.monotonic() < end, f"{name} never came to {count}, but to {counted}"
+        assert time.monotonic() < end, f"{name} is {counted}, expected {count}"
 
 
-def test_all_come_up_whose_servers_are_not_yet_in_the_list(tmp_path, stand_ins):
-    later = StandInProcess(SERVERS, number=1)  # its servers are listed by the first one's discovery
+def test_establishes_all_although_servers_are_listed_late(tmp_path, stand_ins):
+    later = StandInProcess(SERVERS, number=1)  # its servers are listed by the discovery of `stand_ins`
     try:
         with tier(tmp_path, stand_ins, 3, 100) as balancers:
-            groups = come_back(later, addresses_of(balancers))
+            groups = reconnect(later, addresses_of(balancers))
             for balancer in balancers:
                 wait_for_count(balancer, "calls", 100)
             stand_ins.command("others", entries=later.entries)
-            all_up(later, groups)
+            expect_all_established(later, groups)
     finally:
         later.end()
 
 
-def test_all_come_up_beside_a_list_of_thousands_of_servers(tmp_path, stand_ins):
-    # The lines lie in the kernel while the process takes the list in.
+def test_establishes_all_beside_a_list_of_thousands_of_servers(tmp_path, stand_ins):
+    # The request lines wait in the kernel while the process handles the list.
     entry = stand_ins.entries[0] | {"hostPort": "127.0.0.1:1"}
     others = [entry | {"instanceId": f"other-{number}"} for number in range(5000)]
     stand_ins.command("others", entries=others)
     with tier(tmp_path, stand_ins, 3, 200) as balancers:
-        groups = come_back(stand_ins, addresses_of(balancers), 200)
+        groups = reconnect(stand_ins, addresses_of(balancers), 200)
         stand_ins.command("others", entries=others[1:])
-        all_up(stand_ins, groups)
+        expect_all_established(stand_ins, groups)
 
 
 # Descriptors.
@@ -186,19 +191,19 @@
         idle = [Clients([Client("", None, address, []) for _ in range(limit)]) for address in addresses]
         for balancer in balancers:
             balancer.log.wait_for("event=serving")
-        groups = come_back(stand_ins, addresses, standing, in_many_ways)
-        all_up(stand_ins, groups)
+        groups = reconnect(stand_ins, addresses, standing, written_in_many_ways)
+        expect_all_established(stand_ins, groups)
         for group in idle:
             group.close()
 
 
-# Signals in the middle of it.
+# Signals while connections are being resumed.
 
 
-def test_all_come_up_with_a_new_configuration_on_the_way(tmp_path, stand_ins):
+def test_establishes_all_across_a_reload(tmp_path, stand_ins):
     stand_ins.command("mode", mode="late")
     with tier(tmp_path, stand_ins, 3, 100) as balancers:
-        groups = come_back(stand_ins, addresses_of(balancers))
+        groups = reconnect(stand_ins, addresses_of(balancers))
         for balancer in balancers:
             wait_for_count(balancer, "calls", 100)
             balancer.raw["limits"] = {"sockets": 2000}
@@ -207,10 +212,10 @@
             assert "taken=nothing" not in balancer.log.wait_for("event=reload")
         stand_ins.command("mode", mode="answers")
         stand_ins.command("release")
-        all_up(stand_ins, groups)
+        expect_all_established(stand_ins, groups)
 
 
-def test_all_come_up_with_a_hot_restart_on_the_way(tmp_path, stand_ins):
+def test_establishes_all_across_a_hot_restart(tmp_path, stand_ins):
     stand_ins.command("mode", mode="late")
     processes, sockets = [], []
     try:
@@ -223,17 +228,17 @@
                 for which, control in zip(("old", "new"), controls)
             )
             processes.append((old.start(), new))
-        groups = come_back(stand_ins, addresses_of(old for old, _ in processes))
+        groups = reconnect(stand_ins, addresses_of(old for old, _ in processes))
         for old, new in processes:
             wait_for_count(old, "calls", 100)
             new.start().address()
             old.log.wait_for("event=followed")
             old.send_signal(signal.SIGTERM)
-        # None is up yet when the processes go that admitted them.
+        # None is established yet when the processes that admitted them end.
         assert [old.process.wait(DEADLINE) for old, _ in processes] == [0, 0, 0]
         stand_ins.command("mode", mode="answers")
         stand_ins.command("release")
-        all_up(stand_ins, groups)
+        expect_all_established(stand_ins, groups)
         assert [new.counters()["stood"] for _, new in processes] == [100, 100, 100]
     finally:
         for pair in processes:
@@ -244,10 +249,10 @@
             sock.close()
 
 
-def test_asked_to_end_each_that_is_not_up_has_one_answer(tmp_path, stand_ins):
+def test_shutdown_gives_each_pending_connection_one_answer(tmp_path, stand_ins):
     stand_ins.command("mode", mode="late")
     with tier(tmp_path, stand_ins, 2, 100) as balancers:
-        groups = come_back(stand_ins, addresses_of(balancers))
+        groups = reconnect(stand_ins, addresses_of(balancers))
         for balancer in balancers:
             wait_for_count(balancer, "calls", 100)
             balancer.send_signal(signal.SIGTERM)
