--- a/bellrack/net/lines.py
+++ b/bellrack/net/lines.py
@@ -230,6 +230,7 @@
 
 
 def format_address(address: tuple[str, int]) -> str:
+    """Formats an address as HOST:PORT."""
     return f"{address[0]}:{address[1]}"
 
 
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -81,42 +81,53 @@
     # The `Host` of the decisions. Orders are carried out once the decisions have had all events of the turn.
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
+        """Begins an attempt of a call at a server, which must answer before `until`."""
         leg, server.last_attempted, server.needs_attempt = self.begin_leg(call, server), self.now, False
         self.act(self.connect, leg, until)
         return leg
 
     def cancel(self, leg: Leg) -> None:
+        """Ends a leg that is not established."""
         self.act(self.cancel_leg, leg)
 
     def reject(self, call: Call, wait: float = 0.0) -> None:
+        """Answers BUSY; `wait`: seconds after which the client should retry, 0 to name none."""
         self.answer(call, lines.busy_line(min(wait, self.settings.max_open_wait)), "rejected")
 
     def release(self, call: Call) -> None:
+        """Answers ERR, which invites no retry: the request may have run."""
         self.answer(call, b"ERR\r\n", "released")
 
     def move(self, call: Call) -> None:
+        """Moves the client of an established connection, unless the run may not have begun yet."""
         if self.resumed.holds_back_move(call.legs[-1]):
             self.act(self.may_move_later, call.legs[-1])
         else:
             self.act(call.host_record.move, "moved")
 
     def watch(self, on: bool = True) -> None:
+        """Keeps a watch on the list of servers open, or closes it."""
         self.act(self.discovery.watch, on)
 
     def fetch_list(self) -> None:
+        """Asks discovery for the whole list once."""
         self.act(self.discovery.fetch)
 
     def probe(self, server: Server) -> None:
+        """Probes a server; the result goes to `on_probe_result`."""
         self.act(self.start_probe, server)
 
     def send_datagram(self, peer: int | None, data: bytes) -> None:
+        """Sends a datagram to a peer, or to all if None; one that is too long is dropped."""
         if self.peers and len(data) <= MAX_DATAGRAM_BYTES:
             self.act(self.peers.send, peer, data)
 
     def set_timer(self, when: float, token: Any) -> None:
+        """Calls `on_timer(token)` of the decisions at the time `when`."""
         self.at(when, self.on_timer, token)
 
     def log(self, text: str) -> None:
+        """Logs a change of mode of the decisions."""
         log.event("mode", text=text)
 
     def on_timer(self, token: Any) -> None:
--- a/bellrack/net/resumption.py
+++ b/bellrack/net/resumption.py
@@ -140,6 +140,7 @@
 
     @property
     def pending(self) -> bool:
+        """Whether it is neither established nor closed."""
         return self.state in (State.WAITING, State.ATTEMPTING)
 
     def next_action(self, now: float, server_known: bool, descriptors_free: bool) -> Action | None:
@@ -172,7 +173,9 @@
         self.timeouts += timed_out
 
     def on_established(self) -> None:
+        """The server has accepted the attempt."""
         self.state = State.UP
 
     def on_closed(self) -> None:
+        """No answer is owed to the client any more."""
         self.state = State.CLOSED
--- a/bellrack/net/servers.py
+++ b/bellrack/net/servers.py
@@ -154,6 +154,7 @@
 
     @property
     def endpoint(self) -> Endpoint:
+        """The record of the leg's server."""
         return self.leg.server.host_record
 
     def log_fields(self) -> dict[str, Any]:
@@ -213,6 +214,7 @@
 
     @property
     def request_id(self) -> str:
+        """The id on the client's request line."""
         return self.client.request_line.id
 
     def client_is_answered(self) -> bool:
