--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -123,9 +123,7 @@
         self.count_descriptor(True)
         self.on_connected()
 
-    def on_connected(self) -> None:
-        """Called once the connection has its transport."""
-        ...
+    def on_connected(self) -> None: ...  # called once the connection has its transport
 
     def count_descriptor(self, on: bool) -> None:
         """Counts this connection's descriptor, or counts it no longer."""
