--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -145,7 +145,7 @@
         elif node.listeners.listener is None:
             # Who came in after it ended waits in the listener for us: as haste as at a start without it.
             node.readiness.serve_known_list = node.settings.asks
-            node.changed.set()
+            node.readiness_changed.set()
 
     def close(self) -> None:
         for way in (self.sibling, self.handoff_receiver):
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -52,7 +52,7 @@
         self.takes_requests = True  # False while it listens before it is ready
         # Where discovery pushes lists (`asks` is off), the list that it has counts as known to this process
         # from the start, so an older one is not used at once.
-        self.readiness, self.changed = (
+        self.readiness, self.readiness_changed = (
             Readiness(self.started_at, KNOWN_LIST_WAIT, config.settings.asks),
             asyncio.Event(),
         )
@@ -326,7 +326,7 @@
     def begin_shutdown(self) -> None:
         """Begins to shut down: moves connections, spread over the time limit, and ends once none is left."""
         self.shutdown = self.shutdown or Shutdown(self)
-        self.changed.set()
+        self.readiness_changed.set()
 
 
 def run(config: Config) -> None:
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -56,7 +56,7 @@
             self.merge(news)
         self.node.hot_restart.publish_news(news, counts)
         self.node.readiness.on_list(news.whole or bool(self.node.servers))
-        self.node.changed.set()
+        self.node.readiness_changed.set()
 
     def on_sibling_news(self, news: lines.Listing) -> None:
         """What the watch of our other process brought. Our own still brings all since our version."""
@@ -73,14 +73,14 @@
     def on_unchanged(self) -> None:
         """A watch stands and brings nothing new: what was listed holds."""
         self.node.readiness.on_list(bool(self.node.servers))
-        self.node.changed.set()
+        self.node.readiness_changed.set()
         self.node.balancer.on_servers_listed([])
 
     def on_failure(self, reached: bool) -> None:
         """Discovery failed; `reached`: it took the connection."""
         self.node.counters["list_failures"] += 1
         self.node.readiness.on_list_failure()
-        self.node.changed.set()
+        self.node.readiness_changed.set()
         self.node.balancer.on_discovery_failed(reached)
 
     def load_known_list(self, news: lines.Listing) -> None:
--- a/bellrack/net/startup.py
+++ b/bellrack/net/startup.py
@@ -21,11 +21,11 @@
         if now >= listen_at:
             await listen_unready(node)
             listen_at = math.inf
-        node.changed.clear()
+        node.readiness_changed.clear()
         next_check = min(node.readiness.next_check() or math.inf, listen_at)
         wait = max(0.0, next_check - now) if next_check < math.inf else None
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(node.changed.wait(), wait)
+            await asyncio.wait_for(node.readiness_changed.wait(), wait)
 
 
 async def listen_unready(node: Any) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -133,7 +133,10 @@
 
     def __init__(self, world, number, peers):
         self.world, self.service, self.counters = world, world.service, Counters()
-        self.readiness, self.changed = Readiness(world.now, host.KNOWN_LIST_WAIT, True), asyncio.Event()
+        self.readiness, self.readiness_changed = (
+            Readiness(world.now, host.KNOWN_LIST_WAIT, True),
+            asyncio.Event(),
+        )
         super().__init__(settings(peers=peers), 7 + 104729 * number, world.now)
         self.has, self.draws = False, Rng(number)
         self.sent, self.turned, self.doubtful = [], [], []  # times; of legs also to whom
