--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -101,9 +101,9 @@
             super().turn()
             self.figures.turned(process_time_ns() - begun)
 
-    def guarded(self, what: Callable, values: tuple) -> None:
+    def run_guarded(self, what: Callable, values: tuple) -> None:
         self.figures.steps += 1
-        super().guarded(what, values)
+        super().run_guarded(what, values)
 
     def heard_from(self, peer: int, data: bytes) -> None:
         """A datagram has come in."""
--- a/bellrack/net/turns.py
+++ b/bellrack/net/turns.py
@@ -86,12 +86,12 @@
     def run_queue(self, queue: Queue, max_calls: float = math.inf) -> None:
         """Runs at least one queued call, and more until the time slice is over."""
         while queue and max_calls > 0:
-            self.guarded(*queue.popleft())
+            self.run_guarded(*queue.popleft())
             max_calls -= 1
             if self.clock() - self.now >= TIME_SLICE_SECONDS:
                 break
 
-    def guarded(self, callback: Callable, args: tuple) -> None:
+    def run_guarded(self, callback: Callable, args: tuple) -> None:
         """Runs a call and logs its exception: an error with one connection must not end the process."""
         try:
             callback(*args)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -261,7 +261,7 @@
         await world.until(lambda: world.node.counters["stood"])
         client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.close()
-        world.node.guarded(next(iter(world.node.clients)).finish, ("test",))
+        world.node.run_guarded(next(iter(world.node.clients)).finish, ("test",))
         await world.until(lambda: not world.node.clients)
         assert not world.node.counters["faults"]
 
