--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -83,12 +83,12 @@
     def send(self, call: Call, server: Server, until: float) -> Leg:
         """Begins an attempt of a call at a server, which must answer before `until`."""
         leg, server.last_attempted, server.needs_attempt = self.begin_leg(call, server), self.now, False
-        self.act(self.connect, leg, until)
+        self.queue_action(self.connect, leg, until)
         return leg
 
     def cancel(self, leg: Leg) -> None:
         """Ends a leg that is not established."""
-        self.act(self.cancel_leg, leg)
+        self.queue_action(self.cancel_leg, leg)
 
     def reject(self, call: Call, wait: float = 0.0) -> None:
         """Answers BUSY; `wait`: seconds after which the client should retry, 0 to name none."""
@@ -101,26 +101,26 @@
     def move(self, call: Call) -> None:
         """Moves the client of an established connection, unless the run may not have begun yet."""
         if self.resumed.holds_back_move(call.legs[-1]):
-            self.act(self.may_move_later, call.legs[-1])
+            self.queue_action(self.may_move_later, call.legs[-1])
         else:
-            self.act(call.host_record.move, "moved")
+            self.queue_action(call.host_record.move, "moved")
 
     def watch(self, on: bool = True) -> None:
         """Keeps a watch on the list of servers open, or closes it."""
-        self.act(self.discovery.watch, on)
+        self.queue_action(self.discovery.watch, on)
 
     def fetch_list(self) -> None:
         """Asks discovery for the whole list once."""
-        self.act(self.discovery.fetch)
+        self.queue_action(self.discovery.fetch)
 
     def probe(self, server: Server) -> None:
         """Probes a server; the result goes to `on_probe_result`."""
-        self.act(self.start_probe, server)
+        self.queue_action(self.start_probe, server)
 
     def send_datagram(self, peer: int | None, data: bytes) -> None:
         """Sends a datagram to a peer, or to all if None; one that is too long is dropped."""
         if self.peers and len(data) <= MAX_DATAGRAM_BYTES:
-            self.act(self.peers.send, peer, data)
+            self.queue_action(self.peers.send, peer, data)
 
     def set_timer(self, when: float, token: Any) -> None:
         """Calls `on_timer(token)` of the decisions at the time `when`."""
@@ -139,7 +139,7 @@
         call.done = True
         self.counters[reason] += 1
         call.host_record.count_outcome("rejected" if reason == "rejected" else "failed")
-        self.act(call.host_record.answer, line, reason)
+        self.queue_action(call.host_record.answer, line, reason)
 
     def connect(self, leg: Leg, deadline: float) -> None:
         """Opens the connection of a leg, unless its client is gone or descriptors are short."""
@@ -230,7 +230,7 @@
             leg.server.last_accepted = max(leg.server.last_accepted, leg.sent)
             self.leg_established(leg)
         if self.shutdown and not self.hot_restart.handoff_sender:
-            self.act(leg.call.host_record.move, "moved")
+            self.queue_action(leg.call.host_record.move, "moved")
 
     def on_leg_over(self, connection: ServerConnection, kind: str) -> None:
         """The leg of `connection` has ended with the result `kind`."""
--- a/bellrack/net/turns.py
+++ b/bellrack/net/turns.py
@@ -50,7 +50,7 @@
             self.turn_scheduled = True
             self.loop.call_soon(self.turn)
 
-    def act(self, callback: Callable, *args: Any) -> None:
+    def queue_action(self, callback: Callable, *args: Any) -> None:
         """Queues a call for the end of this turn, once the decisions have had all events of the turn."""
         self.actions.append((callback, args))
 
--- a/tests/play_mutants.py
+++ b/tests/play_mutants.py
@@ -222,7 +222,7 @@
     Mutant(
         "moves of the shutdown are held back",
         "net/node.py",
-        'self.act(leg.call.host_record.move, "moved")\n\n',
+        'self.queue_action(leg.call.host_record.move, "moved")\n\n',
         "self.move(leg.call)\n\n",
     ),
     Mutant(
