--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -249,10 +249,10 @@
     def feed(self, data: bytes) -> None:
         view = memoryview(data)
         while view:
-            space = self.ring.space()
+            space = self.ring.writable_space()
             count = min(len(space), len(view))
             space[:count] = view[:count]
-            self.ring.added(count)
+            self.ring.commit(count)
             self.ready()
             view = view[count:]
 
@@ -427,20 +427,20 @@
 class StandingLink:
     """What looks see of a connection to a server."""
 
-    silent = ServerConnection.silent
+    is_silent = ServerConnection.is_silent
 
     def __init__(self, node: Node):
-        self.node, self.client, self.asked = node, SimpleNamespace(blocked=False), deque(maxlen=64)
+        self.node, self.client, self.unanswered = node, SimpleNamespace(blocked=False), deque(maxlen=64)
 
 
 def looked_after(servers: int, connections: int) -> Alone:
     """A node that holds connections, as its looks see them."""
     alone = Alone()
     node = alone.node
-    node.server_list.on_list(lines.listing(json.loads(listing(servers))))
+    node.server_list.on_list(lines.parse_list(json.loads(listing(servers))))
     legs = list(node.servers.values())
     for n in range(connections):
-        legs[n % servers].host_record.legs[StandingLink(node)] = None
+        legs[n % servers].host_record.connections[StandingLink(node)] = None
     return alone
 
 
@@ -492,7 +492,7 @@
 
     def taken_in(count: int) -> Any:
         alone = Alone()
-        alone.node.server_list.on_list(lines.listing(json.loads(listing(count))))
+        alone.node.server_list.on_list(lines.parse_list(json.loads(listing(count))))
         alone.loop.close()
         return alone
 
@@ -767,7 +767,7 @@
     told, spent = [], []
     for count in servers:
         with Alone() as node:
-            node.server_list.on_list(lines.listing(json.loads(listing(count))))
+            node.server_list.on_list(lines.parse_list(json.loads(listing(count))))
             told.append(len(json.dumps(node.hot_restart.snapshot())))
             spent.append(
                 processor_time(lambda node=node: json.dumps(node.hot_restart.snapshot()), 1 if quick else 3)
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -70,9 +70,9 @@
             )
         status_before = self.response.status
         try:
-            while self.ring.held and not self.closed:
-                self.body += self.response.feed(self.ring.take(self.ring.held))
-                if len(self.body) > lines.MOST:
+            while self.ring.length and not self.closed:
+                self.body += self.response.feed(self.ring.take(self.ring.length))
+                if len(self.body) > lines.MAX_DISCOVERY_BYTES:
                     raise lines.LineError("too-long")
             if self.response.status != status_before:
                 # The head restarts the silence timeout, once. Otherwise a watch whose request had to wait in
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -158,7 +158,7 @@
             # Connections that arrived after its end wait on the listening socket for us. So we are in as much
             # of a hurry as at a start without a predecessor.
             node.readiness.serve_known_list = node.settings.asks
-            node.changed.set()
+            node.readiness_changed.set()
 
     def close(self) -> None:
         """Close the connections to the sibling."""
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -51,7 +51,7 @@
         """Carries out the next action of a resumption, unless it is over."""
         if not resumption.pending:
             return
-        client.forget_if_closed()
+        client.abandon_if_closed()
         if client.call.done:
             return
         server = self.node.servers.get(lines.id_hash(client.request_line.values["at"]))
@@ -59,7 +59,7 @@
         match resumption.next_action(self.node.now, known, self.descriptors_free()):
             case Attempt(give_up_at):
                 leg = Leg(client.call, server, self.node.now)
-                ServerConnection(self.node, leg, client, give_up_at, resumes=True)
+                ServerConnection(self.node, leg, client, give_up_at, resumed=True)
             case Wait(until):
                 self.node.at(until, self.proceed, client, resumption)
             case Expire():
@@ -97,7 +97,7 @@
         """Answers all clients at shutdown. A call is rejected, which invites a retry, only if no server can
         have received it; others are released."""
         for client, resumption in list(self.pending.items()):
-            if resumption.may_have_run or client.server_connection and client.server_connection.written:
+            if resumption.may_have_run or client.server_connection and client.server_connection.request_sent:
                 self.node.release(client.call)
             else:
                 self.node.reject(client.call)
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -80,14 +80,14 @@
     def on_unchanged(self) -> None:
         """A watch is open and reports no change: the list in use is current."""
         self.node.readiness.on_list(bool(self.node.servers))
-        self.node.changed.set()
+        self.node.readiness_changed.set()
         self.node.balancer.on_servers_listed([])
 
     def on_failure(self, reached: bool) -> None:
         """A request to discovery failed. `reached`: discovery had accepted the connection."""
         self.node.counters["list_failures"] += 1
         self.node.readiness.on_list_failure()
-        self.node.changed.set()
+        self.node.readiness_changed.set()
         self.node.balancer.on_discovery_failed(reached)
 
     def load_known_list(self, listing: lines.Listing) -> None:
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -190,7 +190,7 @@
         if not self.transport.is_closing():
             self.send(
                 held=self.node.limits.descriptors,
-                passed=self.handoff_sender.passed if self.handoff_sender else 0,
+                passed=self.handoff_sender.descriptors_passed if self.handoff_sender else 0,
             )
             self.node.loop.call_later(DESCRIPTORS_INTERVAL_SECONDS, self.send_descriptors)
 
@@ -241,7 +241,7 @@
             sock.setblocking(False)  # otherwise a process that connects and reads nothing would block us
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2 * MAX_MESSAGE_BYTES)
             text = json.dumps(self.node.hot_restart.snapshot()).encode() + b"\n"
-            ours, theirs = handoff.pair()
+            ours, theirs = handoff.socket_pair()
             with theirs:
                 fds = [self.node.listeners.socket.fileno(), theirs.fileno()]
                 sent = socket.send_fds(sock, [text], fds)  # the rest of the text is sent by the transport
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -122,7 +122,13 @@
     ),
     Mutant(
         "late set-ups to a cold server go out together",
-        (("net/servers.py", "        if not cold.may_write(self.leg.server):\n", "        if False:\n"),),
+        (
+            (
+                "net/servers.py",
+                "        if not slow_start.may_write(self.leg.server):\n",
+                "        if False:\n",
+            ),
+        ),
         "cold",
         ("slow_start",),
     ),
@@ -211,7 +217,7 @@
     ),
     Mutant(
         "a half request has its time anew from each process",
-        (("net/handoff.py", '            if "opened" in words:\n', "            if False:\n"),),
+        (("net/handoff.py", '            if "opened" in message:\n', "            if False:\n"),),
         "restart",
         ("half_request",),
     ),
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -146,7 +146,7 @@
                 world.node.server_list.cordon("s-0", True)
             original_made(link)
 
-        monkeypatch.setattr(servers.OutgoingConnection, "made", made)
+        monkeypatch.setattr(servers.OutgoingConnection, "on_connected", made)
         client = await world.call("c=chat,t=acme,d=900")
         _, server, line = await world.leg()
         assert line == "fin" and (await client.line()).startswith("BUSY")
@@ -161,7 +161,7 @@
         for state in ("terminated", "in_service"):
             entry = listed | {"lifecycle": state}
             world.node.server_list.on_list(
-                lines.listing({"generation": 50, "reset": False, "instances": [entry]})
+                lines.parse_list({"generation": 50, "reset": False, "instances": [entry]})
             )
             world.node.server_watch.check()
             world.node.server_watch.check()
--- a/tests/test_first_line.py
+++ b/tests/test_first_line.py
@@ -42,7 +42,7 @@
 @pytest.fixture
 def short_timeouts(monkeypatch):
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.2)
-    monkeypatch.setattr(clients, "RECHECK", 0.02)
+    monkeypatch.setattr(clients, "FIRST_LINE_RECHECK_SECONDS", 0.02)
 
 
 @pytest.mark.parametrize("data", MAY_RESUME)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -136,7 +136,7 @@
         await world.until(lambda: old.hot_restart.has_successor)
         old.begin_shutdown()
         await world.until(lambda: old.shutdown)
-        assert not old.hot_restart.handoff_sender.give(link) and sent
+        assert not old.hot_restart.handoff_sender.send_connection(link) and sent
         server.say("last")
         received = [line async for line in lines_until_last(client)]
         assert set(received) == {line[:-2].decode()} and len(received) % 50 == 0
@@ -149,7 +149,7 @@
 @played
 async def test_receiver_ignores_malformed_hand_off_messages(folder):
     async with World(control=True) as world:
-        ours, theirs = handoff.pair()
+        ours, theirs = handoff.socket_pair()
         handoff_receiver = handoff.HandoffReceiver(world.node, theirs)
         for words in (b"no json", b"[]", b"{}", b'{"in": "%%"}', b'{"in": ""}', b'{"line": "OPEN"}'):
             ours.send(words)
@@ -403,7 +403,7 @@
     from bellrack.net import lines
 
     row = ("s-1", ("127.0.0.1", 9), "a", "draining", 3, 1.5, 100.25, "m2")
-    (entry,) = lines.listing(json.loads(json.dumps(lines.list_message([row])))).entries
+    (entry,) = lines.parse_list(json.loads(json.dumps(lines.list_message([row])))).entries
     assert (entry.name, entry.address, entry.zone, entry.machine) == ("s-1", ("127.0.0.1", 9), "a", "m2")
     assert entry.row == ("draining", 3, 1.5, 100.25)
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -312,7 +312,7 @@
     """Return the address on which the process serves, as it logs it; None if it ended."""
     async for line in process.stderr:
         if b"event=serving" in line:
-            return lines.address(line.split(b"listen=")[1].split()[0].decode())
+            return lines.parse_address(line.split(b"listen=")[1].split()[0].decode())
     return None
 
 
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -51,7 +51,7 @@
     """Let the node receive entries, or a whole list, from its watch."""
     node.now = node.clock()
     news = {"generation": version, "reset": whole, "instances": list(entries)}
-    node.server_list.on_list(lines.listing(news))
+    node.server_list.on_list(lines.parse_list(news))
 
 
 def states(node):
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -201,7 +201,7 @@
     async with World(control=True, listen=reserved_address()) as world:
         first = world.node
         instances = [world.entries[0] | {"instanceId": f"server-{number:08}"} for number in range(3200)]
-        first.server_list.on_list(lines.listing({"generation": 60, "reset": True, "instances": instances}))
+        first.server_list.on_list(lines.parse_list({"generation": 60, "reset": True, "instances": instances}))
         assert (await world.ask("/_servers/detach", "server-00000007"))[0] == 200
         async with world.beside() as second:
             await world.until(lambda: first.hot_restart.has_successor)
@@ -245,7 +245,7 @@
     """The server of this node started SERVER_AGE_SECONDS ago, and the list reported that at once."""
     host.now = host.clock()
     host.server_list.on_list(
-        lines.listing(
+        lines.parse_list(
             {
                 "generation": 60,
                 "reset": False,
