--- a/bellrack/net/clients.py
+++ b/bellrack/net/clients.py
@@ -75,7 +75,7 @@
         before it is closed, since the end of its line may arrive while we close."""
         # A process that shuts down serves no client that writes late.
         may_precede_run = self.node.resumed.may_precede_run() and not self.node.shutdown
-        if self.call is None and first_line.may_still_come(self.ring.peek(), may_precede_run):
+        if self.call is None and first_line.should_wait(self.ring.peek(), may_precede_run):
             # A resumed connection whose client is slow to write must not be told BUSY.
             self.expire_after(FIRST_LINE_RECHECK_SECONDS, self.on_expired)
         elif self.call is None:
--- a/bellrack/net/control.py
+++ b/bellrack/net/control.py
@@ -40,7 +40,7 @@
         """Read what has arrived, and answer the request once it is complete."""
         try:
             had_head = self.request.method
-            self.request.feed(self.ring.take(self.ring.held) if self.ring.held else b"")
+            self.request.feed(self.ring.take(self.ring.length) if self.ring.length else b"")
             if self.request.done:
                 self.handle_request()
             elif self.request.awaits_continue and not had_head:
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -125,7 +125,7 @@
 
     def stop(self, reason: str) -> None:
         """Ends a request that is no longer needed; this is not a failure."""
-        self.drop()
+        self.cancel_connect()
         self.finish(reason, "rst")
 
 
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -123,7 +123,9 @@
         if "held" in message:
             # Descriptors in transit count too: there may be hundreds of them, counted by neither process.
             in_transit = (
-                int(message.get("passed", 0)) - self.handoff_receiver.passed if self.handoff_receiver else 0
+                int(message.get("passed", 0)) - self.handoff_receiver.descriptors_passed
+                if self.handoff_receiver
+                else 0
             )
             node.limits.sibling_descriptors = int(message["held"]) + max(0, in_transit)
             node.limits.make_room(node.now)
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -59,7 +59,7 @@
             self.merge(listing)
         self.node.hot_restart.publish_news(listing, at_current_address)
         self.node.readiness.on_list(listing.whole or bool(self.node.servers))
-        self.node.changed.set()
+        self.node.readiness_changed.set()
 
     def on_sibling_list(self, listing: lines.Listing) -> None:
         """Applies a list, or changes of one, that the sibling process received. The watch of this process
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -96,7 +96,7 @@
         Connections that are established later, or still have unsent data, go over in a later round."""
         if self.node.hot_restart.handoff_sender:
             self.node.after(
-                0 if self.node.hot_restart.handoff_sender.give_some() else CHECK_INTERVAL_SECONDS,
+                0 if self.node.hot_restart.handoff_sender.send_batch() else CHECK_INTERVAL_SECONDS,
                 self.hand_over,
             )
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -116,7 +116,9 @@
     async with World(servers=2, control=True, listen=reserved_address()) as world:
         old = world.node
         _, server = await world.standing()
-        connection = next(iter(next(s for s in old.servers.values() if s.host_record.legs).host_record.legs))
+        connection = next(
+            iter(next(s for s in old.servers.values() if s.host_record.connections).host_record.connections)
+        )
         connection.asked.append(old.clock())  # a client line that is still unanswered
         first, second = old.servers.values()
         first.local_state.unhealthy_until, second.local_state.warm_at = old.clock() + 60, old.clock() + 8
@@ -131,7 +133,9 @@
             old.begin_shutdown()
             await world.until(lambda: new.counters["taken_over"])
             handed_over = next(
-                iter(next(s for s in new.servers.values() if s.host_record.legs).host_record.legs)
+                iter(
+                    next(s for s in new.servers.values() if s.host_record.connections).host_record.connections
+                )
             )
             assert 0 <= new.clock() - handed_over.asked[0] < 5 and 0 <= new.clock() - handed_over.leg.sent < 5
             with contextlib.suppress(ConnectionError):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -139,7 +139,7 @@
 @played
 async def test_request_is_not_written_to_a_server_detached_while_connecting(monkeypatch):
     async with World(servers=1, control=True, effect="fragile") as world:
-        original_made = servers.OutgoingConnection.made
+        original_made = servers.OutgoingConnection.on_connected
 
         def made(link):
             if link.side == "server" and not world.node.server_list.cordoned:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -142,7 +142,10 @@
 
     def __init__(self, tier, number, peers):
         self.tier, self.service, self.counters = tier, tier.service, Counters()
-        self.readiness, self.changed = Readiness(tier.now, host.KNOWN_LIST_WAIT, True), asyncio.Event()
+        self.readiness, self.readiness_changed = (
+            Readiness(tier.now, host.KNOWN_LIST_WAIT, True),
+            asyncio.Event(),
+        )
         super().__init__(settings(peers=peers), 7 + 104729 * number, tier.now)
         self.has_change, self.traffic_rng = False, Rng(number)
         self.sent, self.rejected_at, self.doubtful = [], [], []  # sent: times and id hashes
@@ -620,13 +623,13 @@
 
 @played
 async def test_connection_to_a_server_that_turned_doubtful_meanwhile_gets_no_request(monkeypatch):
-    made = ServerConnection.made
+    made = ServerConnection.on_connected
 
     def mark_doubtful(connection):
         connection.leg.server.doubtful = True
         made(connection)
 
-    monkeypatch.setattr(ServerConnection, "made", mark_doubtful)
+    monkeypatch.setattr(ServerConnection, "on_connected", mark_doubtful)
     async with World() as world:
         client = await world.call()
         _, _, line = await world.leg()
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -184,7 +184,7 @@
 
 @played
 async def test_shutdown_waits_for_the_rest_of_a_request_line(monkeypatch):
-    monkeypatch.setattr(shutdown, "STAY", 0.1)
+    monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.1)
     async with World() as world:
         slow, silent = await world.dial(), await world.dial()
         slow.writer.write(b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch")
@@ -204,7 +204,7 @@
 
 @played
 async def test_shutdown_answers_clients_in_the_accept_queue(monkeypatch):
-    monkeypatch.setattr(shutdown, "STAY", 0.0)
+    monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.0)
     async with World() as world:
         waiting = []
 
@@ -228,7 +228,7 @@
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ECONNABORTED])
 @played
 async def test_shutdown_ends_even_if_accepting_fails(monkeypatch, error):
-    monkeypatch.setattr(shutdown, "STAY", 0.0)
+    monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.0)
     async with World() as world:
         listening_socket = mock.Mock(wraps=world.node.listeners.socket)
         listening_socket.accept.side_effect = OSError(error, "no")
@@ -243,7 +243,7 @@
 )
 @played
 async def test_shutdown_answers_clients_of_a_server_that_hangs(monkeypatch, effect, told):
-    monkeypatch.setattr(shutdown, "LONGEST", 0.3)
+    monkeypatch.setattr(shutdown, "MAX_REQUEST_SECONDS", 0.3)
     async with World(effect=effect) as world:
         client = await world.call("c=chat,t=acme,d=30000")  # longer than the shutdown lasts
         await world.leg()
@@ -272,7 +272,7 @@
 async def test_shutdown_answers_clients_without_a_request_before_it_ends(monkeypatch, words):
     """Their request may cross the end of the process: some connect 0.4 s after the signal and write 2.75 s
     later."""
-    monkeypatch.setattr(shutdown, "LONGEST", 0.5)
+    monkeypatch.setattr(shutdown, "MAX_REQUEST_SECONDS", 0.5)
     async with World() as world:
         ordinary, _ = await world.standing()
         client = await world.dial()
@@ -452,7 +452,7 @@
     for _ in range(40):
         bench.timers.clear()
         bench.balancer.on_discovery_failed()
-        ((when, what),) = bench.wakes
+        ((when, what),) = bench.timers
         assert what == "watch" and when - bench.now <= 1.5  # up to four times that after a failed call
 
 
@@ -520,7 +520,7 @@
 def test_a_short_deadline_leaves_time_for_an_attempt(wait, sent):
     bench = Bench(settings())  # 24 ms are allowed for the answer to reach the client
     bench.fleet(0, 0)
-    call = bench.call(guard=wait)
+    call = bench.call(wait=wait)
     assert bool(bench.sent) == sent and call.done != sent
     for _, until in bench.sent:
         assert bench.now + 0.7 * wait < until < call.deadline
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -257,7 +257,7 @@
 
 @played
 async def test_leg_that_ends_during_its_hand_off_is_not_counted_as_open(folder, monkeypatch):
-    monkeypatch.setattr(ring, "HELD", 0.0)
+    monkeypatch.setattr(ring, "FLUSH_SECONDS", 0.0)
     async with World(control=True) as world:
         line = lines.parse_request_line(b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=chat,t=acme,d=2000\r\n")
         words = {
@@ -271,11 +271,14 @@
             "said": "",
         }
         sides = [socket.socketpair() for _ in range(2)]
-        ours, theirs = handoff.pair()
-        handoff_receiver, up = handoff.HandoffReceiver(world.node, theirs), handoff.HandoffReceiver.up
+        ours, theirs = handoff.socket_pair()
+        handoff_receiver, up = (
+            handoff.HandoffReceiver(world.node, theirs),
+            handoff.HandoffReceiver.start_forwarding,
+        )
         delayed = []
         # `up` is called below, after the server has closed the connection.
-        monkeypatch.setattr(handoff_receiver, "up", delayed.append)
+        monkeypatch.setattr(handoff_receiver, "start_forwarding", delayed.append)
         socket.send_fds(ours, [json.dumps(words).encode()], [near.fileno() for near, _ in sides])
         await world.until(lambda: delayed)
         sides[1][1].close()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -634,7 +634,7 @@
                 file.write_text(bad)
             os.kill(os.getpid(), signal.SIGHUP)
             await asyncio.sleep(0.03)
-        taken = [record.figures["taken"] for record in caplog.records if record.msg == "reload"]
+        taken = [record.fields["taken"] for record in caplog.records if record.msg == "reload"]
         assert taken == ["nothing"] * 4 and requests.empty() and world.node.server_list.version == 90
         file.write_text(text)
         for _ in range(2):
--- a/tests/test_resumed_live.py
+++ b/tests/test_resumed_live.py
@@ -235,7 +235,7 @@
             old.log.wait_for("event=followed")
             old.send_signal(signal.SIGTERM)
         # None is established yet when the processes that admitted them end.
-        assert [old.process.wait(DEADLINE) for old, _ in processes] == [0, 0, 0]
+        assert [old.process.wait(HANG_TIMEOUT_SECONDS) for old, _ in processes] == [0, 0, 0]
         stand_ins.command("mode", mode="answers")
         stand_ins.command("release")
         expect_all_established(stand_ins, groups)
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -45,7 +45,7 @@
         _, server = await world.standing()
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
-        first.hot_restart.handoff_sender.give_some = lambda: False  # no connection is handed over
+        first.hot_restart.handoff_sender.send_batch = lambda: False  # no connection is handed over
         first.begin_shutdown()
         second.begin_shutdown()
         await asyncio.wait_for(serving, 5)  # the successor has ended, the predecessor has not
