--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -90,7 +90,7 @@
             ):
                 self.finish("listed")
                 if self.address == self.node.discovery.address:
-                    self.node.server_list.on_list(lines.listing(lines.parsed(self.body)), fetched=True)
+                    self.node.server_list.on_list(lines.parse_list(lines.parse_json(self.body)), fetched=True)
                     self.node.discovery.on_confirmed(self.started_at)
         except lines.LineError as error:
             self.fail(str(error).partition(":")[0])
@@ -103,7 +103,7 @@
         while b"\n" in self.body and not self.closed:
             line, end, self.body = self.body.partition(b"\n")
             if listing := self.objects.feed(line + end):
-                listing = lines.listing(listing)
+                listing = lines.parse_list(listing)
                 discovery.on_line(self, has_listing=True)
                 self.node.server_list.on_list(listing, at_current_address=self is not discovery.previous)
             elif self.objects.whole and not self.received_line:
--- a/bellrack/net/hot_restart.py
+++ b/bellrack/net/hot_restart.py
@@ -130,7 +130,7 @@
             node.limits.sibling_descriptors = int(message["held"]) + max(0, in_transit)
             node.limits.make_room(node.now)
         if "news" in message and message.get("discovery") == lines.format_address(node.discovery.address):
-            node.server_list.on_sibling_list(lines.listing(message["news"]))
+            node.server_list.on_sibling_list(lines.parse_list(message["news"]))
         if "out" in message or "back" in message:
             ordered_at = float(message.get("given", node.clock() - node.anchor))
             order = CordonOrder(str(message.get("out") or message["back"]), "out" in message, ordered_at)
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -65,5 +65,5 @@
 
     def end_silent(self, endpoint: Endpoint) -> None:
         """Moves the clients whose server connection has gone silent."""
-        for connection in [connection for connection in endpoint.connections if connection.silent()]:
+        for connection in [connection for connection in endpoint.connections if connection.is_silent()]:
             connection.client.move("server-silent", model.RESET)
--- a/bellrack/net/shared_state.py
+++ b/bellrack/net/shared_state.py
@@ -108,7 +108,7 @@
 
 def adopt_list(node: Any, predecessor: Predecessor) -> None:
     """Merge the server list. One without comparable versions is used only if discovery has sent us none."""
-    news, server_list = lines.listing(predecessor.state.get("list")), node.server_list
+    news, server_list = lines.parse_list(predecessor.state.get("list")), node.server_list
     theirs = predecessor.list_versions(node.discovery.address)
     if theirs is not None:
         server_list.on_predecessor_list(news, theirs)
@@ -122,7 +122,7 @@
     A server that has restarted since the predecessor received its entry is left out: it is cold, and would be
     treated as warm."""
     learned = dict(predecessor.state.get("learned", {}))
-    entries = lines.listing(predecessor.state.get("list")).entries
+    entries = lines.parse_list(predecessor.state.get("list")).entries
     stamps = {str(lines.id_hash(entry.name)): entry.row[3] for entry in entries}
     learned["servers"] = {
         id_hash: values
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -32,7 +32,7 @@
 def apply_list(host, generation, *entries, reset=False):
     """Gives the node a list from discovery, or changes of one."""
     message = {"generation": generation, "reset": reset, "instances": list(entries)}
-    host.server_list.on_list(lines.listing(message))
+    host.server_list.on_list(lines.parse_list(message))
     host.discovery.on_confirmed(host.now)
 
 
@@ -92,7 +92,7 @@
     """The server has started since the known list was written, whatever its stamp says."""
     host, wall_clock = node_at(monkeypatch), time.time()
     known = [entry("s-0", 0), entry("s-1", 0), entry("s-2", wall_clock - 2.0)]
-    host.server_list.load_known_list(lines.listing({"generation": 5, "reset": True, "instances": known}))
+    host.server_list.load_known_list(lines.parse_list({"generation": 5, "reset": True, "instances": known}))
     apply_list(host, 7, entry("s-0", wall_clock - 1.0 + step), *known[1:], reset=True)
     s_0, s_1 = (host.servers[lines.id_hash(name)].local_state.warm_at - host.now for name in ("s-0", "s-1"))
     assert s_0 == pytest.approx(RAMP_SECONDS, abs=1e-6) and s_1 <= 0
@@ -104,7 +104,7 @@
     """The server's clock is behind, and the known list does not name it."""
     host, wall_clock = node_at(monkeypatch), time.time()
     host.server_list.load_known_list(
-        lines.listing({"generation": 5, "reset": True, "instances": [entry("s-1", wall_clock - 500.0)]})
+        lines.parse_list({"generation": 5, "reset": True, "instances": [entry("s-1", wall_clock - 500.0)]})
     )
     apply_list(host, 7, entry("s-0", wall_clock - 1.0 + step), entry("s-1", wall_clock - 500.0), reset=True)
     assert host.servers[lines.id_hash("s-0")].local_state.warm_at >= host.now + RAMP_SECONDS - 1.1
--- a/tests/test_first_line.py
+++ b/tests/test_first_line.py
@@ -56,7 +56,7 @@
     assert not first_line.should_wait(data, may_precede_run=True)
 
 
-@given(st.from_regex(lines.OPEN, fullmatch=True), st.data())
+@given(st.from_regex(lines.REQUEST_LINE, fullmatch=True), st.data())
 def test_each_prefix_of_a_valid_line_may_become_a_resumed_line(line, data):
     assert first_line.may_become_resumed(line[: data.draw(st.integers(0, len(line) - 1))])
 
@@ -66,7 +66,7 @@
     """If any continuation makes the bytes a valid line, they must count as a possible beginning of one."""
     prefix = LINE[:at] + malformed
     line = prefix + rest + b"\r\n"
-    if lines.OPEN.fullmatch(line):
+    if lines.REQUEST_LINE.fullmatch(line):
         assert first_line.may_become_resumed(prefix)
 
 
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -158,7 +158,7 @@
         gone = {"instanceId": "s-1", "hostPort": "", "lifecycle": "terminated"}
         instances = [drained, world.entries[2]] if whole else [drained, gone]
         news = {"generation": 60, "reset": whole, "instances": instances}
-        informed.queue(informed.server_list.on_list, lines.listing(news))
+        informed.queue(informed.server_list.on_list, lines.parse_list(news))
         id_hashes = [lines.id_hash(entry["instanceId"]) for entry in world.entries]
         await world.until(lambda: other.servers[id_hashes[0]].state == model.DRAINING)
         assert other.servers[id_hashes[1]].state == model.GONE and other.servers[id_hashes[2]].usable
