--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -119,7 +119,7 @@
         connection = next(
             iter(next(s for s in old.servers.values() if s.host_record.connections).host_record.connections)
         )
-        connection.asked.append(old.clock())  # a client line that is still unanswered
+        connection.unanswered.append(old.clock())  # a client line that is still unanswered
         first, second = old.servers.values()
         first.local_state.unhealthy_until, second.local_state.warm_at = old.clock() + 60, old.clock() + 8
         old.resumed.window.started = old.started_at - 11.0
@@ -137,7 +137,7 @@
                     next(s for s in new.servers.values() if s.host_record.connections).host_record.connections
                 )
             )
-            assert 0 <= new.clock() - handed_over.asked[0] < 5 and 0 <= new.clock() - handed_over.leg.sent < 5
+            assert 0 <= new.clock() - handed_over.unanswered[0] < 5 and 0 <= new.clock() - handed_over.leg.sent < 5
             with contextlib.suppress(ConnectionError):
                 server.end("fin")
             await world.first_ends(world.serving)
