--- a/bellrack/lab/soak/__main__.py
+++ b/bellrack/lab/soak/__main__.py
@@ -29,7 +29,7 @@
         await soak_driver.start()
         outcomes = await soak_driver.run()
     finally:
-        await soak_driver.end()
+        await soak_driver.stop()
     record = soak_driver.record(outcomes)
     found = [
         f"{v.rule}: {v.subject}: {v.detail} (t {v.time - soak_driver.started_at:.3f})"
--- a/bellrack/lab/soak/clients.py
+++ b/bellrack/lab/soak/clients.py
@@ -57,7 +57,7 @@
         values = f"c={demand.kind},t=acme,d={int(demand.wait_seconds * 1000)},g={demand.group:x}"
         return f"OPEN {self.outcome.id} {demand.group:016x} {values}\r\n".encode()
 
-    async def play(self) -> Outcome:
+    async def run(self) -> Outcome:
         outcome = self.outcome
         try:
             self.reader, self.writer = await asyncio.open_connection(*outcome.address)
--- a/bellrack/lab/soak/driver.py
+++ b/bellrack/lab/soak/driver.py
@@ -1,4 +1,4 @@
-"""Plays a plan: starts the processes, makes the troubles, runs the clients and collects the record."""
+"""Runs a plan: starts the processes, injects the troubles, runs the clients and collects the record."""
 
 from __future__ import annotations
 
@@ -19,32 +19,35 @@
 from bellrack.lab.soak.troubles import Troubles
 
 SERVER_PROCESSES = 3
-CLOCK_CHECK_INTERVAL_SECONDS, PAUSE_THRESHOLD_SECONDS = (
-    0.02,
-    0.05,
-)  # seconds between looks at the clock; seconds more than that make a pause
+CLOCK_CHECK_INTERVAL_SECONDS = 0.02
+PAUSE_THRESHOLD_SECONDS = 0.05  # a clock check this much later than its interval counts as a pause
+# Log lines in which a balancer reports a fault of its own.
 SELF_REPORTED = re.compile(r"event=(fault|violation|loop)\b")
 
 
 class Driver:
+    """Runs one plan with its processes; events, logs and configurations are files in `folder`."""
+
     def __init__(self, plan: Plan, folder: Path):
         self.plan, self.folder = plan, folder
         self.balancers: list[Balancer] = []
-        self.starts: dict[int, list[float]] = {n: [] for n in range(plan.balancers)}
+        # By balancer: when it started without a predecessor that hands over.
+        self.starts: dict[int, list[float]] = {number: [] for number in range(plan.balancers)}
         self.helpers: list[Helper] = []
-        self.server_of: dict[str, Helper] = {}
+        self.server_processes: dict[str, Helper] = {}
         self.troubles = Troubles(self)
-        self.pauses: list[tuple[float, float]] = []  # of this process, which plays the clients
+        self.pauses: list[tuple[float, float]] = []  # of this process, which runs the clients
 
-    # Starting.
+    # Starting processes.
 
     async def start(self) -> None:
+        """Start servers, proxy, discovery and balancers."""
         plan, addresses = self.plan, {}
         for number in range(SERVER_PROCESSES):
             names = plan.servers[number::SERVER_PROCESSES]
             helper = await Helper.start("servers", str(self.events_path(f"servers-{number}")), *names)
             addresses |= helper.addresses
-            self.server_of |= dict.fromkeys(names, helper)
+            self.server_processes |= dict.fromkeys(names, helper)
             self.helpers.append(helper)
         addresses = {name: addresses[name] for name in plan.servers}
         count = str(plan.balancers)
@@ -69,12 +72,14 @@
         self.started_at = time.monotonic() + 1.5
         for number, faults in enumerate(plan.faults):
             shifted = [
-                f | {"at": f["at"] + self.started_at, "until": f["until"] + self.started_at} for f in faults
+                fault | {"at": fault["at"] + self.started_at, "until": fault["until"] + self.started_at}
+                for fault in faults
             ]
             (self.folder / f"faults-{number}.json").write_text(json.dumps(shifted))
         await asyncio.gather(*(self.fresh_start(balancer) for balancer in self.balancers))
 
     def initial_instances(self, number: int) -> list[dict[str, Any]]:
+        """Return the server list that the configuration of this balancer contains."""
         return [
             {
                 "instanceId": name,
@@ -90,12 +95,15 @@
         ]
 
     def events_path(self, name: str) -> Path:
+        """Return the file to which a helper process writes its events."""
         return self.folder / f"events-{name}.jsonl"
 
     def environment(self, balancer: Balancer) -> dict[str, str]:
+        """Return the environment variables of the balancer's processes."""
         return dict(os.environ) | {"SOAK_FAULTS": str(self.folder / f"faults-{balancer.number}.json")}
 
     async def fresh_start(self, balancer: Balancer) -> None:
+        """Start the balancer without a predecessor that hands over, and wait until it is ready."""
         self.starts[balancer.number].append(time.monotonic())
         process = await balancer.spawn(self.environment(balancer))
         if await balancer.wait_until_ready(process):
@@ -103,29 +111,31 @@
         elif process.returncode is None:
             balancer.problems.append("refused start: not ready in time")
 
-    async def successor(self, balancer: Balancer) -> asyncio.subprocess.Process:
+    async def start_successor(self, balancer: Balancer) -> asyncio.subprocess.Process:
+        """Start a process that takes over from the balancer's running one, and wait until it is ready."""
         process = await balancer.spawn(self.environment(balancer))
         if not await balancer.wait_until_ready(process) and process.returncode is None:
             balancer.problems.append("refused start: a successor was not ready in time")
         return process
 
-    # Playing.
+    # Running.
 
     async def run(self) -> list[Outcome]:
+        """Run troubles and clients to the end of the plan; return the outcomes of clients that connected."""
         await asyncio.sleep(max(0.0, self.started_at - time.monotonic()))
         pause_recorder = asyncio.create_task(self.record_pauses())
         troubles = [asyncio.create_task(self.troubles.inject(trouble)) for trouble in self.plan.troubles]
-        clients = [asyncio.create_task(self.client(number)) for number in range(len(self.plan.demands))]
+        clients = [asyncio.create_task(self.run_client(number)) for number in range(len(self.plan.demands))]
         await asyncio.gather(*troubles)
         await self.sleep_until(self.plan.seconds)
-        # Clients use their connections until the kill.
+        # The balancers are terminated while clients still use their connections.
         await asyncio.gather(*(self.troubles.terminate_all(balancer) for balancer in self.balancers))
         outcomes = await asyncio.gather(*clients)
         pause_recorder.cancel()
         return [outcome for outcome in outcomes if outcome]
 
     async def record_pauses(self) -> None:
-        """What comes while this process stands still is read late."""
+        """Record when this process was not scheduled: input that arrives meanwhile is read late."""
         while True:
             before = time.monotonic()
             await asyncio.sleep(CLOCK_CHECK_INTERVAL_SECONDS)
@@ -133,9 +143,11 @@
                 self.pauses.append((before, now))
 
     async def sleep_until(self, seconds: float) -> None:
+        """Sleep until this time, in seconds from the start of the run."""
         await asyncio.sleep(max(0.0, self.started_at + seconds - time.monotonic()))
 
-    async def client(self, number: int) -> Outcome | None:
+    async def run_client(self, number: int) -> Outcome | None:
+        """Send a request of the plan to its balancer, or to the next one that accepts the connection."""
         demand = self.plan.demands[number]
         await self.sleep_until(demand.at)
         for offset in range(len(self.balancers)):
@@ -144,14 +156,15 @@
                 continue
             routed_demand = dataclasses.replace(demand, balancer=balancer.number)
             client = Client(routed_demand, number + 1, balancer.address)
-            outcome = await client.play()
+            outcome = await client.run()
             if outcome.connected_at is not None:
                 return outcome
         return None
 
-    # The record.
+    # Collecting the record.
 
-    async def end(self) -> None:
+    async def stop(self) -> None:
+        """Kill all processes that are still running."""
         for balancer in self.balancers:
             for process in balancer.processes:
                 balancer.kill(process)
@@ -160,6 +173,7 @@
             await helper.process.wait()
 
     def record(self, outcomes: list[Outcome]) -> oracle.Record:
+        """Read the event files and return the record for the oracle."""
         events = []
         for path in self.folder.glob("events-*.jsonl"):
             with open(path, encoding="utf-8") as file:
@@ -177,9 +191,9 @@
             self.plan.pushed,
             {
                 number: [
-                    (self.started_at + f["at"], self.started_at + f["until"])
-                    for f in faults
-                    if f["kind"] == "broken"
+                    (self.started_at + fault["at"], self.started_at + fault["until"])
+                    for fault in faults
+                    if fault["kind"] == "broken"
                 ]
                 for number, faults in enumerate(self.plan.faults)
             },
@@ -189,7 +203,7 @@
         )
 
     def problems(self) -> list[str]:
-        """Crashes, hangs and refused starts; and what the balancers counted or logged against themselves."""
+        """Return crashes, hangs, refused starts and the faults that the balancers logged about themselves."""
         found = []
         for balancer in self.balancers:
             found += [f"n{balancer.number} {problem}" for problem in balancer.problems]
