--- a/bellrack/lab/soak/faulty.py
+++ b/bellrack/lab/soak/faulty.py
@@ -1,9 +1,9 @@
-"""Runs the balancer with faults of its clock, its sockets and its files, by a schedule.
+"""Runs the balancer and injects faults of its clock, its sockets and its files by a schedule.
 
-`SOAK_FAULTS` names a JSON file: a list of objects with `kind`, `at` and `until` (seconds of the monotonic
-clock, which all processes of the machine share), and what the kind needs. The balancer's own code is not
-changed: `time.time`, `socket.socket`, `os.rename`, `open` and the loop's `sock_connect` are replaced before
-it is imported.
+The environment variable `SOAK_FAULTS` names a JSON file: a list of objects with `kind`, `at` and `until`
+(seconds of the monotonic clock, which all processes of the machine share), `share` (of the calls that are
+affected) and `by` (seconds). The balancer's code is not changed: `time.time`, `socket.socket`, `os.rename`,
+`open` and the event loop's `sock_connect` are replaced before it is imported.
 """
 
 from __future__ import annotations
@@ -19,8 +19,11 @@
 import time
 from typing import Any
 
-REAL_TIME, REAL_OPEN, REAL_RENAME, REAL_SOCKET = time.time, open, os.rename, socket.socket
-ACCEPT_ERRORS = (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS)  # of accept
+REAL_TIME = time.time
+REAL_OPEN = open
+REAL_RENAME = os.rename
+REAL_SOCKET = socket.socket
+ACCEPT_ERRORS = (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS)
 SOCKET_ERRORS = (errno.ENFILE, errno.ENOBUFS)
 CONNECT_ERRORS = (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS)
 BROKEN_ERRORS = (errno.ETIMEDOUT, errno.EHOSTUNREACH)
@@ -28,32 +31,37 @@
 
 
 class FaultSchedule:
-    """Which faults are in force now."""
+    """The faults of one process and the times at which they are active."""
 
     def __init__(self, faults: list[dict[str, Any]], rng: random.Random):
         self.faults, self.rng = faults, rng
 
     def active_fault(self, kind: str) -> dict[str, Any] | None:
+        """Return the fault of this kind that is active now, or None."""
         now = time.monotonic()
-        return next((f for f in self.faults if f["kind"] == kind and f["at"] <= now < f["until"]), None)
+        return next(
+            (fault for fault in self.faults if fault["kind"] == kind and fault["at"] <= now < fault["until"]),
+            None,
+        )
 
-    def maybe_raise(self, kind: str, numbers: tuple[int, ...]) -> None:
-        """Raise one of these errors, as often as the fault's `share` says."""
+    def maybe_raise(self, kind: str, error_numbers: tuple[int, ...]) -> None:
+        """If a fault of this kind is active, raise one of these errors with the probability `share`."""
         fault = self.active_fault(kind)
         if fault and self.rng.random() < fault["share"]:
-            number = self.rng.choice(numbers)
-            raise OSError(number, os.strerror(number))
+            error_number = self.rng.choice(error_numbers)
+            raise OSError(error_number, os.strerror(error_number))
 
     def clock_offset(self) -> float:
+        """Return the sum of the clock steps so far, in seconds."""
         now = time.monotonic()
-        return sum(f["by"] for f in self.faults if f["kind"] == "clock" and f["at"] <= now)
+        return sum(fault["by"] for fault in self.faults if fault["kind"] == "clock" and fault["at"] <= now)
 
 
 def install(schedule: FaultSchedule) -> None:
-    """Replace the functions through which the balancer meets its machine."""
+    """Replace the functions through which the balancer uses the operating system."""
 
     class FaultySocket(REAL_SOCKET):
-        outgoing = False  # a client's own connection is not broken: it would have to be told
+        outgoing = False  # client connections are not broken: the client would have to learn of it
 
         def __init__(self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None):
             if fileno is None:
@@ -61,7 +69,7 @@
             super().__init__(family, type, proto, fileno)
 
         def accept(self) -> Any:
-            # accept(2): an error of the new connection takes that connection from the queue.
+            # accept(2): an error of a new connection removes that connection from the queue.
             schedule.maybe_raise("accept", ACCEPT_ERRORS)
             return super().accept()
 
@@ -84,18 +92,18 @@
 
         def sendmsg(self, buffers: Any, *rest: Any) -> int:
             if schedule.active_fault("short") and self.type == socket.SOCK_STREAM:
-                whole = b"".join(buffers)
-                buffers = [whole[: max(1, len(whole) // 2)]]
+                data = b"".join(buffers)
+                buffers = [data[: max(1, len(data) // 2)]]
             return super().sendmsg(buffers, *rest)
 
-    def faulty_open(path: Any, *args: Any, **named: Any) -> Any:
+    def faulty_open(path: Any, *args: Any, **keywords: Any) -> Any:
         if str(path).endswith(".json"):
             schedule.maybe_raise("disk", DISK_ERRORS)
-        return REAL_OPEN(path, *args, **named)
+        return REAL_OPEN(path, *args, **keywords)
 
-    def faulty_rename(*args: Any, **named: Any) -> None:
+    def faulty_rename(*args: Any, **keywords: Any) -> None:
         schedule.maybe_raise("disk", DISK_ERRORS)
-        REAL_RENAME(*args, **named)
+        REAL_RENAME(*args, **keywords)
 
     event_loop_class = asyncio.selector_events.BaseSelectorEventLoop
     real_connect = event_loop_class.sock_connect
@@ -112,6 +120,7 @@
 
 
 def main() -> int:
+    """Install the faults, then run the balancer's command with this process's arguments."""
     with REAL_OPEN(os.environ["SOAK_FAULTS"], encoding="utf-8") as file:
         faults = json.load(file)
     install(FaultSchedule(faults, random.Random(os.getpid())))
--- a/bellrack/lab/soak/proxy.py
+++ b/bellrack/lab/soak/proxy.py
@@ -1,8 +1,18 @@
 """The fault proxy between balancers and servers: `python -m bellrack.lab.soak.proxy EVENTS NUMBER SERVERS`.
 
-Each balancer has a listener of its own for each server, so every attempt is known by both. SERVERS is a JSON
-object of their addresses. An attempt is recorded when its first line is whole, with the time of its first
-byte. The command `mode` sets how attempts at a server are treated, `idle_reset` resets its open connections.
+NUMBER is the number of balancers, SERVERS a JSON object with the address of each server. There is a listener
+for each pair of balancer and server, so both are known of every attempt. An attempt is recorded when its
+first line is complete, with the time of its first byte. The command `idle_reset` resets the open connections
+to a server; `mode` sets how attempts at it are treated:
+
+- `pass`: forwarded unchanged
+- `hang`: the server's answer is not forwarded
+- `reset`: the connection is reset after the server's answer
+- `late`: the request is delayed by up to MAX_DELAY_SECONDS
+- `half`: half of the answer is forwarded, then the connection is reset
+- `spoilt`: an invalid line is sent before the answer
+- `pieces`: the answer and all lines after it are forwarded in parts of 3 bytes
+- `error`: `ERR` is sent instead of the answer
 """
 
 from __future__ import annotations
@@ -19,20 +29,23 @@
 from bellrack.lab.soak.process import EventLog, listen, serve_commands
 
 MODES = ("pass", "hang", "reset", "late", "half", "spoilt", "pieces", "error")
-MAX_DELAY_SECONDS = 1.0  # seconds for which `late` delays the first line, at most
-INVALID_LINE_GAP_SECONDS = 0.01  # seconds between a spoilt answer and the one after it
-READ_BYTES = 65536
+MAX_DELAY_SECONDS = 1.0  # longest delay in mode `late`
+INVALID_LINE_GAP_SECONDS = 0.01  # after an invalid line or half an answer
+READ_BYTES = 65536  # most bytes of one read
 
 
 class Proxy:
+    """Listeners for all pairs of balancer and server, and the mode of each server."""
+
     def __init__(self, balancers: int, servers: dict[str, str], events: EventLog):
         self.balancers, self.servers, self.events = balancers, servers, events
         self.modes = dict.fromkeys(servers, "pass")
-        self.open_requests: dict[str, dict[asyncio.StreamWriter, str]] = defaultdict(dict)  # ids, by server
+        # By server: established connections with their request ids.
+        self.open_requests: dict[str, dict[asyncio.StreamWriter, str]] = defaultdict(dict)
         self.rng = random.Random(len(servers))
 
     async def start(self) -> list[dict[str, str]]:
-        """The address of each server as each balancer has it."""
+        """Listen; return for each balancer the addresses that stand for the servers."""
         addresses = []
         for balancer in range(self.balancers):
             row = {}
@@ -42,7 +55,9 @@
         return addresses
 
     def handler(self, balancer: int, name: str) -> Any:
-        async def connected(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Return the connection handler for a balancer and a server."""
+
+        async def handle_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 await self.attempt(balancer, name, reader, writer)
             except (ConnectionError, asyncio.IncompleteReadError):
@@ -50,9 +65,10 @@
             finally:
                 writer.close()
 
-        return connected
+        return handle_connection
 
     async def attempt(self, balancer: int, name: str, reader: Any, writer: Any) -> None:
+        """Record an attempt and forward it in the mode of its server."""
         first = await reader.readexactly(1)
         first_byte_at = time.monotonic()
         line = first + await reader.readline()
@@ -68,6 +84,7 @@
     async def forward(
         self, name: str, mode: str, request: str, line: bytes, reader: Any, writer: Any
     ) -> None:
+        """Forward the request line to the server, then data in both directions until one side ends."""
         host, port = self.servers[name].split(":")
         try:
             server_reader, server_writer = await asyncio.open_connection(host, int(port))
@@ -96,7 +113,7 @@
     async def inject_failure(
         self, mode: str, request: str, server_reader: Any, writer: Any, reader: Any
     ) -> None:
-        """The request has run, or may have; its answer does not come whole."""
+        """Withhold, cut or replace the answer of a request that the server may have executed."""
         if mode == "hang":
             await reader.read()
             return
@@ -110,28 +127,37 @@
         self.reset_connection(request, writer)
 
     async def copy(self, reader: Any, writer: Any, pieces: bool) -> None:
-        """Raises ConnectionResetError if the reading side is reset."""
+        """Copy data until the reader's end, then close the sending side of the writer.
+
+        With `pieces`, the data is written in parts of 3 bytes. Raises ConnectionResetError if the reading
+        side is reset.
+        """
         while data := await reader.read(READ_BYTES):
-            for part in [data[at : at + 3] for at in range(0, len(data), 3)] if pieces else [data]:
+            for part in (
+                [data[offset : offset + 3] for offset in range(0, len(data), 3)] if pieces else [data]
+            ):
                 writer.write(part)
                 await asyncio.sleep(0)
         with contextlib.suppress(OSError):
             writer.write_eof()
 
     def reset_connection(self, request: str, writer: Any) -> None:
+        """Reset the balancer's connection and record the end by the server's side."""
         self.events.write("server_end", id=request)
         writer.transport.abort()
 
-    async def command(self, words: dict[str, Any]) -> Any:
-        if words["do"] == "mode":
-            self.modes[words["s"]] = words["mode"]
-        elif words["do"] == "idle_reset":
-            for writer, request in list(self.open_requests[words["s"]].items()):
+    async def command(self, fields: dict[str, Any]) -> Any:
+        """Apply a command (see the module)."""
+        if fields["do"] == "mode":
+            self.modes[fields["s"]] = fields["mode"]
+        elif fields["do"] == "idle_reset":
+            for writer, request in list(self.open_requests[fields["s"]].items()):
                 self.reset_connection(request, writer)
         return None
 
 
 async def main(path: str, balancers: int, servers: dict[str, str]) -> None:
+    """Serve until standard input ends; `path` is the file for events."""
     proxy = Proxy(balancers, servers, EventLog(path))
     await serve_commands(await proxy.start(), proxy.command)
 
--- a/bellrack/lab/soak/servers.py
+++ b/bellrack/lab/soak/servers.py
@@ -1,7 +1,8 @@
-"""A process of stand-in servers: `python -m bellrack.lab.soak.servers EVENTS NAME...`.
+"""A process of stub servers: `python -m bellrack.lab.soak.servers EVENTS NAME...`.
 
-A server answers a first line with `UP`, or `BUSY` while it drains or is full, and echoes each line after it.
-Commands: `drain`, `stop` (resets what stands and forgets it) and `start` of a server by name.
+A server answers a request line with `UP`, or with `BUSY` while it drains or is full, and echoes each line
+after it. Commands: `drain`, `stop` (resets all connections and refuses new ones) and `start` of a server by
+name.
 """
 
 from __future__ import annotations
@@ -12,10 +13,12 @@
 
 from bellrack.lab.soak.process import EventLog, listen, serve_commands
 
-CAPACITY = 12  # connections that a server holds (PROTOCOL.md: "it holds only so many")
+CAPACITY = 12  # established connections of a server (PROTOCOL.md: "it holds only so many")
 
 
 class Server:
+    """One stub server."""
+
     def __init__(self, name: str, events: EventLog):
         self.name, self.events = name, events
         self.draining = self.stopped = False
@@ -23,6 +26,7 @@
         self.accepted = self.active = 0
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve a connection from the proxy until one side closes it."""
         if self.stopped:
             writer.transport.abort()
             return
@@ -38,6 +42,7 @@
             writer.close()
 
     async def serve(self, request: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Refuse the request, or accept it and echo lines."""
         if self.draining or self.active >= CAPACITY:
             self.events.write("busy", s=self.name, id=request)
             writer.write(b"BUSY\r\n")
@@ -53,21 +58,23 @@
             self.active -= 1
 
     def reset_all(self) -> None:
+        """Reset all connections."""
         for writer in list(self.connections):
             writer.transport.abort()
 
 
 async def main(path: str, names: list[str]) -> None:
+    """Serve until standard input ends; `path` is the file for events."""
     events = EventLog(path)
     servers = {name: Server(name, events) for name in names}
     addresses = {}
     for name, server in servers.items():
         _, addresses[name] = await listen(server.handle_connection)
 
-    async def command(words: dict[str, Any]) -> Any:
-        server = servers[words["s"]]
-        server.draining = words["do"] == "drain"
-        server.stopped = words["do"] == "stop"
+    async def command(fields: dict[str, Any]) -> Any:
+        server = servers[fields["s"]]
+        server.draining = fields["do"] == "drain"
+        server.stopped = fields["do"] == "stop"
         if server.stopped:
             server.reset_all()
         return None
