--- a/bellrack/lab/soak/campaign.py
+++ b/bellrack/lab/soak/campaign.py
@@ -1,8 +1,8 @@
-"""A range of seeds of the soak: plays what has no result yet, and writes one summary.
+"""Runs a range of seeds of the soak and writes one summary.
 
-A play is a process of its own, so that one that fails ends no other. Its result is a JSON file in the folder
-of results; an interrupted campaign goes on with the seeds that have none. The logs and events of a play that
-found something are kept beside it.
+Each seed runs in a process of its own, so that a failure does not end the others. Its result is a JSON file
+in the folder of results; an interrupted campaign continues with the seeds that have no result. The logs and
+events of a run that found something are kept in the same folder.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 class CampaignError(ValueError):
-    """A campaign that can't be played as asked; the text says why, on one line."""
+    """A campaign cannot run with these options; the message is one line."""
 
 
 @dataclass(frozen=True)
 class Result:
-    """What one seed's play found and played."""
+    """What the run of one seed found, and counts of what it did. Written as JSON under these field names."""
 
     seed: int
     options: list[str]
@@ -36,23 +36,27 @@
 
 @dataclass
 class Campaign:
+    """A range of seeds that run with the same options."""
+
     seeds: range
-    options: list[str]  # of each play, as the command takes them
-    folder: Path
+    options: list[str]  # command-line options of each run
+    folder: Path  # of the results
 
     def result_path(self, seed: int) -> Path:
+        """Return the file of a seed's result."""
         return self.folder / f"seed-{seed}.json"
 
     def run_folder(self, seed: int) -> Path:
+        """Return the folder of a seed's logs and events."""
         return self.folder / f"play-{seed}"
 
     def load_results(self) -> Iterator[Result]:
-        """Raises CampaignError if the folder holds results of other options."""
+        """Yield the results in the folder. Raises CampaignError if one is of other options."""
         for seed in self.seeds:
             if (path := self.result_path(seed)).exists():
                 result = Result(**json.loads(path.read_text()))
                 if result.options != self.options:
-                    raise CampaignError(f"{path} was played with {' '.join(result.options)}")
+                    raise CampaignError(f"{path} was run with {' '.join(result.options)}")
                 yield result
 
     def run(self, concurrency: int) -> list[Result]:
@@ -75,15 +79,19 @@
         return ordered
 
     def run_seed(self, seed: int) -> Result:
+        """Run a seed in a process of its own and write its result.
+
+        A process that prints no result counts as a finding.
+        """
         folder, started_at = self.run_folder(seed), time.monotonic()
-        shutil.rmtree(folder, ignore_errors=True)  # of a play that was interrupted
+        shutil.rmtree(folder, ignore_errors=True)  # of an interrupted run
         command = [sys.executable, "-m", "bellrack.lab.soak", "--seed", str(seed), "--keep", str(folder)]
         process = subprocess.run([*command, *self.options, "--json"], capture_output=True, text=True)
         try:
             output = json.loads(process.stdout)
         except ValueError:
-            last = (process.stderr.strip().splitlines() or ["nothing printed"])[-1]
-            output = {"found": [f"soak: ended with {process.returncode}: {last}"], "counts": {}}
+            last_line = (process.stderr.strip().splitlines() or ["nothing printed"])[-1]
+            output = {"found": [f"soak: ended with {process.returncode}: {last_line}"], "counts": {}}
         result = Result(seed, self.options, output["found"], output["counts"], time.monotonic() - started_at)
         if not result.found:
             shutil.rmtree(folder, ignore_errors=True)
@@ -94,13 +102,13 @@
 
 
 def summary(results: Iterable[Result]) -> Iterator[str]:
-    """Lines: what was found, by rule and by seed, and what was played in all."""
+    """Yield the lines of the summary: findings by rule and by seed, and the total counts."""
     results = list(results)
     rules = Counter(line.split(":")[0] for result in results for line in result.found)
     counts = sum((Counter(result.counts) for result in results), Counter())
-    found = [result for result in results if result.found]
+    failed = [result for result in results if result.found]
     yield f"{len(results)} seeds, {' '.join(results[0].options) if results else ''}".rstrip()
-    yield f"{len(found)} seeds found something; by rule: {json.dumps(dict(rules.most_common()))}"
-    for result in found:
+    yield f"{len(failed)} seeds found something; by rule: {json.dumps(dict(rules.most_common()))}"
+    for result in failed:
         yield from (f"seed {result.seed}: {line}" for line in result.found)
     yield "played: " + ", ".join(f"{name} {count}" for name, count in sorted(counts.items()))
--- a/tests/test_soak_campaign.py
+++ b/tests/test_soak_campaign.py
@@ -45,7 +45,7 @@
 
 def test_results_of_other_options_are_not_mixed(plays, tmp_path):
     campaign.Campaign(range(1, 2), OPTIONS, tmp_path).run(1)
-    with pytest.raises(campaign.CampaignError, match="seed-1.json was played with --rate 50"):
+    with pytest.raises(campaign.CampaignError, match="seed-1.json was run with --rate 50"):
         campaign.Campaign(range(1, 2), ["--rate", "60"], tmp_path).run(1)
 
 
