--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,5 +1,5 @@
-"""The soak's oracle sees each broken rule and nothing else; its plan is drawn from the seed alone; a short
-play of real processes leaves nothing found."""
+"""Tests of the soak: the oracle reports each broken rule and nothing else, a plan depends only on its seed,
+and a short run of real processes without troubles finds nothing."""
 
 import asyncio
 import dataclasses
@@ -38,22 +38,22 @@
     return {"ev": "told", "t": t, "b": 0, "generation": generation, "reset": False}
 
 
-def record(outcomes=(), events=(), kills=(), starts=(0.0,), detached=(), unreachable=(), **named):
-    kept = {"kills": {0: list(kills)}, "starts": {0: list(starts)}}
+def record(outcomes=(), events=(), kills=(), starts=(0.0,), detached=(), unreachable=(), **fields):
+    by_balancer = {"kills": {0: list(kills)}, "starts": {0: list(starts)}}
     return oracle.Record(
         deployment.LIMITS,
         sorted(events, key=lambda event: event["t"]),
         list(outcomes),
-        kept["kills"],
-        kept["starts"],
+        by_balancer["kills"],
+        by_balancer["starts"],
         list(detached),
         list(unreachable),
-        **named,
+        **fields,
     )
 
 
-def rules_broken(*args, **named):
-    return [violation.rule for violation in oracle.find_violations(record(*args, **named))]
+def broken_rules(*args, **fields):
+    return [violation.rule for violation in oracle.find_violations(record(*args, **fields))]
 
 
 TTL = deployment.LIMITS.key_ttl
@@ -80,25 +80,25 @@
         ({"behaviour": "leaves", "answers": [], "closed_at": 10.3}, []),
     ],
 )
-def test_answers_and_ends(values, rules):
-    assert rules_broken([outcome(**values)], [attempt(10.0), RAN]) == rules
+def test_reports_missing_and_late_answers_and_broken_connections(values, rules):
+    assert broken_rules([outcome(**values)], [attempt(10.0), RAN]) == rules
 
 
-def test_a_kill_or_an_end_of_the_server_excuses():
+def test_excuses_what_a_killed_balancer_or_an_ended_server_explains():
     lost = outcome(answers=[], ended_at=10.4, closed_at=None)
-    assert rules_broken([lost], kills=[10.4]) == [] and rules_broken([lost], kills=[12.5]) == ["lost"]
+    assert broken_rules([lost], kills=[10.4]) == [] and broken_rules([lost], kills=[12.5]) == ["lost"]
     cut = outcome(ended_at=11.0, closed_at=None)
-    assert rules_broken([cut], [attempt(10.0), {"ev": "server_end", "t": 11.0, "id": "a1"}]) == []
+    assert broken_rules([cut], [attempt(10.0), {"ev": "server_end", "t": 11.0, "id": "a1"}]) == []
 
 
 @pytest.mark.parametrize("late, rules", [(0.1, []), (0.2, ["for_nobody"])])
-def test_an_attempt_for_a_client_that_has_gone(late, rules):
+def test_reports_an_attempt_after_its_client_has_closed(late, rules):
     gone = outcome(behaviour="leaves", answers=[], closed_at=10.3)
-    assert rules_broken([gone], [attempt(10.3 + late)]) == rules
+    assert broken_rules([gone], [attempt(10.3 + late)]) == rules
 
 
 @pytest.mark.parametrize(
-    "kind, again, busy, answer, rules",
+    "kind, repeated_after, busy, answer, rules",
     [
         ("chat", 0.5, False, "UP", []),
         ("order", TTL, False, "UP", []),
@@ -110,22 +110,22 @@
         ("pay", None, True, "BUSY", []),
     ],
 )
-def test_effects(kind, again, busy, answer, rules):
-    events = [attempt(10.0)] + ([attempt(10.0 + again, "s-1")] if again else [])
+def test_reports_repeated_effects_and_false_refusals(kind, repeated_after, busy, answer, rules):
+    events = [attempt(10.0)] + ([attempt(10.0 + repeated_after, "s-1")] if repeated_after else [])
     if busy:
         events.append({"ev": "busy", "t": 10.0, "s": "s-0", "id": "a1"})
-    assert rules_broken([outcome(kind, answers=[(11.4, f"{answer} 1")])], events) == rules
+    assert broken_rules([outcome(kind, answers=[(11.4, f"{answer} 1")])], events) == rules
 
 
 GRACE = deployment.LIMITS.drain_grace + oracle.TOLERANCE_SECONDS + oracle.RECORDING_DELAY_SECONDS
 
 
 @pytest.mark.parametrize(
-    "sent, events, named, rules",
+    "sent, events, fields, rules",
     [
         (5.0 + GRACE - 0.01, [told(5.0, 2)], {}, []),
         (5.0 + GRACE + 0.01, [told(5.0, 2)], {}, ["drain"]),
-        (11.0 + GRACE - 0.01, [], {}, []),  # 6 s after it was changed, told or not
+        (11.0 + GRACE - 0.01, [], {}, []),  # 6 s after the change, with or without a list
         (11.0 + GRACE + 0.01, [], {}, ["drain"]),
         (11.0 + GRACE + 0.01, [], {"unreachable": [(6.0, 8.0)]}, []),
         (14.0 + GRACE + 0.01, [], {"unreachable": [(6.0, 8.0)]}, ["drain"]),
@@ -133,52 +133,54 @@
         (8.0 + GRACE - 0.01, [], {"pushed": True, "unreachable": [(4.0, 8.0)]}, []),
         (8.0 + GRACE - 0.01, [], {"pushed": True, "reloads": {0: [4.0]}}, []),
         (8.5 + GRACE + 0.01, [], {"pushed": True, "reloads": {0: [4.0]}}, ["drain"]),
-        (8.0, [told(5.0, 2)], {"starts": [0.0, 7.0]}, []),  # a process that knows nothing of it
+        (8.0, [told(5.0, 2)], {"starts": [0.0, 7.0]}, []),  # a new process that does not know of it
         (8.0, [told(5.0, 2), told(7.1, 2)], {"starts": [0.0, 7.0]}, ["drain"]),
         (8.0, [told(5.0, 2), change(6.0, "in_service", 3), told(6.0, 3)], {}, []),
     ],
 )
-def test_drains(sent, events, named, rules):
-    assert rules_broken([], [change(5.0, "terminating", 2), *events, attempt(sent)], **named) == rules
+def test_reports_attempts_after_a_known_drain(sent, events, fields, rules):
+    assert broken_rules([], [change(5.0, "terminating", 2), *events, attempt(sent)], **fields) == rules
 
 
-def test_what_is_detached():
+def test_reports_attempts_at_a_detached_server():
     detached = [(0, "s-0", 5.0, 9.0)]
-    assert rules_broken([], [attempt(5.0 + GRACE - 0.01), attempt(9.1)], detached=detached) == []
-    assert rules_broken([], [attempt(5.0 + GRACE + 0.01)], detached=detached) == ["detached"]
+    assert broken_rules([], [attempt(5.0 + GRACE - 0.01), attempt(9.1)], detached=detached) == []
+    assert broken_rules([], [attempt(5.0 + GRACE + 0.01)], detached=detached) == ["detached"]
 
 
-def test_a_cold_server_bears_its_bound_in_any_window():
+def test_reports_more_requests_to_a_cold_server_than_its_bound_in_one_window():
     start = [change(5.0, "in_service", 2, start=True), told(5.1, 2)]
-    most = math.floor(deployment.LIMITS.request_bound(0.5))
-    events = [attempt(5.5 + number / 1000, request=f"{number}") for number in range(most + 1)]
-    assert rules_broken([], [*start, *events[:-1]]) == []
-    assert rules_broken([], [*start, *events]) == ["slow_start"]
+    bound = math.floor(deployment.LIMITS.request_bound(0.5))
+    events = [attempt(5.5 + number / 1000, request=f"{number}") for number in range(bound + 1)]
+    assert broken_rules([], [*start, *events[:-1]]) == []
+    assert broken_rules([], [*start, *events]) == ["slow_start"]
     apart = [event | {"t": event["t"] + 1.01 * number} for number, event in enumerate(events)]
-    assert rules_broken([], [*start, *apart]) == []
+    assert broken_rules([], [*start, *apart]) == []
 
 
-@pytest.mark.parametrize("knew, rules", [(0, []), (6, []), (7, ["slow_start"]), (9, ["slow_start"])])
-def test_a_cold_server_falls_by_those_that_had_been_told_of_its_start(knew, rules):
+@pytest.mark.parametrize("informed, rules", [(0, []), (6, []), (7, ["slow_start"]), (9, ["slow_start"])])
+def test_reports_a_cold_servers_overload_only_if_informed_balancers_caused_it(informed, rules):
     """STANDING.md: "over two thirds came from balancers that had been told of the start"."""
     sends = [attempt(5.5 + number / 100, request=f"{number}") for number in range(9)]
     assert len(sends) > deployment.LIMITS.request_bound(0.58)
-    start = [change(5.0, "in_service", 2, start=True), told(5.5 + (9 - knew) / 100 - 0.005, 2)]
-    assert rules_broken([], [*start, *sends]) == rules
+    start = [change(5.0, "in_service", 2, start=True), told(5.5 + (9 - informed) / 100 - 0.005, 2)]
+    assert broken_rules([], [*start, *sends]) == rules
 
 
-def test_a_start_counts_as_told_six_seconds_after_it():
-    """Also a short ramp later than that is judged: a list that is old excuses no one."""
+def test_balancers_count_as_informed_of_a_start_six_seconds_after_it():
+    """An overload after that is reported even if discovery has sent no list since the start."""
     limits = dataclasses.replace(deployment.LIMITS, ramp_time=60.0)
     sends = [
         attempt(5.0 + at + number / 100, request=f"{number}") for at in (0.5, 6.5) for number in range(12)
     ]
-    kept = dataclasses.replace(record([], [change(5.0, "in_service", 2, start=True), *sends]), limits=limits)
-    (violation,) = oracle.find_violations(kept)
+    long_ramp = dataclasses.replace(
+        record([], [change(5.0, "in_service", 2, start=True), *sends]), limits=limits
+    )
+    (violation,) = oracle.find_violations(long_ramp)
     assert violation.rule == "slow_start" and violation.time > 11.0
 
 
-def test_the_plan_is_the_seeds():
+def test_a_plan_depends_only_on_its_seed():
     drawn = [plan.draw(seed, 20.0, 4, 6, 30.0, list(deployment.EFFECTS)) for seed in (1, 1, 2)]
     assert drawn[0] == drawn[1] != drawn[2]
     assert all(trouble.until <= 20.0 - plan.COOL_DOWN_SECONDS for trouble in drawn[0].troubles)
@@ -188,10 +190,10 @@
     assert kinds == {*plan.PROCESS_TROUBLES, *plan.SERVER_TROUBLES, "discovery"}
 
 
-def test_a_server_holds_what_the_oracle_supposes_and_is_full_then(tmp_path):
-    """Guards against balancers that see servers bear more than the oracle judges them by."""
+def test_a_server_refuses_requests_beyond_the_capacity_that_the_oracle_assumes(tmp_path):
+    """Otherwise balancers would see servers accept more than the oracle's bounds allow them to send."""
 
-    async def play():
+    async def run():
         server = servers.Server("s-0", EventLog(str(tmp_path / "events.jsonl")))
         listener = await asyncio.start_server(server.handle_connection, "127.0.0.1")
         address = listener.sockets[0].getsockname()
@@ -211,7 +213,7 @@
             writer.transport.abort()
         listener.close()
 
-    asyncio.run(asyncio.wait_for(play(), 10))
+    asyncio.run(asyncio.wait_for(run(), 10))
     assert deployment.LIMITS.capacity == servers.CAPACITY
 
 
@@ -222,40 +224,40 @@
         ({"answers": [(11.8, "BUSY")]}, "answered_late"),
     ],
 )
-def test_what_came_while_the_clients_stood_still_is_judged_by_when_it_can_have_come(values, rule):
+def test_input_read_after_a_pause_of_the_clients_counts_from_the_start_of_the_pause(values, rule):
     read = values.get("ended_at") or values["answers"][0][0]
     for pauses, rules in (
         ([], [rule]),
         ([(read - 0.7, read - 0.01)], []),
-        ([(read - 0.1, read - 0.01)], [rule]),  # too short to be the reason
-        ([(read - 1.2, read - 0.5)], [rule]),  # it was over by then
+        ([(read - 0.1, read - 0.01)], [rule]),  # too short to explain the delay
+        ([(read - 1.2, read - 0.5)], [rule]),  # ended long before
     ):
-        assert rules_broken([outcome(**values)], pauses=pauses) == rules
+        assert broken_rules([outcome(**values)], pauses=pauses) == rules
 
 
-def test_what_was_written_as_the_connection_broke_counts_as_told_six_seconds_later():
+def test_a_list_written_while_the_connection_breaks_counts_as_known_six_seconds_later():
     events = [change(5.0, "terminating", 2), told(5.1, 2)]
-    for begun, ended, rules in (
+    for since, until, rules in (
         (5.05, 5.3, []),
         (5.15, 5.3, []),
         (4.0, 5.05, ["drain"]),
         (5.3, 6.0, ["drain"]),
     ):
-        assert rules_broken([], [*events, attempt(6.0)], breaks={0: [(begun, ended)]}) == rules
-    assert rules_broken([], [*events, attempt(11.8)], breaks={0: [(5.05, 5.3)]}) == ["drain"]
+        assert broken_rules([], [*events, attempt(6.0)], breaks={0: [(since, until)]}) == rules
+    assert broken_rules([], [*events, attempt(11.8)], breaks={0: [(5.05, 5.3)]}) == ["drain"]
 
 
-def test_a_process_that_starts_can_ask_when_it_first_answers_at_the_latest():
+def test_a_new_process_can_ask_discovery_once_it_has_answered_an_operator():
     events = [change(5.0, "terminating", 2), attempt(11.9)]
     for first_answer, rules in ((5.3, ["drain"]), (6.2, [])):
-        named = {"starts": [5.0], "unreachable": [(5.9, 15.0)], "first_answers": {0: [first_answer]}}
-        assert rules_broken([], events, **named, pushed=True) == rules
+        fields = {"starts": [5.0], "unreachable": [(5.9, 15.0)], "first_answers": {0: [first_answer]}}
+        assert broken_rules([], events, **fields, pushed=True) == rules
 
 
 @pytest.mark.parametrize(
     "code, text, crash", [(-15, "", False), (-15, "event=serving", True), (-10, "", True), (1, "", True)]
 )
-def test_only_sigterm_ends_a_process_before_its_code_without_being_a_crash(tmp_path, code, text, crash):
+def test_an_exit_after_sigterm_is_no_crash_only_while_the_interpreter_starts(tmp_path, code, text, crash):
     balancer, log = processes.Balancer(0, tmp_path, {}), tmp_path / "n0-0.log"
     log.write_text(text)
     process = mock.Mock(pid=7, returncode=code, wait=mock.AsyncMock(return_value=code))
@@ -265,7 +267,7 @@
     balancer.listen_reservation.close()
 
 
-def test_a_connection_that_is_held_is_seen_and_one_that_is_ended_is_not():
+def test_counts_established_connections_of_the_process_but_not_ended_ones():
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
         assert processes.count_established(os.getpid(), port) == 0
@@ -276,7 +278,7 @@
             assert processes.count_established(os.getpid(), port) == 0
 
 
-def test_a_short_play_of_real_processes_without_troubles(tmp_path):
+def test_a_short_run_of_real_processes_without_troubles_finds_nothing(tmp_path):
     drawn = plan.draw(5, 6.0, 2, 4, 20.0, list(deployment.EFFECTS))
     drawn.troubles, drawn.faults = [], [[], []]
     found, counts = asyncio.run(command.soak(drawn, tmp_path))
