--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -1,9 +1,9 @@
-"""Mutants of the guards, played by hand on the soak: `python tests/play_soak_mutants.py [NAME...]`.
+"""Mutation test of the soak, run by hand: `python tests/play_soak_mutants.py [NAME...]`.
 
-Each takes a guard out, or undoes a fix, in a copy of the program, and plays seeds of the soak there until the
-oracle convicts it. What a process counts or logs against itself is not counted, and no invariant prevents a
-write. Prints the seed after which each is convicted and by which rule. Exits with 1 if a mutant that is not
-excused is convicted by no seed, or no longer applies. Takes some ten minutes on six cores.
+Each mutant removes a check, or undoes a fix, in a copy of the program. The soak then runs there, seed by
+seed, until the oracle detects the mutant. Faults that a process counts or logs about itself are not counted,
+and invariants prevent no write. Prints the seed and the rule that detected each mutant. Exits with 1 if a mutant
+without an excuse is not detected, or no longer applies. Takes some ten minutes on six cores.
 """
 
 import json
@@ -19,88 +19,91 @@
 ROOT = Path(__file__).parent.parent
 SEEDS = range(601, 605)
 OPTIONS = ("--seconds", "20", "--rate", "70", "--json")
-AT_ONCE = 3  # copies that are played beside one another
+CONCURRENCY = 3  # mutants that run at a time
+# Findings that come from a balancer's own log.
 SELF_REPORTED = re.compile(r"event=(fault|violation|loop)|a traceback")
-NOT_PREVENTED = ("net/invariants.py", "        return not broken\n", "        return True\n")
+# Without this edit, an invariant would prevent the wrong write that the oracle has to detect.
+INVARIANTS_OFF = ("net/invariants.py", "        return not broken\n", "        return True\n")
 
 
 @dataclass(frozen=True)
 class Mutant:
+    """A change of the program that the soak has to detect."""
+
     name: str
-    edits: tuple[
-        tuple[str, str, str], ...
-    ]  # file below bellrack/, what stands there once, what takes its place
-    focus: str
-    rules: tuple[str, ...]  # any of these convicts it; others may come of a busy machine
-    excuse: str = ""  # why no seed can convict it
+    # File below bellrack/, text that occurs in it once, replacement.
+    edits: tuple[tuple[str, str, str], ...]
+    focus: str  # of the soak
+    rules: tuple[str, ...]  # any of these detects it; other findings may come from a busy machine
+    excuse: str = ""  # why no seed can detect it
 
 
 MUTANTS = [
     Mutant(
-        "a repeat is written after its window",
+        "a repeat is written after its window has ended",
         (
             ("net/servers.py", "        if now >= self.leg.call.write_by:\n", "        if False:\n"),
-            NOT_PREVENTED,
+            INVARIANTS_OFF,
         ),
         "repeat",
         ("repeated_late",),
     ),
     Mutant(
-        "a repeat's window is the decision's",
+        "the window of a repeat leaves no time for stalls",
         (
             ("choice.py", "key_ttl - model.MAX_STALL_SECONDS - self.settings.tick", "key_ttl"),
             ("net/servers.py", "        if now >= self.leg.call.write_by:\n", "        if False:\n"),
-            NOT_PREVENTED,
+            INVARIANTS_OFF,
         ),
         "repeat",
         ("repeated_late",),
     ),
     Mutant(
         "a once-only request is repeated",
-        (("choice.py", "            return -math.inf\n", "            return math.inf\n"), NOT_PREVENTED),
+        (("choice.py", "            return -math.inf\n", "            return math.inf\n"), INVARIANTS_OFF),
         "repeat",
         ("effect_twice", "false_refusal"),
     ),
     Mutant(
-        "a drain heard while connecting is not heeded",
+        "a drain that is learned while connecting is ignored",
         (
             ("net/servers.py", "        if not self.leg.server.usable:\n", "        if False:\n"),
-            NOT_PREVENTED,
+            INVARIANTS_OFF,
         ),
         "drain",
         ("drain",),
     ),
     Mutant(
-        "a drain is not heeded",
+        "a drain is ignored",
         (
             ("choice.py", "[s for s in self.fleet if s.usable]", "[s for s in self.fleet if not s.cordoned]"),
             ("net/servers.py", "        if not self.leg.server.usable:\n", "        if False:\n"),
-            NOT_PREVENTED,
+            INVARIANTS_OFF,
         ),
         "drain",
         ("drain",),
     ),
     Mutant(
-        "an end that only the kernel knows is not asked for",
+        "a client's close that only the kernel knows is not checked",
         (
             (
                 "net/clients.py",
                 "        if self.remote_closed():\n            self.abandon(model.CANCELLED)\n",
                 "        return\n",
             ),
-            NOT_PREVENTED,
+            INVARIANTS_OFF,
         ),
         "leave",
         ("for_nobody",),
     ),
     Mutant(
-        "a cold server is warm at once",
+        "a cold server counts as warm at once",
         (("choice.py", "stand.warm_at = since + self.settings.ramp_time", "stand.warm_at = 0.0"),),
         "cold",
         ("slow_start",),
     ),
     Mutant(
-        "a start is believed by its stamp",
+        "the reported start time of a server is trusted",
         (
             (
                 "net/server_list.py",
@@ -112,7 +115,7 @@
         ("slow_start",),
     ),
     Mutant(
-        "each process has a cold server's budget",
+        "each process of a balancer has its own budget for a cold server",
         (
             ("choice.py", "server.local_state.tokens_used += max(0, self.available_tokens(server))", "pass"),
             ("choice.py", "        self.suspended = on\n", "        self.suspended = False\n"),
@@ -121,13 +124,13 @@
         ("slow_start",),
     ),
     Mutant(
-        "late set-ups to a cold server go out together",
+        "delayed requests to a cold server are written together",
         (("net/servers.py", "        if not cold.may_write(self.leg.server):\n", "        if False:\n"),),
         "cold",
         ("slow_start",),
     ),
     Mutant(
-        "a third process does not wait",
+        "a third process does not wait for the first",
         (
             (
                 "net/hot_restart.py",
@@ -139,13 +142,13 @@
         ("detached",),
     ),
     Mutant(
-        "what the sibling was told is not heeded",
+        "a newer list of the sibling process is ignored",
         (("net/server_list.py", "        if news.version > self.version:\n", "        if False:\n"),),
         "drain",
         ("drain",),
     ),
     Mutant(
-        "the predecessor's orders replace ours",
+        "orders of the predecessor replace newer ones",
         (
             (
                 "net/server_list.py",
@@ -162,19 +165,19 @@
         ("detached",),
     ),
     Mutant(
-        "SIGHUP ends a process that starts",
+        "SIGHUP ends a process that is starting",
         (("start_signals.py", "signal.signal(number, note)", "signal.signal(number, signal.SIG_DFL)"),),
         "restart",
         ("crash",),
     ),
     Mutant(
-        "a signal ends a process that has ended its work",
+        "a signal ends a process that has finished its shutdown",
         (("start_signals.py", "    signal.pthread_sigmask(signal.SIG_BLOCK, HEEDED)\n", "    pass\n"),),
         "signals",
         ("crash",),
     ),
     Mutant(
-        "no error of the machine passes",
+        "no error of the operating system is transient",
         (
             (
                 "net/transient.py",
@@ -186,37 +189,37 @@
         ("crash", "refused start"),
     ),
     Mutant(
-        "who waits in the listener at the end is not looked for",
+        "connections in the backlog are not accepted at shutdown",
         (("net/listeners.py", "            if not self.accept_waiting():\n", "            if False:\n"),),
         "restart",
         ("lost",),
     ),
     Mutant(
-        "who is silent at the end of a shutdown is not answered",
+        "silent clients are not answered at the end of a shutdown",
         (("net/shutdown.py", "            self.answer_silent()\n", "            pass\n"),),
         "restart",
         ("lost", "half_request"),
     ),
     Mutant(
-        "what stands at the end is not moved",
+        "established connections are not moved at shutdown",
         (("net/shutdown.py", '            client.move("leaving")\n', "            pass\n"),),
         "restart",
         ("cut", "held"),
     ),
     Mutant(
-        "a half request has its time anew from each process",
+        "each process restarts the time limit of a partial request",
         (("net/handoff.py", '            if "opened" in words:\n', "            if False:\n"),),
         "restart",
         ("half_request",),
     ),
     Mutant(
-        "a process that has ended runs its timers on",
+        "a process that has stopped still runs its timers",
         (("net/turns.py", "        self.stopped = True\n", "        self.stopped = False\n"),),
         "restart",
         ("for_nobody", "crash"),
     ),
     Mutant(
-        "two messages of 1 MiB",
+        "messages between processes are limited to 1 MiB",
         (("net/sibling.py", "MAX_MESSAGE_BYTES = 1 << 24 ", "MAX_MESSAGE_BYTES = 1 << 20 "),),
         "restart",
         ("detached", "drain"),
@@ -224,8 +227,8 @@
 ]
 
 
-def mutated(mutant, copy):
-    """A copy of the program with the mutant in it; False if it does not apply."""
+def apply_mutant(mutant, copy):
+    """Copy the program to `copy` and apply the mutant; return False if its edits do not apply."""
     for part in ("bellrack", "deploy"):
         shutil.copytree(ROOT / part, copy / part, ignore=shutil.ignore_patterns("__pycache__"))
     for name, old, new in mutant.edits:
@@ -237,10 +240,10 @@
     return True
 
 
-def convicted(mutant):
-    """What is said of it: the seed and the rules that convict it, or that none does."""
+def detect(mutant):
+    """Return whether the mutant is detected or excused, and a text with the seed and the rules."""
     with tempfile.TemporaryDirectory() as folder:
-        if not mutated(mutant, Path(folder)):
+        if not apply_mutant(mutant, Path(folder)):
             return False, "does not apply"
         for seed in SEEDS:
             command = [
@@ -252,28 +255,32 @@
                 "--focus",
                 mutant.focus,
             ]
-            ended = subprocess.run([*command, *OPTIONS], cwd=folder, capture_output=True, text=True)
-            found = json.loads(ended.stdout)["found"]
-            named = {line.split(":")[0] for line in found if not SELF_REPORTED.search(line)}
-            rules = {name for name in named if name.endswith(mutant.rules)}
+            process = subprocess.run([*command, *OPTIONS], cwd=folder, capture_output=True, text=True)
+            found = json.loads(process.stdout)["found"]
+            reported = {line.split(":")[0] for line in found if not SELF_REPORTED.search(line)}
+            rules = {name for name in reported if name.endswith(mutant.rules)}
             if rules:
                 return True, f"seed {seed}: {', '.join(sorted(rules))}"
-    return bool(mutant.excuse), f"by none of {len(SEEDS)} seeds{': ' * bool(mutant.excuse)}{mutant.excuse}"
+    return bool(
+        mutant.excuse
+    ), f"not detected by {len(SEEDS)} seeds{': ' * bool(mutant.excuse)}{mutant.excuse}"
 
 
 def main(names):
+    """Run the named mutants, or all of them, and return the exit status."""
     chosen = [mutant for mutant in MUTANTS if not names or mutant.name in names]
-    with ThreadPoolExecutor(AT_ONCE) as plays:
-        results = list(plays.map(told, chosen))
+    with ThreadPoolExecutor(CONCURRENCY) as executor:
+        results = list(executor.map(run_and_print, chosen))
     missed = results.count(False)
-    print(f"{len(chosen)} mutants, {missed} neither convicted nor excused")
+    print(f"{len(chosen)} mutants, {missed} neither detected nor excused")
     return missed > 0
 
 
-def told(mutant):
-    well, text = convicted(mutant)
+def run_and_print(mutant):
+    """Print the result of a mutant and return whether it is detected or excused."""
+    passed, text = detect(mutant)
     print(f"{mutant.name} ({mutant.focus}): {text}", flush=True)
-    return well
+    return passed
 
 
 if __name__ == "__main__":
