--- a/bellrack/lab/soak/clients.py
+++ b/bellrack/lab/soak/clients.py
@@ -49,7 +49,17 @@
 
 
 class Client:
-    """Sends one request and uses the connection as the request's behaviour says."""
+    """Sends one request and uses the connection. The behaviours of `plan.BEHAVIOUR_WEIGHTS`:
+
+    - `plain`: sends its request line at once, reads the answer and uses the connection
+    - `pieces`: sends the line in REQUEST_PIECES parts
+    - `leaves`: closes its sending side soon after the request
+    - `half`: sends half of the line and waits until the balancer ends the connection
+    - `late_line`: sends the line just before the balancer would close the idle connection
+    - `pinged`: sends PING first, and the line nearly two seconds later or more
+    - `pipelines`: sends the line twice at once
+    - `floods`: sends the line 200 times at once
+    """
 
     def __init__(self, demand: Demand, number: int, address: tuple[str, int]):
         self.demand, self.outcome = demand, Outcome(demand, f"{number:016x}", address)
@@ -84,7 +94,7 @@
         return outcome
 
     async def write_request(self) -> None:
-        """Send the request line, early, late, partly or repeatedly as the behaviour says."""
+        """Send the request line as the behaviour says."""
         line, behaviour = self.request_line(), self.demand.behaviour
         if behaviour == "half":
             self.writer.write(line[: len(line) // 2])
--- a/bellrack/lab/soak/faulty.py
+++ b/bellrack/lab/soak/faulty.py
@@ -3,7 +3,14 @@
 The environment variable `SOAK_FAULTS` names a JSON file: a list of objects with `kind`, `at` and `until`
 (seconds of the monotonic clock, which all processes of the machine share), `share` (of the calls that are
 affected) and `by` (seconds). The balancer's code is not changed: `time.time`, `socket.socket`, `os.rename`,
-`open` and the event loop's `sock_connect` are replaced before it is imported.
+`open` and the event loop's `sock_connect` are replaced before it is imported. Kinds:
+
+- `accept`, `socket`, `connect`: errors of these calls
+- `connect_late`: connections to servers are established up to `by` seconds late
+- `short`: reads and writes of a socket transfer only part of the data
+- `broken`: reads from servers and discovery fail as if the connection had broken
+- `disk`: errors when a JSON file is opened or a file is renamed
+- `clock`: the wall clock is off by `by` seconds from `at` on
 """
 
 from __future__ import annotations
--- a/bellrack/lab/soak/oracle.py
+++ b/bellrack/lab/soak/oracle.py
@@ -93,7 +93,7 @@
         )
 
     def discovery_usable_at(self, balancer: int, started: float) -> float:
-        """Return the latest time at which the process started at `started` could first ask discovery."""
+        """Return when the process that was started at `started` can ask discovery, at the latest."""
         answer_times = (time for time in self.first_answers.get(balancer, ()) if time >= started)
         return max(started + STARTUP_SECONDS, min(answer_times, default=started))
 
@@ -194,10 +194,10 @@
         ends = [outcome.closed_at or math.inf, outcome.ended_at or math.inf]
         if outcome.answers:
             ends.append(outcome.answers[0][0])
-        gone = min(ends)
+        request_end = min(ends)
         for event in attempts.get(outcome.id, ()):
-            if event["first"] > gone + ABANDONED_ATTEMPT_SECONDS + TOLERANCE_SECONDS:
-                late = event["first"] - gone
+            if event["first"] > request_end + ABANDONED_ATTEMPT_SECONDS + TOLERANCE_SECONDS:
+                late = event["first"] - request_end
                 violations.append(
                     Violation("for_nobody", event["t"], outcome.id, f"{late:.3f} s after its end")
                 )
@@ -205,7 +205,11 @@
 
 
 def check_effects(record: Record, attempts: dict[str, list[dict]]) -> list[Violation]:
-    """No effect happens twice, and a request is refused as not executed only if no server can have run it."""
+    """Check the attempts of each request against its effect.
+
+    A `fragile` request may run only once, and is refused as not executed only if no server can have run it. A
+    `dedup` request may not be repeated after its key has expired. An attempt that got BUSY has not run.
+    """
     busy = {(event["id"], event["s"]) for event in record.events if event["ev"] == "busy"}
     violations = []
     for outcome in record.outcomes:
--- a/bellrack/lab/soak/plan.py
+++ b/bellrack/lab/soak/plan.py
@@ -17,7 +17,7 @@
 PUSHED_SHARE = 0.3  # share of the seeds in which discovery pushes its lists
 QUIET_SHARE = 0.25  # share of the seeds with a period without requests and troubles
 QUIET_PERIOD_SECONDS = 8.0
-MAX_CONNECT_DELAY_SECONDS = 0.85  # below the connect timeout of the settings
+MAX_CONNECT_DELAY_SECONDS = 0.85  # less than the connect timeout of the settings (0.9 s)
 SIGNALS = ("SIGHUP", "SIGUSR1")  # the signals of a series
 SIGNALS_PER_SERIES = (3, 8)  # fewest and most
 MAX_SIGNAL_GAP_SECONDS = 0.15  # longest time between two signals of a series
@@ -49,7 +49,7 @@
 SERVER_TROUBLES = ("drain", "replace", "replace", "mode", "idle_reset")
 DISCOVERY_TROUBLES = ("down", "hang", "slow")
 FAULTS = ("accept", "socket", "connect", "connect_late", "short", "broken", "disk", "clock", "clock")
-# By kind of fault: the share of the calls that it affects while it is active; 1.0 for other kinds.
+# By kind of fault (see `faulty`): the share of the calls that it affects; 1.0 for other kinds.
 FAULT_SHARES = {
     "accept": 0.3,
     "socket": 0.4,
@@ -59,7 +59,7 @@
     "disk": 0.7,
 }
 PROXY_MODES = ("hang", "reset", "reset", "late", "half", "spoilt", "pieces", "error")
-# How clients behave (see `clients`), with the relative frequency of each.
+# How clients behave (see `clients.Client`), with the relative frequency of each.
 BEHAVIOUR_WEIGHTS = {
     "plain": 60,
     "pieces": 6,
--- a/bellrack/lab/soak/proxy.py
+++ b/bellrack/lab/soak/proxy.py
@@ -45,7 +45,7 @@
         self.rng = random.Random(len(servers))
 
     async def start(self) -> list[dict[str, str]]:
-        """Listen; return for each balancer the addresses that stand for the servers."""
+        """Listen; return for each balancer the address at which it reaches each server."""
         addresses = []
         for balancer in range(self.balancers):
             row = {}
--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -2,8 +2,8 @@
 
 Each mutant removes a check, or undoes a fix, in a copy of the program. The soak then runs there, seed by
 seed, until the oracle detects the mutant. Faults that a process counts or logs about itself are not counted,
-and invariants prevent no write. Prints the seed and the rule that detected each mutant. Exits with 1 if a mutant
-without an excuse is not detected, or no longer applies. Takes some ten minutes on six cores.
+and invariants prevent no write. Prints the seed and the rule that detected each mutant. Exits with 1 if a
+mutant without an excuse is not detected, or no longer applies. Takes some ten minutes on six cores.
 """
 
 import json
