--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -137,7 +137,10 @@
                     next(s for s in new.servers.values() if s.host_record.connections).host_record.connections
                 )
             )
-            assert 0 <= new.clock() - handed_over.unanswered[0] < 5 and 0 <= new.clock() - handed_over.leg.sent < 5
+            assert (
+                0 <= new.clock() - handed_over.unanswered[0] < 5
+                and 0 <= new.clock() - handed_over.leg.sent < 5
+            )
             with contextlib.suppress(ConnectionError):
                 server.end("fin")
             await world.first_ends(world.serving)
