--- a/bellrack/lab/clients.py
+++ b/bellrack/lab/clients.py
@@ -9,8 +9,8 @@
 import math
 from typing import TYPE_CHECKING
 
-from bellrack.lab.agenda import ARRIVAL, GUARD, START
 from bellrack.lab.chance import running
+from bellrack.lab.event_queue import ARRIVAL, GUARD, START
 
 if TYPE_CHECKING:
     from bellrack.lab.node import Out, VirtualNode
@@ -95,7 +95,7 @@
     def next_arrival(self) -> None:
         wait = self.arrivals.wait(1 / (self.form.rate * self.burst))
         if self.world.now + wait < START + self.world.scenario.length:
-            self.world.agenda.after(wait, ARRIVAL, self.comes)
+            self.world.event_queue.schedule_after(wait, ARRIVAL, self.comes)
 
     def comes(self) -> None:
         self.next_arrival()
@@ -119,7 +119,7 @@
         want.failed_since = world.now
         self.wants[want] = None
         world.ledger.wants(want, 1)
-        world.agenda.at(min(want.ends, LATEST), GUARD, self.leaves, want)
+        world.event_queue.schedule_at(min(want.ends, LATEST), GUARD, self.leaves, want)
         return want
 
     def is_dear(self, want: Want, trouble) -> bool:
@@ -143,8 +143,8 @@
         self.calls += 1
         delay = world.client_delay() + (0 if node.zone == want.zone else world.delay(want.zone, node.zone))
         attempt = want.attempt = Attempt(self.calls, want, node, world.now, world.now + kind.guard, delay)
-        world.agenda.after(delay, ARRIVAL, self.reaches, attempt)
-        world.agenda.at(attempt.guard, GUARD, self.gives_up, attempt)
+        world.event_queue.schedule_after(delay, ARRIVAL, self.reaches, attempt)
+        world.event_queue.schedule_at(attempt.guard, GUARD, self.gives_up, attempt)
 
     def reaches(self, attempt: Attempt) -> None:
         if not attempt.node.alive:
@@ -197,10 +197,12 @@
                 back = wait + back
             if how in ("none", "unreached"):
                 back = max(back, UNREACHED)
-            world.agenda.after(back, ARRIVAL, self.tries, want)
+            world.event_queue.schedule_after(back, ARRIVAL, self.tries, want)
         elif self.form.again[1] and not want.never:
             want.tries = 0
-            world.agenda.after(max(wait, self.waits.between(self.form.again)), ARRIVAL, self.anew, want)
+            world.event_queue.schedule_after(
+                max(wait, self.waits.between(self.form.again)), ARRIVAL, self.anew, want
+            )
 
     def anew(self, want: Want) -> None:
         """A new request for the same demand."""
@@ -227,11 +229,11 @@
         want.returned, want.tries, want.failed_since = True, 0, self.world.now
         self.requests += 1
         want.request, want.due = self.requests, self.world.now
-        self.world.agenda.after(self.waits.between(self.form.rejoin), ARRIVAL, self.tries, want)
+        self.world.event_queue.schedule_after(self.waits.between(self.form.rejoin), ARRIVAL, self.tries, want)
 
     def hangs_up(self, attempt: Attempt, kind: str = "cancelled") -> None:
         node = attempt.node
-        self.world.agenda.after(attempt.delay, ARRIVAL, node.turn, node.hung_up, attempt, kind)
+        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, node.turn, node.hung_up, attempt, kind)
 
     def leaves(self, want: Want) -> None:
         """The demand is over, served to its end or not."""
--- a/bellrack/lab/agenda.py
+++ b/bellrack/lab/event_queue.py
@@ -16,14 +16,14 @@
 TROUBLE, NEWS, RESULT, ARRIVAL, TIMER, GUARD, LOOK = range(7)
 
 
-class Agenda:
+class EventQueue:
     def __init__(self) -> None:
         self.micros = round(START * 1e6)
         self.now = START
         self.heap: list[tuple] = []
         self.count = 0  # of all put down: the order among equals
 
-    def at(self, when: float, rank: int, what: Callable, *values: object) -> None:
+    def schedule_at(self, when: float, rank: int, what: Callable, *values: object) -> None:
         """Due at that time in seconds, or now if that has passed."""
         self.count += 1
         micros = round(when * 1e6)
@@ -31,8 +31,8 @@
             self.heap, (micros if micros > self.micros else self.micros, rank, self.count, what, values)
         )
 
-    def after(self, wait: float, rank: int, what: Callable, *values: object) -> None:
-        self.at(self.now + wait, rank, what, *values)
+    def schedule_after(self, wait: float, rank: int, what: Callable, *values: object) -> None:
+        self.schedule_at(self.now + wait, rank, what, *values)
 
     def run(self, until: float) -> None:
         """Play all that is due up to and with that time."""
--- a/bellrack/lab/ledger.py
+++ b/bellrack/lab/ledger.py
@@ -11,7 +11,7 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-from bellrack.lab.agenda import START
+from bellrack.lab.event_queue import START
 
 if TYPE_CHECKING:
     from bellrack.lab.clients import Want
--- a/bellrack/lab/legs.py
+++ b/bellrack/lab/legs.py
@@ -10,7 +10,7 @@
 
 from bellrack import model
 from bellrack.lab import machine as machines
-from bellrack.lab.agenda import RESULT, TIMER
+from bellrack.lab.event_queue import RESULT, TIMER
 from bellrack.lab.node import SILENT, Out
 from bellrack.model import REFERENCED
 
@@ -80,9 +80,9 @@
             self.under_way[machine][out] = None
             stored = world.store.call(now)
             if stored is None:
-                world.agenda.after(world.scenario.store.timeout, RESULT, self.store_failed, out)
+                world.event_queue.schedule_after(world.scenario.store.timeout, RESULT, self.store_failed, out)
             else:
-                world.agenda.after(wait + stored, RESULT, self.comes_up, out)
+                world.event_queue.schedule_after(wait + stored, RESULT, self.comes_up, out)
 
     def hangs(self, machine: Machine) -> None:
         """What stands there brings no messages any more."""
@@ -103,7 +103,7 @@
     def comes_up(self, out: Out) -> None:
         """The set-up is done: this is when its effect happens, whoever still waits for it."""
         if out.machine.hung_until > self.world.now:
-            self.world.agenda.at(out.machine.hung_until, RESULT, self.comes_up, out)
+            self.world.event_queue.schedule_at(out.machine.hung_until, RESULT, self.comes_up, out)
             return
         if not self.ended_here(out):
             return
@@ -141,7 +141,7 @@
         if out.up:
             self.world.ledger.ends(out)
             self.forget(out)
-            self.world.agenda.after(out.delay, RESULT, self.leaves, out)
+            self.world.event_queue.schedule_after(out.delay, RESULT, self.leaves, out)
 
     def leaves(self, out: Out) -> None:
         if out.starts == out.machine.starts:
@@ -182,8 +182,8 @@
     def goes(self, out: Out, until: float) -> None:
         """A balancer opens a connection to a server, and sends its first line as soon as it is up."""
         self.sent(out)
-        self.world.agenda.after(LINE * out.delay, RESULT, self.reaches, out)
-        self.world.agenda.at(until, TIMER, out.node.turn, self.late, out)
+        self.world.event_queue.schedule_after(LINE * out.delay, RESULT, self.reaches, out)
+        self.world.event_queue.schedule_at(until, TIMER, out.node.turn, self.late, out)
 
     def late(self, out: Out) -> None:
         """The balancer's time for it is up."""
@@ -193,7 +193,7 @@
     def reaches(self, out: Out) -> None:
         machine = out.machine
         if machine.hung_until > self.world.now:
-            self.world.agenda.at(machine.hung_until, RESULT, self.reaches, out)
+            self.world.event_queue.schedule_at(machine.hung_until, RESULT, self.reaches, out)
         elif machine.silent:
             wait = self.world.scenario.rules.connect_timeout - LINE * out.delay
             self.result(out, model.NO_CONN, max(0.0, wait))
@@ -205,21 +205,21 @@
             self.accept(out)
 
     def result(self, out: Out, kind: str, wait: float) -> None:
-        self.world.agenda.after(wait, RESULT, out.node.turn, out.node.leg_over, out, kind)
+        self.world.event_queue.schedule_after(wait, RESULT, out.node.turn, out.node.leg_over, out, kind)
 
     def is_up(self, out: Out) -> None:
-        self.world.agenda.after(out.delay, RESULT, out.node.turn, out.node.stands, out)
+        self.world.event_queue.schedule_after(out.delay, RESULT, out.node.turn, out.node.stands, out)
 
     def ended(self, out: Out, silent: bool) -> None:
         # In a machine that vanished all stays open and silent, till its balancer misses messages.
         wait = self.stream.between(list(SILENT)) if silent else out.delay
         what = self.silent_end if silent else out.node.lost
-        self.world.agenda.after(wait, RESULT, out.node.turn, what, out)
+        self.world.event_queue.schedule_after(wait, RESULT, out.node.turn, what, out)
 
     def hangs(self, machine: Machine) -> None:
         for legs in self.standing[machine].values():
             for out in legs:
-                self.world.agenda.after(
+                self.world.event_queue.schedule_after(
                     self.stream.between(list(SILENT)), RESULT, out.node.turn, self.missed, out
                 )
 
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -25,8 +25,8 @@
 from bellrack import model
 from bellrack.lab import run as runs
 from bellrack.lab import scenario as forms
-from bellrack.lab.agenda import ARRIVAL, LOOK, RESULT, START, Agenda
 from bellrack.lab.clients import Attempt
+from bellrack.lab.event_queue import ARRIVAL, LOOK, RESULT, START, EventQueue
 from bellrack.lab.legs import Setups
 from bellrack.lab.machine import Machine
 from bellrack.lab.node import Out, Seat
@@ -60,7 +60,7 @@
 DIE_WITH_PARENT = 1  # PR_SET_PDEATHSIG
 
 
-class LiveAgenda(Agenda):
+class LiveEventQueue(EventQueue):
     """Real time, counted from when the run is set off. What is put down before waits for that."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, failed: Callable[[Exception], None]):
@@ -80,9 +80,9 @@
         self.begun = self.loop.time()
         before, self.before = self.before, []
         for when, rank, what, values in before:
-            self.at(when, rank, what, *values)
+            self.schedule_at(when, rank, what, *values)
 
-    def at(self, when: float, rank: int, what: Callable, *values: object) -> None:
+    def schedule_at(self, when: float, rank: int, what: Callable, *values: object) -> None:
         if self.begun is None:
             self.before.append((when, rank, what, values))
         else:
@@ -285,7 +285,7 @@
         self.note_answer(attempt, how, wait)
         if attempt.out and how == "completed":
             attempt.out.stood = True
-        self.world.agenda.after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
+        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
         if how != "completed":
             line.close()
             self.done_with(attempt)
@@ -296,7 +296,7 @@
         self.done_with(attempt)
         if line.moved:
             self.world.counters["moves"] += 1
-        self.world.agenda.after(
+        self.world.event_queue.schedule_after(
             attempt.delay,
             ARRIVAL,
             attempt.broken,
@@ -361,16 +361,16 @@
         out.link = link
         self.sent(out)
         # The way that the network of the scenario is longer than loopback.
-        self.world.agenda.after(3 * out.delay, RESULT, self.reaches, out)
+        self.world.event_queue.schedule_after(3 * out.delay, RESULT, self.reaches, out)
 
     def reaches(self, out: Out) -> None:
         if out.machine.hung_until > self.world.now:
-            self.world.agenda.at(out.machine.hung_until, RESULT, self.reaches, out)
+            self.world.event_queue.schedule_at(out.machine.hung_until, RESULT, self.reaches, out)
         elif out.machine.up and not out.machine.silent and not out.over:
             self.accept(out)
 
     def result(self, out: Out, kind: str, wait: float) -> None:
-        self.world.agenda.after(wait, RESULT, self.tell_result, out, kind)
+        self.world.event_queue.schedule_after(wait, RESULT, self.tell_result, out, kind)
 
     def tell_result(self, out: Out, kind: str) -> None:
         if out.over:
@@ -387,7 +387,7 @@
         out.node.note_back(out, kind)
 
     def is_up(self, out: Out) -> None:
-        self.world.agenda.after(out.delay, RESULT, self.tell_up, out)
+        self.world.event_queue.schedule_after(out.delay, RESULT, self.tell_up, out)
 
     def tell_up(self, out: Out) -> None:
         if not out.over and out.up:
@@ -459,7 +459,7 @@
         self.lists: list[Port] = [Port() for _ in names]
         self.relays: dict[tuple[int, int], Relay] = {}
         self.peer_ports = free_ports(len(names)) if scenario.datagrams.allowed else []
-        super().__init__(scenario, seed, None, LiveAgenda(loop, self.failed))
+        super().__init__(scenario, seed, None, LiveEventQueue(loop, self.failed))
         self.ports = {machine: Port() for machine in self.machines}
         self.server_lines: dict[Machine, dict[ServerLine, None]] = {m: {} for m in self.machines}
 
@@ -513,7 +513,9 @@
         wait = stream.between(form.delay) * (REORDERED if stream.hit(form.reorder) else 1)
         back = self.relays[relay.receiver, relay.sender].transport
         for _ in range(1 + stream.hit(form.twice)):
-            self.agenda.after(wait, RESULT, back.sendto, data, (HOST, self.peer_ports[relay.receiver]))
+            self.event_queue.schedule_after(
+                wait, RESULT, back.sendto, data, (HOST, self.peer_ports[relay.receiver])
+            )
 
     # Servers and balancers.
 
@@ -578,7 +580,7 @@
 
     def hung(self, machine: Machine) -> None:
         super().hung(machine)
-        self.agenda.at(machine.hung_until, LOOK, self.speaks_again, machine)
+        self.event_queue.schedule_at(machine.hung_until, LOOK, self.speaks_again, machine)
 
     def speaks_again(self, machine: Machine) -> None:
         for line in list(self.server_lines[machine]):
@@ -620,10 +622,10 @@
                 )
             await asyncio.sleep(PING_EACH)
         self.unix = time.time() - START
-        self.agenda.begin()
+        self.event_queue.begin()
         self.set_off()
-        self.agenda.at(START, LOOK, self.look_at_self, self.loop.time())
-        end = self.agenda.begun + self.scenario.length + self.scenario.tail
+        self.event_queue.schedule_at(START, LOOK, self.look_at_self, self.loop.time())
+        end = self.event_queue.begun + self.scenario.length + self.scenario.tail
         while self.loop.time() < end and not self.fault.done():
             await asyncio.wait([self.fault], timeout=min(0.5, max(0.0, end - self.loop.time())))
             tell(min(self.scenario.length + self.scenario.tail, self.now - START))
@@ -643,7 +645,7 @@
     def look_at_self(self, due: float) -> None:
         """How late is our own loop?"""
         self.lag = max(self.lag, self.loop.time() - due)
-        self.agenda.after(LAG_EACH, LOOK, self.look_at_self, self.loop.time() + LAG_EACH)
+        self.event_queue.schedule_after(LAG_EACH, LOOK, self.look_at_self, self.loop.time() + LAG_EACH)
 
     async def finish(self) -> None:
         """End all that was started, whatever has happened."""
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -11,7 +11,7 @@
 
 from bellrack import model
 from bellrack.accounting import Accounting
-from bellrack.lab.agenda import ARRIVAL, NEWS, RESULT, TIMER
+from bellrack.lab.event_queue import ARRIVAL, NEWS, RESULT, TIMER
 from bellrack.model import Call, Leg, Result, Server, Settings
 from bellrack.net import shutdown
 
@@ -123,7 +123,7 @@
             self.world.trace.add(self.now, "fault", self.name, repr(error))
 
     def soon(self, what: Callable, *values: Any) -> None:
-        self.world.agenda.after(0.0, RESULT, self.turn, what, *values)
+        self.world.event_queue.schedule_after(0.0, RESULT, self.turn, what, *values)
 
     # The Host.
 
@@ -151,7 +151,7 @@
         attempt: Attempt = call.host_record
         self.note_answer(attempt, how, wait)
         self.attempts.pop(attempt, None)
-        self.world.agenda.after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
+        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
 
     def move(self, call: Call) -> None:
         self.soon(self.moved, call.host_record, model.CANCELLED)
@@ -167,7 +167,7 @@
         machine, delay = self.machines[server.id_hash], self.world.delay(self.zone, 0)
         kind = model.COMPLETED if machine.up else model.NO_CONN
         wait = 2 * delay + (machine.delay(self.now) if machine.up else 0.0)
-        self.world.agenda.after(
+        self.world.event_queue.schedule_after(
             wait, RESULT, self.turn, self.balancer.on_probe_result, server, Result(kind, wait)
         )
 
@@ -175,7 +175,7 @@
         self.world.post(self, peer, data)
 
     def set_timer(self, when: float, what: Any) -> None:
-        self.world.agenda.at(when, TIMER, self.turn, self.on_timer, what)
+        self.world.event_queue.schedule_at(when, TIMER, self.turn, self.on_timer, what)
 
     def on_timer(self, what: Any) -> None:
         self.balancer.on_timer(what)
@@ -214,7 +214,9 @@
             self.leg_over(out, model.CANCELLED)  # it would stand for nobody
             return
         self.note_answer(out.attempt, "completed")
-        self.world.agenda.after(out.attempt.delay, ARRIVAL, out.attempt.answered, "completed", 0.0)
+        self.world.event_queue.schedule_after(
+            out.attempt.delay, ARRIVAL, out.attempt.answered, "completed", 0.0
+        )
         out.stood = True
         self.leg_established(out.leg)
         if self.shutting_down:
@@ -237,7 +239,7 @@
         if out is None or out.over or not out.leg.established:
             return
         self.world.counters["moves"] += 1
-        self.world.agenda.after(attempt.delay, ARRIVAL, attempt.broken, "moved")
+        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.broken, "moved")
         self.leg_over(out, kind)
 
     def lost(self, out: Out) -> None:
@@ -245,7 +247,7 @@
         if out.over:
             return
         if out.leg.established:
-            self.world.agenda.after(out.attempt.delay, ARRIVAL, out.attempt.broken, "reset")
+            self.world.event_queue.schedule_after(out.attempt.delay, ARRIVAL, out.attempt.broken, "reset")
         self.leg_over(out, model.RESET)
 
     def hung_up(self, attempt: Attempt, kind: str) -> None:
@@ -296,7 +298,7 @@
         self.in_vain = True
         self.turn(self.balancer.on_discovery_failed)
         if self.alive and not self.settings.asks:
-            self.world.agenda.after(WATCH_AGAIN, NEWS, self.turn, self.watch)
+            self.world.event_queue.schedule_after(WATCH_AGAIN, NEWS, self.turn, self.watch)
 
     # Its beginning and its end.
 
@@ -312,7 +314,7 @@
             if attempt.out and not attempt.out.over:
                 attempt.out.over = True
                 self.world.legs.closed(attempt.out)
-            self.world.agenda.after(attempt.delay, ARRIVAL, attempt.broken, "balancer killed")
+            self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.broken, "balancer killed")
 
     def leave(self, grace: float) -> None:
         """Asked to end, as on SIGTERM: net/shutdown.py says when who is moved."""
@@ -324,8 +326,12 @@
             share = shutdown.FIRST_MOVE_SHARE + (
                 shutdown.LAST_MOVE_SHARE - shutdown.FIRST_MOVE_SHARE
             ) * index / len(standing)
-            self.world.agenda.after(share * grace, TIMER, self.turn, self.moved, attempt, model.CANCELLED)
-        self.world.agenda.after(shutdown.MOVE_REST_SHARE * grace, TIMER, self.turn, self.move_rest)
+            self.world.event_queue.schedule_after(
+                share * grace, TIMER, self.turn, self.moved, attempt, model.CANCELLED
+            )
+        self.world.event_queue.schedule_after(
+            shutdown.MOVE_REST_SHARE * grace, TIMER, self.turn, self.move_rest
+        )
 
     def move_rest(self) -> None:
         for attempt in list(self.attempts):
--- a/bellrack/lab/roster.py
+++ b/bellrack/lab/roster.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from bellrack import model
-from bellrack.lab.agenda import NEWS, TROUBLE
+from bellrack.lab.event_queue import NEWS, TROUBLE
 
 if TYPE_CHECKING:
     from bellrack.lab.machine import Machine
@@ -36,7 +36,7 @@
         notice = self.stream.between(self.form.silent_notice if silent else self.form.notice)
         when = max(self.world.now + notice, self.due.get(machine, 0.0))
         self.due[machine] = when
-        self.world.agenda.at(when, TROUBLE, self.learn, machine, state, since)
+        self.world.event_queue.schedule_at(when, TROUBLE, self.learn, machine, state, since)
 
     def learn(self, machine: Machine, state: str, since: float) -> None:
         if self.known[machine] == (state, since):
@@ -46,8 +46,10 @@
             for node in list(self.watching):
                 self.tell(node, [machine], False)
         within = self.world.scenario.rules.ask_within
-        self.world.agenda.after(within, NEWS, self.counts, machine, state, since, False)
-        self.world.agenda.after(AFTER_FAILURE * within, NEWS, self.counts, machine, state, since, True)
+        self.world.event_queue.schedule_after(within, NEWS, self.counts, machine, state, since, False)
+        self.world.event_queue.schedule_after(
+            AFTER_FAILURE * within, NEWS, self.counts, machine, state, since, True
+        )
 
     def counts(self, machine: Machine, state: str, since: float, even_so: bool) -> None:
         """One that neither watches nor asks counts as told: it can't plead that it never heard. `even_so`:
@@ -65,7 +67,7 @@
         node.line_at = max(node.line_at, self.world.now + wait)
         rows = [(machine, *self.known[machine]) for machine in machines]
         self.lines += len(rows)
-        self.world.agenda.at(node.line_at, NEWS, node.listed, rows, whole)
+        self.world.event_queue.schedule_at(node.line_at, NEWS, node.listed, rows, whole)
 
     def rows(self) -> list[tuple[Machine, str, float]]:
         return [(machine, *known) for machine, known in self.known.items()]
@@ -74,14 +76,14 @@
         if not on:
             self.watching.pop(node, None)
         elif self.down:
-            self.world.agenda.after(self.world.client_delay() * 2, NEWS, node.unheard)
+            self.world.event_queue.schedule_after(self.world.client_delay() * 2, NEWS, node.unheard)
         elif node not in self.watching:
             self.watching[node] = None
             self.tell(node, list(self.known), True)
 
     def fetch(self, node: VirtualNode) -> None:
         if self.down:
-            self.world.agenda.after(self.world.client_delay() * 2, NEWS, node.unheard)
+            self.world.event_queue.schedule_after(self.world.client_delay() * 2, NEWS, node.unheard)
         else:
             self.tell(node, list(self.known), True)
 
@@ -91,7 +93,7 @@
         if down:
             watching, self.watching = list(self.watching), {}
             for node in watching:
-                self.world.agenda.after(self.world.client_delay(), NEWS, node.unheard)
+                self.world.event_queue.schedule_after(self.world.client_delay(), NEWS, node.unheard)
 
 
 class Front:
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -22,8 +22,8 @@
 from pathlib import Path
 from typing import Any
 
-from bellrack.lab.agenda import START
-from bellrack.lab.live import LATE, LiveAgenda, Tasks
+from bellrack.lab.event_queue import START
+from bellrack.lab.live import LATE, LiveEventQueue, Tasks
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.desk import Desk, Line
 from bellrack.lab.scale.guard import Guard, used_mb
@@ -146,7 +146,7 @@
         super().__init__(plan, seed, guard)
         self.loop = loop
         self.fault: asyncio.Future = loop.create_future()
-        self.agenda = LiveAgenda(loop, self.failed)
+        self.event_queue = LiveEventQueue(loop, self.failed)
         self.figures = [figures.Figures() for _ in range(plan.tier)]
         first = 0 if plan.real_first else plan.balancers
         self.real = list(range(first, first + plan.real))
@@ -358,7 +358,7 @@
                 await asyncio.sleep(0)
                 self.look()
         self.set_off()
-        self.agenda.begin()
+        self.event_queue.begin()
         for process in self.processes.values():
             for index in range(plan.clients.standing):
                 self.task(self.client(process, index))
--- a/bellrack/lab/scale/tier.py
+++ b/bellrack/lab/scale/tier.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Any
 
-from bellrack.lab.agenda import TROUBLE
 from bellrack.lab.chance import Chance
+from bellrack.lab.event_queue import TROUBLE
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.desk import DRAINS, Desk
 from bellrack.lab.scale.guard import Guard
@@ -22,10 +22,10 @@
 
 
 class Tier:
-    """`agenda` brings what is due: an `Agenda`. Numbers are balancers' in the tier; `nodes` has the hollow
+    """`event_queue` is an `EventQueue`. Numbers are balancers' in the tier; `nodes` has the hollow
     ones."""
 
-    agenda: Any
+    event_queue: Any
     desk: Desk
 
     def __init__(self, plan: Plan, seed: int, guard: Guard):
@@ -42,7 +42,7 @@
 
     @property
     def now(self) -> float:
-        return self.agenda.now
+        return self.event_queue.now
 
     def made(self, number: int) -> Hollow:
         """A hollow balancer at its start."""
@@ -79,7 +79,7 @@
     def set_off(self) -> None:
         plan = self.plan
         for number in self.hollow:
-            self.agenda.after(plan.warm_up * 0.25, TROUBLE, self.fill, number)
+            self.event_queue.schedule_after(plan.warm_up * 0.25, TROUBLE, self.fill, number)
         if plan.connections.changes:
             self.next_change()
         if plan.list_changes:
@@ -87,10 +87,10 @@
         if rate := plan.restarts * len(self.hollow) / TARGET / 3600:
             self.later("restarts", 1 / rate, self.restart_one)
         for trouble in plan.trouble:
-            self.agenda.after(trouble.at, TROUBLE, self.strike, trouble)
+            self.event_queue.schedule_after(trouble.at, TROUBLE, self.strike, trouble)
 
     def later(self, concern: str, mean: float, what: Callable) -> None:
-        self.agenda.after(self.chance[concern].wait(mean), TROUBLE, what)
+        self.event_queue.schedule_after(self.chance[concern].wait(mean), TROUBLE, what)
 
     def fill(self, number: int) -> None:
         """Choose the servers at which it holds connections, and let them stand."""
@@ -123,7 +123,7 @@
 
     def next_change(self) -> None:
         mean = 1 / (self.plan.connections.changes * len(self.hollow))
-        self.agenda.after(self.connections.wait(mean), TROUBLE, self.connection_changes)
+        self.event_queue.schedule_after(self.connections.wait(mean), TROUBLE, self.connection_changes)
 
     def connection_changes(self) -> None:
         draw = self.connections.even
@@ -135,8 +135,8 @@
         """A server drains, ends, and another takes its place: three changes."""
         old, new = self.desk.replace(self.chance["list"].even())
         self.tell_change(old, "terminating")
-        self.agenda.after(DRAINS, TROUBLE, self.tell_change, old, "terminated")
-        self.agenda.after(DRAINS, TROUBLE, self.tell_change, new, "in_service")
+        self.event_queue.schedule_after(DRAINS, TROUBLE, self.tell_change, old, "terminated")
+        self.event_queue.schedule_after(DRAINS, TROUBLE, self.tell_change, new, "in_service")
         self.later("list", 3 * 60.0 / self.plan.list_changes, self.list_changes)
 
     def tell_change(self, number: int, state: str) -> None:
@@ -148,12 +148,12 @@
             self.faults += node.counters["faults"]
             node.stop()
             if lasts:
-                self.agenda.after(lasts, TROUBLE, self.comes_back, number)
+                self.event_queue.schedule_after(lasts, TROUBLE, self.comes_back, number)
 
     def comes_back(self, number: int) -> None:
         self.restarts += 1
         self.nodes[number] = self.made(number)
-        self.agenda.after(REFILLED, TROUBLE, self.fill, number)
+        self.event_queue.schedule_after(REFILLED, TROUBLE, self.fill, number)
 
     def restart_one(self) -> None:
         self.kill(self.hollow[int(self.chance["restarts"].even() * len(self.hollow))], self.plan.down)
@@ -171,4 +171,4 @@
         elif isinstance(trouble, RegionCut):
             self.cut.add(trouble.region)
             self.cut_until[trouble.region] = self.now + trouble.lasts
-            self.agenda.after(trouble.lasts, TROUBLE, self.cut.discard, trouble.region)
+            self.event_queue.schedule_after(trouble.lasts, TROUBLE, self.cut.discard, trouble.region)
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bellrack.lab.agenda import NEWS, RESULT, START, TIMER, Agenda
+from bellrack.lab.event_queue import NEWS, RESULT, START, TIMER, EventQueue
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.desk import Desk, Line
 from bellrack.lab.scale.guard import Guard
@@ -41,7 +41,7 @@
             self.what(*self.values)
 
 
-class VirtualLoop(Agenda):
+class VirtualLoop(EventQueue):
     """As much of a loop as a node asks for."""
 
     def __init__(self, connect: Callable[[Any], None]):
@@ -53,14 +53,14 @@
 
     def call_at(self, when: float, what: Callable, *values: Any) -> Timer:
         timer = Timer(what, values)
-        self.at(when, TIMER, timer.fire)
+        self.schedule_at(when, TIMER, timer.fire)
         return timer
 
     def call_later(self, wait: float, what: Callable, *values: Any) -> Timer:
         return self.call_at(self.now + wait, what, *values)
 
     def call_soon(self, what: Callable, *values: Any) -> None:
-        self.at(self.now, TIMER, what, *values)
+        self.schedule_at(self.now, TIMER, what, *values)
 
 
 class Stream:
@@ -164,7 +164,7 @@
     def __init__(self, plan: Plan, seed: int, guard: Guard, played: int = 0):
         """`played`: so many balancers of the tier alone are there, for a measurement of memory."""
         super().__init__(plan, seed, guard)
-        self.agenda = self.loop = VirtualLoop(self.connect)
+        self.event_queue = self.loop = VirtualLoop(self.connect)
         self.played = 0.0
         self.configuration = configurations(plan, PLACE)
         self.desk = Desk(plan, self.loop, lambda number: PLACE)
@@ -225,7 +225,7 @@
         for other in receivers:
             if not self.falls_out(number, other):
                 wait = self.delay(here, self.zone(other), draw())
-                self.loop.after(wait, RESULT, self.arrive, other, number, data)
+                self.loop.schedule_after(wait, RESULT, self.arrive, other, number, data)
 
     def arrive(self, receiver: int, sender: int, data: bytes) -> None:
         self.nodes[receiver].heard_from(sender, data)
@@ -235,7 +235,7 @@
         node = getattr(question, "node", question)
         zone = self.zone(node.number)
         if isinstance(question, Lean):
-            self.loop.after(2 * self.delay(zone, 0), NEWS, self.lean_watch, question)
+            self.loop.schedule_after(2 * self.delay(zone, 0), NEWS, self.lean_watch, question)
             return
         ours, theirs = Stream(self, question, zone), Stream(self, Line(self.desk), 0)
         ours.other, theirs.other = theirs, ours
@@ -253,7 +253,7 @@
         when = self.now + self.delay(one, other)
         if self.apart(one, other):
             when += max(self.cut_until.get(self.region(zone), 0.0) for zone in (one, other)) - self.now
-        self.loop.at(when, NEWS, what, *values)
+        self.loop.schedule_at(when, NEWS, what, *values)
 
     def lean_watch(self, node: Lean) -> None:
         if node.alive and node is self.nodes[node.number]:
@@ -265,7 +265,7 @@
         count = len(line) + len(b"%x\r\n\r\n" % len(line))
         self.desk.figures.bytes_out += count
         self.desk.figures.lines += 1
-        self.loop.after(self.delay(0, self.zone(node.number)), NEWS, node.queue, node.takes, count)
+        self.loop.schedule_after(self.delay(0, self.zone(node.number)), NEWS, node.queue, node.takes, count)
 
     def tell_change(self, number: int, state: str) -> None:
         line = self.desk.change(number, state)
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -13,9 +13,9 @@
 
 from bellrack import choice, model
 from bellrack.lab import scenario as forms
-from bellrack.lab.agenda import LOOK, RESULT, START, TROUBLE, Agenda
 from bellrack.lab.chance import Chance
 from bellrack.lab.clients import Attempt, Clients
+from bellrack.lab.event_queue import LOOK, RESULT, START, TROUBLE, EventQueue
 from bellrack.lab.ledger import LOOK as EACH
 from bellrack.lab.ledger import Ledger
 from bellrack.lab.legs import Legs, Setups
@@ -43,10 +43,10 @@
         scenario: Scenario,
         seed: int,
         policy: Callable[[World], Callable[..., Any]] | None = None,
-        agenda: Agenda | None = None,
+        event_queue: EventQueue | None = None,
     ):
         self.scenario, self.seed = scenario, seed
-        self.chance, self.agenda, self.trace = Chance(seed), agenda or Agenda(), Trace()
+        self.chance, self.event_queue, self.trace = Chance(seed), event_queue or EventQueue(), Trace()
         self.counters: Counter = Counter()
         self.logged: list[tuple[float, str, str]] = []
         self.jitter, self.down_since = self.chance["net"], {}
@@ -66,7 +66,7 @@
 
     @property
     def now(self) -> float:
-        return self.agenda.now
+        return self.event_queue.now
 
     # Making.
 
@@ -140,17 +140,17 @@
             self.front.takes_in(self.starts(number))
         self.stand_at_start()
         self.set_off()
-        self.agenda.run(START + length)
-        self.agenda.run(START + length + self.scenario.tail)
+        self.event_queue.run(START + length)
+        self.event_queue.run(START + length + self.scenario.tail)
         return self
 
     def set_off(self) -> None:
         """Put down what the run begins with."""
         for trouble in self.scenario.trouble:
-            self.agenda.at(START + trouble.at, TROUBLE, self.begin_trouble, trouble)
+            self.event_queue.schedule_at(START + trouble.at, TROUBLE, self.begin_trouble, trouble)
         self.clients.begin()
-        self.agenda.at(START + EACH, LOOK, self.look)
-        self.agenda.at(START + NOTICES, LOOK, self.notices)
+        self.event_queue.schedule_at(START + EACH, LOOK, self.look)
+        self.event_queue.schedule_at(START + NOTICES, LOOK, self.notices)
 
     def stand_at_start(self) -> None:
         """Connections that stood before: in their zones, with their groups, no server far over the mean."""
@@ -199,7 +199,7 @@
             self.answers.append(
                 {how: self.counters[how] for how in ("completed", "rejected", "released", "gave_up")}
             )
-        self.agenda.after(EACH, LOOK, self.look)
+        self.event_queue.schedule_after(EACH, LOOK, self.look)
 
     def notices(self) -> None:
         """Servers tell late messages once a second, on one connection of each balancer."""
@@ -212,10 +212,10 @@
                 for outs in self.legs.standing[machine].values():
                     out = next((out for out in outs if out.stood), None)
                     if out:
-                        self.agenda.after(out.delay, RESULT, self.told_late, out, delay)
+                        self.event_queue.schedule_after(out.delay, RESULT, self.told_late, out, delay)
             self.late[machine] = late
         if self.now < START + self.scenario.length + self.scenario.tail:
-            self.agenda.after(NOTICES, LOOK, self.notices)
+            self.event_queue.schedule_after(NOTICES, LOOK, self.notices)
 
     def told_late(self, out: Out, delay: float) -> None:
         if not out.over:
@@ -243,13 +243,13 @@
                 wait = stream.between(form.delay) * (REORDERED if stream.hit(form.reorder) else 1)
                 lost = stream.hit(form.loss)
                 if not lost and (sender.zone, self.nodes[number].zone) not in self.cut:
-                    self.agenda.after(wait, RESULT, self.arrives, sender.number, number, data)
+                    self.event_queue.schedule_after(wait, RESULT, self.arrives, sender.number, number, data)
 
     def arrives(self, sender: int, number: int, data: bytes) -> None:
         node = self.nodes[number]
         node.turn(node.balancer.on_datagram, sender, data)
 
-    # Troubles: each begins here, and ends by what it puts on the agenda.
+    # Troubles: each begins here, and ends by what it puts on the event queue.
 
     def begin_trouble(self, trouble: forms.Trouble) -> None:
         name = type(trouble).__struct_config__.tag
@@ -257,7 +257,7 @@
         getattr(self, "do_" + name.replace("-", "_"))(trouble)
 
     def later(self, wait: float, what: Callable, *values: Any) -> None:
-        self.agenda.after(wait, TROUBLE, what, *values)
+        self.event_queue.schedule_after(wait, TROUBLE, what, *values)
 
     def hit(self, trouble: Any) -> list[Machine]:
         """The servers that it names, or so many by chance that are up."""
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -14,8 +14,8 @@
 
 from bellrack import model
 from bellrack.lab import baselines, cli, experiment, run
-from bellrack.lab.agenda import ARRIVAL, GUARD, NEWS, RESULT, START, TIMER, TROUBLE, Agenda
 from bellrack.lab.clients import Clients
+from bellrack.lab.event_queue import ARRIVAL, GUARD, NEWS, RESULT, START, TIMER, TROUBLE, EventQueue
 from bellrack.lab.mutants import MUTANTS, lists_all
 from bellrack.lab.referee import Referee
 from bellrack.lab.scenario import ScenarioError, changed, parse_scenario
@@ -70,12 +70,14 @@
 
 
 def test_events_at_one_instant_go_by_rank_and_then_in_order():
-    agenda, seen = Agenda(), []
+    event_queue, seen = EventQueue(), []
     for rank in (GUARD, TIMER, ARRIVAL, RESULT, NEWS, TROUBLE):
         for turn in "ab":
-            agenda.at(START + 1, rank, seen.append, (rank, turn))
-    agenda.at(START + 1, TIMER, lambda: agenda.after(0, NEWS, seen.append, "put down meanwhile"))
-    agenda.run(START + 1)
+            event_queue.schedule_at(START + 1, rank, seen.append, (rank, turn))
+    event_queue.schedule_at(
+        START + 1, TIMER, lambda: event_queue.schedule_after(0, NEWS, seen.append, "put down meanwhile")
+    )
+    event_queue.run(START + 1)
     assert [one for one in seen if one != "put down meanwhile"] == [
         (rank, turn) for rank in (TROUBLE, NEWS, RESULT, ARRIVAL, TIMER, GUARD) for turn in "ab"
     ]
--- a/tests/test_lab_live.py
+++ b/tests/test_lab_live.py
@@ -14,7 +14,7 @@
 from test_lab import raw
 
 from bellrack.lab import live
-from bellrack.lab.agenda import START
+from bellrack.lab.event_queue import START
 from bellrack.lab.referee import Referee
 from bellrack.lab.scenario import ScenarioError, parse_scenario
 from bellrack.lab.sockets import HOST, Port
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -4,8 +4,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bellrack.lab.agenda import RESULT, START, TIMER, Agenda
 from bellrack.lab.chance import Chance
+from bellrack.lab.event_queue import RESULT, START, TIMER, EventQueue
 from bellrack.peers import membership
 from bellrack.peers.membership import Membership
 from bellrack.peers.wire import (
@@ -27,7 +27,7 @@
     """Members that exchange datagrams over a network with loss, delay and partitions."""
 
     def __init__(self, count, seed=1, loss=0.0, delay=(0.001, 0.016)):
-        self.agenda, self.chance = Agenda(), Chance(seed)
+        self.event_queue, self.chance = EventQueue(), Chance(seed)
         self.loss, self.delay = loss, list(delay)
         self.is_cut = lambda sender, receiver: False
         self.sent = [0] * count
@@ -43,7 +43,7 @@
             number,
             len(self.nodes),
             1 + int(stream.even() * 0xFFFFFFF0),
-            self.agenda.now,
+            self.event_queue.now,
             lambda peer, message: self.post(number, node, peer, message),
             stream.even,
         )
@@ -51,8 +51,8 @@
 
     def tick(self, number, node):
         if self.nodes[number] is node and not node.left:
-            node.tick(self.agenda.now)
-            self.agenda.at(node.due(), TIMER, self.tick, number, node)
+            node.tick(self.event_queue.now)
+            self.event_queue.schedule_at(node.due(), TIMER, self.tick, number, node)
 
     def post(self, sender, node, receiver, message):
         if self.nodes[sender] is not node:
@@ -64,17 +64,17 @@
         stream = self.chance["net"]
         delay, lost = stream.between(self.delay), stream.hit(self.loss)
         if not lost and not self.is_cut(sender, receiver):
-            self.agenda.after(delay, RESULT, self.deliver, sender, receiver, data)
+            self.event_queue.schedule_after(delay, RESULT, self.deliver, sender, receiver, data)
 
     def deliver(self, sender, receiver, data):
         if self.nodes[receiver]:
-            self.nodes[receiver].on_datagram(self.agenda.now, sender, unpack(data))
+            self.nodes[receiver].on_datagram(self.event_queue.now, sender, unpack(data))
 
     def kill(self, number):
         self.nodes[number] = None
 
     def run(self, seconds):
-        self.agenda.run(self.agenda.now + seconds)
+        self.event_queue.run(self.event_queue.now + seconds)
         return self
 
     def statuses(self, number):
@@ -167,7 +167,7 @@
     tier.kill(2)
     tier.run(40)
     assert tier.statuses(2) == [DEAD] * 3
-    tier.nodes[0].on_datagram(tier.agenda.now, 2, old)
+    tier.nodes[0].on_datagram(tier.event_queue.now, 2, old)
     assert tier.nodes[0].members[2].status == DEAD
 
 
@@ -198,7 +198,7 @@
     for _ in range(50):
         claim = MemberUpdate(1, ALIVE, 99, node.incarnation + 1)
         node.on_datagram(
-            tier.agenda.now, 0, Datagram(PING, 0, tier.nodes[0].start_id, 1, 5, updates=(claim,))
+            tier.event_queue.now, 0, Datagram(PING, 0, tier.nodes[0].start_id, 1, 5, updates=(claim,))
         )
         tier.run(0.1)
     assert sum("twice" in change.why for change in node.changes) == 1
@@ -209,20 +209,22 @@
     tier = Tier(3).run(10)
     tier.sent[0] = 0
     for sequence in range(1000):
-        tier.nodes[0].on_datagram(tier.agenda.now, 1, Datagram(PING, 1, tier.nodes[1].start_id, 1, sequence))
+        tier.nodes[0].on_datagram(
+            tier.event_queue.now, 1, Datagram(PING, 1, tier.nodes[1].start_id, 1, sequence)
+        )
     assert tier.sent[0] <= membership.MAX_ANSWERS
 
 
 def test_datagrams_in_the_name_of_another_member_are_ignored():
     tier = Tier(3).run(10)
-    tier.nodes[0].on_datagram(tier.agenda.now, 1, Datagram(PING, 2, 77, 99))
-    tier.nodes[0].on_datagram(tier.agenda.now, 9, Datagram(PING, 9, 77, 99))
+    tier.nodes[0].on_datagram(tier.event_queue.now, 1, Datagram(PING, 2, 77, 99))
+    tier.nodes[0].on_datagram(tier.event_queue.now, 9, Datagram(PING, 9, 77, 99))
     tier.nodes[0].on_datagram(
-        tier.agenda.now,
+        tier.event_queue.now,
         1,
         Datagram(ACK, 1, tier.nodes[1].start_id, 1, 0, 60_000, (MemberUpdate(60_000, DEAD, 1, 1),)),
     )
-    assert tier.nodes[0].members[2].incarnation < 99 and tier.run(5).agree() and tier.agenda.now > START
+    assert tier.nodes[0].members[2].incarnation < 99 and tier.run(5).agree() and tier.event_queue.now > START
 
 
 u16, u32 = st.integers(0, 0xFFFF), st.integers(0, 0xFFFFFFFF)
