--- a/bellrack/lab/clients.py
+++ b/bellrack/lab/clients.py
@@ -9,8 +9,8 @@
 import math
 from typing import TYPE_CHECKING
 
-from bellrack.lab.chance import running
 from bellrack.lab.event_queue import ARRIVAL, GUARD, START
+from bellrack.lab.streams import running
 
 if TYPE_CHECKING:
     from bellrack.lab.node import Out, VirtualNode
@@ -75,8 +75,8 @@
     def __init__(self, world: World):
         self.world, self.form = world, world.scenario.clients
         scenario = world.scenario
-        self.arrivals, self.kinds, self.loads = (world.chance[c] for c in ("arrivals", "kinds", "loads"))
-        self.habits, self.waits = world.chance["habits"], world.chance["waits"]
+        self.arrivals, self.kinds, self.loads = (world.streams[c] for c in ("arrivals", "kinds", "loads"))
+        self.habits, self.waits = world.streams["habits"], world.streams["waits"]
         self.zones = running([zone.clients for zone in scenario.zone])
         self.types = running([kind.share for kind in scenario.type])
         self.tenants = running([one.share * one.usage for one in scenario.tenant] or [1.0])
@@ -249,7 +249,7 @@
 
     def drops(self, share: float, zone: int | None) -> None:
         """So many clients drop at once and come again."""
-        stream = self.world.chance["drops"]
+        stream = self.world.streams["drops"]
         for want in list(self.wants):
             attempt = want.attempt
             if stream.hit(share) and attempt and attempt.said == "completed" and zone in (None, want.zone):
--- a/bellrack/lab/legs.py
+++ b/bellrack/lab/legs.py
@@ -31,7 +31,7 @@
         self.under_way: dict[Machine, dict[Out, None]] = {m: {} for m in world.machines}  # set-ups, by server
         self.standing: dict[Machine, dict] = {m: {} for m in world.machines}  # by balancer, then by leg
         self.memory: dict[tuple[int, int], float] = {}  # referenced calls that ran, till they are forgotten
-        self.stream = world.chance["failures"]
+        self.stream = world.streams["failures"]
 
     def result(self, out: Out, kind: str, wait: float) -> None:
         """The leg's balancer hears after that wait how it ended before it stood."""
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -504,7 +504,7 @@
     def relayed(self, relay: Relay, data: bytes) -> None:
         """A datagram came to where its sender knows another balancer; that one gets it from where it knows
         the sender."""
-        form, stream = self.scenario.datagrams, self.chance["datagrams"]
+        form, stream = self.scenario.datagrams, self.streams["datagrams"]
         self.counters["datagrams"] += 1
         self.counters["datagram_bytes"] += len(data)
         way = self.nodes[relay.sender].zone, self.nodes[relay.receiver].zone
@@ -544,7 +544,7 @@
             number,
             zone,
             before.incarnation + 1 if before else 0,
-            self.chance[f"balancer {name}"].seed(),
+            self.streams[f"balancer {name}"].seed(),
         )
         if before:
             self.memory_kb = max(self.memory_kb, before.memory_kb)
@@ -566,7 +566,7 @@
             self.front.takes_in(node)
 
     def do_stall(self, trouble: forms.Stall) -> None:
-        stream = self.chance["stalls"]
+        stream = self.streams["stalls"]
         lines = [line for node in self.nodes for line in node.lines.values() if line.answer == "UP"]
         stalled = [line for line in lines if not line.over and stream.hit(trouble.share)]
         for line in stalled:
--- a/bellrack/lab/roster.py
+++ b/bellrack/lab/roster.py
@@ -24,7 +24,7 @@
     """Servers as discovery knows them: late, and by their processes alone."""
 
     def __init__(self, world: World):
-        self.world, self.form, self.stream = world, world.scenario.listing, world.chance["list"]
+        self.world, self.form, self.stream = world, world.scenario.listing, world.streams["list"]
         self.known: dict[Machine, tuple[str, float]] = dict.fromkeys(world.machines, (model.READY, 0.0))
         self.due: dict[Machine, float] = {}  # when the last change of each is known
         self.down = 0  # outages that last
@@ -100,7 +100,7 @@
     """Deals out clients among the balancers of their zone that it takes for alive, else among all."""
 
     def __init__(self, world: World):
-        self.world, self.stream = world, world.chance["front"]
+        self.world, self.stream = world, world.streams["front"]
         self.alive: list[list[VirtualNode]] = [[] for _ in world.scenario.zone]
 
     def takes_in(self, node: VirtualNode) -> None:
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -298,7 +298,7 @@
 
     async def client(self, process: Process, index: int) -> None:
         """One that stands for its life and comes again."""
-        draw, turn = self.chance[f"client {process.number}-{index}"], 0
+        draw, turn = self.streams[f"client {process.number}-{index}"], 0
         while True:
             turn += 1
             how, life = "no_answer", draw.wait(self.plan.clients.life)
--- a/bellrack/lab/scale/tier.py
+++ b/bellrack/lab/scale/tier.py
@@ -9,13 +9,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from bellrack.lab.chance import Chance
 from bellrack.lab.event_queue import TROUBLE
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.desk import DRAINS, Desk
 from bellrack.lab.scale.guard import Guard
 from bellrack.lab.scale.hollow import Hollow
 from bellrack.lab.scale.plan import TARGET, AggregatorLost, Plan, RackLost, RegionCut, region_of
+from bellrack.lab.streams import RandomStreams
 from bellrack.net import lines
 
 REFILLED = 1.0  # seconds after its start in which a balancer gets its connections again
@@ -29,9 +29,9 @@
     desk: Desk
 
     def __init__(self, plan: Plan, seed: int, guard: Guard):
-        self.plan, self.guard, self.chance = plan, guard, Chance(seed)
-        self.connections, self.seeds = self.chance["connections"], self.chance["balancers"]
-        self.network = self.chance["network"]
+        self.plan, self.guard, self.streams = plan, guard, RandomStreams(seed)
+        self.connections, self.seeds = self.streams["connections"], self.streams["balancers"]
+        self.network = self.streams["network"]
         self.figures: list[figures.Figures] = []  # by number
         self.nodes: dict[int, Hollow] = {}
         self.hollow: list[int] = []  # their numbers
@@ -90,7 +90,7 @@
             self.event_queue.schedule_after(trouble.at, TROUBLE, self.strike, trouble)
 
     def later(self, concern: str, mean: float, what: Callable) -> None:
-        self.event_queue.schedule_after(self.chance[concern].wait(mean), TROUBLE, what)
+        self.event_queue.schedule_after(self.streams[concern].wait(mean), TROUBLE, what)
 
     def fill(self, number: int) -> None:
         """Choose the servers at which it holds connections, and let them stand."""
@@ -133,7 +133,7 @@
 
     def list_changes(self) -> None:
         """A server drains, ends, and another takes its place: three changes."""
-        old, new = self.desk.replace(self.chance["list"].even())
+        old, new = self.desk.replace(self.streams["list"].even())
         self.tell_change(old, "terminating")
         self.event_queue.schedule_after(DRAINS, TROUBLE, self.tell_change, old, "terminated")
         self.event_queue.schedule_after(DRAINS, TROUBLE, self.tell_change, new, "in_service")
@@ -156,13 +156,13 @@
         self.event_queue.schedule_after(REFILLED, TROUBLE, self.fill, number)
 
     def restart_one(self) -> None:
-        self.kill(self.hollow[int(self.chance["restarts"].even() * len(self.hollow))], self.plan.down)
+        self.kill(self.hollow[int(self.streams["restarts"].even() * len(self.hollow))], self.plan.down)
         self.later("restarts", 3600 * TARGET / (self.plan.restarts * len(self.hollow)), self.restart_one)
 
     def strike(self, trouble: Any) -> None:
         if isinstance(trouble, RackLost):
             count = max(1, round(trouble.share * len(self.figures)))
-            first = int(self.chance["racks"].even() * (len(self.figures) - count + 1))
+            first = int(self.streams["racks"].even() * (len(self.figures) - count + 1))
             for number in range(first, first + count):
                 self.kill(number, trouble.lasts)
         elif isinstance(trouble, AggregatorLost):
--- a/bellrack/lab/chance.py
+++ b/bellrack/lab/streams.py
@@ -15,7 +15,7 @@
 AHEAD = 512  # drawn at one go: single draws from a Generator cost ten times as much
 
 
-class Stream:
+class RandomStream:
     """One concern's numbers."""
 
     def __init__(self, seed: int, concern: str):
@@ -68,17 +68,17 @@
         return [things[index] for index in sorted(order)]
 
 
-class Chance:
+class RandomStreams:
     """All streams of a run."""
 
     def __init__(self, seed: int):
         self.seed = seed
-        self.streams: dict[str, Stream] = {}
+        self.by_concern: dict[str, RandomStream] = {}
 
-    def __getitem__(self, concern: str) -> Stream:
-        if concern not in self.streams:
-            self.streams[concern] = Stream(self.seed, concern)
-        return self.streams[concern]
+    def __getitem__(self, concern: str) -> RandomStream:
+        if concern not in self.by_concern:
+            self.by_concern[concern] = RandomStream(self.seed, concern)
+        return self.by_concern[concern]
 
 
 def running(weights: list[float]) -> list[float]:
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -13,7 +13,6 @@
 
 from bellrack import choice, model
 from bellrack.lab import scenario as forms
-from bellrack.lab.chance import Chance
 from bellrack.lab.clients import Attempt, Clients
 from bellrack.lab.event_queue import LOOK, RESULT, START, TROUBLE, EventQueue
 from bellrack.lab.ledger import LOOK as EACH
@@ -23,6 +22,7 @@
 from bellrack.lab.node import Out, VirtualNode
 from bellrack.lab.roster import Front, Roster
 from bellrack.lab.scenario import Scenario
+from bellrack.lab.streams import RandomStreams
 from bellrack.lab.trace import Trace
 from bellrack.model import Settings, TrafficType
 from bellrack.net import lines
@@ -46,10 +46,10 @@
         event_queue: EventQueue | None = None,
     ):
         self.scenario, self.seed = scenario, seed
-        self.chance, self.event_queue, self.trace = Chance(seed), event_queue or EventQueue(), Trace()
+        self.streams, self.event_queue, self.trace = RandomStreams(seed), event_queue or EventQueue(), Trace()
         self.counters: Counter = Counter()
         self.logged: list[tuple[float, str, str]] = []
-        self.jitter, self.down_since = self.chance["net"], {}
+        self.jitter, self.down_since = self.streams["net"], {}
         self.machines = self.make_machines()
         self.marks = {machine: lines.id_hash(machine.name) for machine in self.machines}
         self.by_name = {machine.name: machine for machine in self.machines}
@@ -71,7 +71,7 @@
     # Making.
 
     def make_machines(self) -> list[Machine]:
-        scenario, stream = self.scenario, self.chance["machines"]
+        scenario, stream = self.scenario, self.streams["machines"]
         zones = {zone.name: index for index, zone in enumerate(scenario.zone)}
         kinds = {kind.name: kind for kind in scenario.kind}
         cost, made = scenario.groups.cost * scenario.load.mean, []
@@ -115,7 +115,7 @@
             zone,
             before.incarnation + 1 if before else 0,
             self.settings(zone),
-            self.chance[f"balancer {name}"].seed(),
+            self.streams[f"balancer {name}"].seed(),
             self.decides,
         )
         self.nodes[number : number + 1] = [node]
@@ -154,7 +154,7 @@
 
     def stand_at_start(self) -> None:
         """Connections that stood before: in their zones, with their groups, no server far over the mean."""
-        stream, orders = self.chance["standing"], {}
+        stream, orders = self.streams["standing"], {}
         homes = [
             [m for m in self.machines if m.zone == zone] or self.machines
             for zone in range(len(self.scenario.zone))
@@ -230,7 +230,7 @@
 
     def post(self, sender: VirtualNode, peer: int | None, data: bytes) -> None:
         """A datagram to one balancer or to all others."""
-        form, stream = self.scenario.datagrams, self.chance["datagrams"]
+        form, stream = self.scenario.datagrams, self.streams["datagrams"]
         if not form.allowed or len(data) > DATAGRAM:
             self.counters["datagrams_refused"] += 1
             return
@@ -265,7 +265,7 @@
             return [self.by_name[name] for name in trouble.servers]
         zones = [zone.name for zone in self.scenario.zone]
         among = [m for m in self.machines if m.up and trouble.zone in ("", zones[m.zone])]
-        return self.chance[f"trouble {trouble.at} {type(trouble).__name__}"].some(
+        return self.streams[f"trouble {trouble.at} {type(trouble).__name__}"].some(
             among, trouble.count or len(among)
         )
 
@@ -378,7 +378,7 @@
         if trouble.balancers:
             among = [node for node in among if node.name in trouble.balancers]
         elif trouble.count:
-            among = self.chance[f"trouble {trouble.at} killed"].some(among, trouble.count)
+            among = self.streams[f"trouble {trouble.at} killed"].some(among, trouble.count)
         for node in among:
             self.kill(node, trouble.lasts)
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -4,8 +4,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bellrack.lab.chance import Chance
 from bellrack.lab.event_queue import RESULT, START, TIMER, EventQueue
+from bellrack.lab.streams import RandomStreams
 from bellrack.peers import membership
 from bellrack.peers.membership import Membership
 from bellrack.peers.wire import (
@@ -27,7 +27,7 @@
     """Members that exchange datagrams over a network with loss, delay and partitions."""
 
     def __init__(self, count, seed=1, loss=0.0, delay=(0.001, 0.016)):
-        self.event_queue, self.chance = EventQueue(), Chance(seed)
+        self.event_queue, self.streams = EventQueue(), RandomStreams(seed)
         self.loss, self.delay = loss, list(delay)
         self.is_cut = lambda sender, receiver: False
         self.sent = [0] * count
@@ -38,7 +38,7 @@
             self.start(number)
 
     def start(self, number):
-        stream = self.chance[f"life {number}"]
+        stream = self.streams[f"life {number}"]
         node = self.nodes[number] = Membership(
             number,
             len(self.nodes),
@@ -61,7 +61,7 @@
         self.sent[sender] += 1
         self.bytes[sender] += len(data)
         self.largest = max(self.largest, len(data))
-        stream = self.chance["net"]
+        stream = self.streams["net"]
         delay, lost = stream.between(self.delay), stream.hit(self.loss)
         if not lost and not self.is_cut(sender, receiver):
             self.event_queue.schedule_after(delay, RESULT, self.deliver, sender, receiver, data)
