--- a/bellrack/lab/clients.py
+++ b/bellrack/lab/clients.py
@@ -118,7 +118,7 @@
         want.never, want.honours = self.habits.hit(self.form.never), self.habits.hit(self.form.honours)
         want.failed_since = world.now
         self.wants[want] = None
-        world.ledger.wants(want, 1)
+        world.service_record.wants(want, 1)
         world.event_queue.schedule_at(min(want.ends, LATEST), GUARD, self.leaves, want)
         return want
 
@@ -162,7 +162,7 @@
         if want.over or want.attempt is not attempt:
             return
         if how == "completed":
-            self.world.ledger.came_up(want, self.world.now - want.failed_since)
+            self.world.service_record.came_up(want, self.world.now - want.failed_since)
             want.tries = 0
             return
         self.failed(want, attempt, wait)
@@ -239,7 +239,7 @@
         """The demand is over, served to its end or not."""
         want.over = True
         del self.wants[want]
-        self.world.ledger.wants(want, -1)
+        self.world.service_record.wants(want, -1)
         if want.attempt:
             attempt, want.attempt = want.attempt, None
             if attempt.said == "completed":
--- a/bellrack/lab/legs.py
+++ b/bellrack/lab/legs.py
@@ -134,12 +134,12 @@
         out.up = True
         out.machine.take(self.world.now, out, out.attempt.want.load, out.attempt.want.group)
         self.standing[out.machine].setdefault(out.node, {})[out] = None
-        self.world.ledger.stands(out)
+        self.world.service_record.stands(out)
 
     def closed(self, out: Out) -> None:
         """The balancer's side of it has ended; the server hears of it a delay later."""
         if out.up:
-            self.world.ledger.ends(out)
+            self.world.service_record.ends(out)
             self.forget(out)
             self.world.event_queue.schedule_after(out.delay, RESULT, self.leaves, out)
 
@@ -160,7 +160,7 @@
         begun = list(self.under_way[machine])
         self.under_way[machine].clear()
         for out in outs:
-            self.world.ledger.ends(out)
+            self.world.service_record.ends(out)
             self.forget(out)
             self.ended(out, silent)
         if not silent:
@@ -171,7 +171,7 @@
         """The server cuts this one off, as more is piled up than it bears."""
         self.world.counters["shed"] += 1
         out.machine.leave(self.world.now, out)
-        self.world.ledger.ends(out)
+        self.world.service_record.ends(out)
         self.forget(out)
         self.ended(out, False)
 
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -408,7 +408,7 @@
         if not link.transport.is_closing():
             link.transport.close()
         if out.up:
-            self.world.ledger.ends(out)
+            self.world.service_record.ends(out)
             self.forget(out)
             self.leaves(out)
 
--- a/bellrack/lab/run.py
+++ b/bellrack/lab/run.py
@@ -15,9 +15,9 @@
 
 from bellrack import choice
 from bellrack.lab import baselines
-from bellrack.lab.ledger import time_of
 from bellrack.lab.referee import Breach, Referee
 from bellrack.lab.scenario import Scenario, ScenarioError, balancer_names, parse_scenario, server_names
+from bellrack.lab.service_record import time_of
 from bellrack.lab.world import World
 
 VERSION = 1  # of the result's form
@@ -91,7 +91,7 @@
     breaches = referee.judge(world.trace.entries)
     count = world.counters
     offered = sum(machine.offered for machine in world.machines)
-    figures = world.ledger.summary(shares(scenario, world))
+    figures = world.service_record.summary(shares(scenario, world))
     return {
         "version": VERSION,
         "scenario": scenario.name,
--- a/bellrack/lab/ledger.py
+++ b/bellrack/lab/service_record.py
@@ -36,7 +36,7 @@
     return {"p50": at(50), "p90": at(90), "p99": at(99), "max": at(100)}
 
 
-class Ledger:
+class ServiceRecord:
     def __init__(self, scenario: Scenario, machines: list):
         self.scenario = scenario
         self.index = {machine: number for number, machine in enumerate(machines)}
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -15,13 +15,13 @@
 from bellrack.lab import scenario as forms
 from bellrack.lab.clients import Attempt, Clients
 from bellrack.lab.event_queue import LOOK, RESULT, START, TROUBLE, EventQueue
-from bellrack.lab.ledger import LOOK as EACH
-from bellrack.lab.ledger import Ledger
 from bellrack.lab.legs import Legs, Setups
 from bellrack.lab.machine import Machine, SessionStore
 from bellrack.lab.node import Out, VirtualNode
 from bellrack.lab.roster import Front, Roster
 from bellrack.lab.scenario import Scenario
+from bellrack.lab.service_record import LOOK as EACH
+from bellrack.lab.service_record import ServiceRecord
 from bellrack.lab.streams import RandomStreams
 from bellrack.lab.trace import Trace
 from bellrack.model import Settings, TrafficType
@@ -53,7 +53,7 @@
         self.machines = self.make_machines()
         self.marks = {machine: lines.id_hash(machine.name) for machine in self.machines}
         self.by_name = {machine.name: machine for machine in self.machines}
-        self.ledger, self.store = Ledger(scenario, self.machines), SessionStore(scenario.store)
+        self.service_record, self.store = ServiceRecord(scenario, self.machines), SessionStore(scenario.store)
         self.roster, self.front, self.legs = Roster(self), Front(self), self.legs_form(self)
         self.decides = policy(self) if policy else choice.Balancer
         self.nodes: list[VirtualNode] = []  # the latest incarnation of each
@@ -193,8 +193,8 @@
                     self.legs.drops(out)
             delay = machine.delay(now)
             flags.append([int(delay <= kind.message_aim) for kind in kinds])
-        self.ledger.look(flags)
-        if len(self.ledger.looks) * EACH % 1 == 0:
+        self.service_record.look(flags)
+        if len(self.service_record.looks) * EACH % 1 == 0:
             self.store_calls.append(self.store.calls)
             self.answers.append(
                 {how: self.counters[how] for how in ("completed", "rejected", "released", "gave_up")}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -176,7 +176,7 @@
             for server in node.servers.values()
         )
     assert not any(machine.held or machine.setups for machine in world.machines)
-    assert not world.ledger.held.any() and not world.ledger.wanting.any()
+    assert not world.service_record.held.any() and not world.service_record.wanting.any()
 
 
 def test_a_trouble_that_outlasts_the_run_and_one_that_overlaps_another():
