--- a/bellrack/lab/roster.py
+++ b/bellrack/lab/discovery_model.py
@@ -20,7 +20,7 @@
 FIRST_LINE = 0.002  # seconds that the service takes for an answer
 
 
-class Roster:
+class DiscoveryModel:
     """Servers as discovery knows them: late, and by their processes alone."""
 
     def __init__(self, world: World):
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -198,13 +198,13 @@
 
     def watches(self, line: ListLine) -> None:
         self.watcher = line
-        self.world.roster.watching.pop(self, None)
-        self.world.roster.watch(self, True)
+        self.world.discovery.watching.pop(self, None)
+        self.world.discovery.watch(self, True)
 
     def unwatched(self, line: ListLine) -> None:
         if self.watcher is line:
             self.watcher = None
-            self.world.roster.watching.pop(self, None)
+            self.world.discovery.watching.pop(self, None)
 
     def refused(self) -> None:
         self.in_vain = True
@@ -477,7 +477,7 @@
 
     def configuration(self, node: LiveNode) -> dict[str, Any]:
         scenario, number = self.scenario, node.number
-        told = node.told or self.roster.known
+        told = node.told or self.discovery.known
         config = {
             "name": node.name,
             "listen": f"{HOST}:{self.listens[number][1]}",
@@ -551,7 +551,7 @@
             node.told = before.told
         self.nodes[number : number + 1] = [node]
         self.trace.add(self.now, "start", name, node.incarnation)
-        for machine, (state, since) in self.roster.known.items() if not before else ():
+        for machine, (state, since) in self.discovery.known.items() if not before else ():
             node.note_told(machine, state, since)
         return node
 
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -89,7 +89,7 @@
 
     def note_stop(self, how: str) -> None:
         self.alive = False
-        self.world.roster.watching.pop(self, None)
+        self.world.discovery.watching.pop(self, None)
         self.world.trace.add(self.world.now, "stop", self.name, how)
 
 
@@ -157,10 +157,10 @@
         self.soon(self.moved, call.host_record, model.CANCELLED)
 
     def watch(self, on: bool = True) -> None:
-        self.world.roster.watch(self, on)
+        self.world.discovery.watch(self, on)
 
     def fetch_list(self) -> None:
-        self.world.roster.fetch(self)
+        self.world.discovery.fetch(self)
 
     def probe(self, server: Server) -> None:
         self.world.counters["probes"] += 1
--- a/bellrack/lab/run.py
+++ b/bellrack/lab/run.py
@@ -116,7 +116,7 @@
         "store_calls": world.store.calls,
         "store_failed": world.store.failed,
         "wasted": round(sum(machine.wasted for machine in world.machines) / offered, 6) if offered else 0.0,
-        "list_lines": world.roster.lines,
+        "list_lines": world.discovery.lines,
         "datagrams": count["datagrams"],
         "datagram_bytes": count["datagram_bytes"],
         "probes": count["probes"],
--- a/bellrack/lab/scale/desk.py
+++ b/bellrack/lab/scale/desk.py
@@ -35,13 +35,13 @@
 
 
 class Desk:
-    """Is its own `world` and `roster` to the lines of discovery: there is one list for all."""
+    """Is its own `world` and `discovery` to the lines of discovery: there is one list for all."""
 
     down = False
 
     def __init__(self, plan: Plan, loop: Any, place: Callable[[int], str]):
         self.plan, self.loop, self.place = plan, loop, place
-        self.world = self.roster = self
+        self.world = self.discovery = self
         self.questions: dict[Line, None] = {}
         self.watching: dict[Line, None] = {}
         self.figures = figures.Desk()
--- a/bellrack/lab/sockets.py
+++ b/bellrack/lab/sockets.py
@@ -186,7 +186,7 @@
         if not self.target:
             self.target = line.split(" ")[1] if line.count(" ") >= 2 else "/"
         elif not line and not self.watch:
-            if self.node.world.roster.down:
+            if self.node.world.discovery.down:
                 self.refuse()
             elif "watch=1" in self.target:
                 self.watch = True
@@ -196,7 +196,7 @@
                 self.keep_up()
                 self.node.watches(self)
             else:
-                body = json.dumps(self.node.listing(self.node.world.roster.rows(), True)).encode()
+                body = json.dumps(self.node.listing(self.node.world.discovery.rows(), True)).encode()
                 self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
                 self.close()
 
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -14,11 +14,11 @@
 from bellrack import choice, model
 from bellrack.lab import scenario as forms
 from bellrack.lab.clients import Attempt, Clients
+from bellrack.lab.discovery_model import DiscoveryModel, Front
 from bellrack.lab.event_queue import LOOK, RESULT, START, TROUBLE, EventQueue
 from bellrack.lab.legs import Legs, Setups
 from bellrack.lab.machine import Machine, SessionStore
 from bellrack.lab.node import Out, VirtualNode
-from bellrack.lab.roster import Front, Roster
 from bellrack.lab.scenario import Scenario
 from bellrack.lab.service_record import LOOK as EACH
 from bellrack.lab.service_record import ServiceRecord
@@ -54,7 +54,7 @@
         self.marks = {machine: lines.id_hash(machine.name) for machine in self.machines}
         self.by_name = {machine.name: machine for machine in self.machines}
         self.service_record, self.store = ServiceRecord(scenario, self.machines), SessionStore(scenario.store)
-        self.roster, self.front, self.legs = Roster(self), Front(self), self.legs_form(self)
+        self.discovery, self.front, self.legs = DiscoveryModel(self), Front(self), self.legs_form(self)
         self.decides = policy(self) if policy else choice.Balancer
         self.nodes: list[VirtualNode] = []  # the latest incarnation of each
         self.clients = Clients(self)
@@ -120,7 +120,7 @@
         )
         self.nodes[number : number + 1] = [node]
         self.trace.add(self.now, "start", name, node.incarnation)
-        known = before.told if before and before.told else self.roster.known
+        known = before.told if before and before.told else self.discovery.known
         node.listed([(machine, state, since) for machine, (state, since) in known.items()], True)
         node.begin_watch()
         return node
@@ -226,7 +226,7 @@
         self.trace.add(self.now, "server", machine.name, "fell")
         self.counters["fell"] += 1
         self.goes_down(machine, False)
-        self.roster.change(machine, model.GONE, machine.started)
+        self.discovery.change(machine, model.GONE, machine.started)
 
     def post(self, sender: VirtualNode, peer: int | None, data: bytes) -> None:
         """A datagram to one balancer or to all others."""
@@ -281,14 +281,14 @@
             return  # another trouble that overlapped has brought it back, or it stays down
         machine.start(self.now)
         self.trace.add(self.now, "server", machine.name, "cold")
-        self.roster.change(machine, model.READY, self.now - told_older)
+        self.discovery.change(machine, model.READY, self.now - told_older)
 
     def do_crash(self, trouble: forms.Crash) -> None:
         for machine in self.hit(trouble):
             if not machine.up:
                 continue
             self.goes_down(machine, trouble.silent)
-            self.roster.change(machine, model.GONE, machine.started, trouble.silent)
+            self.discovery.change(machine, model.GONE, machine.started, trouble.silent)
             if trouble.lasts:
                 self.later(trouble.lasts, self.comes_back, machine, trouble.told_older)
 
@@ -298,14 +298,14 @@
                 continue
             machine.draining = True
             self.trace.add(self.now, "server", machine.name, "drain")
-            self.roster.change(machine, model.DRAINING, machine.started)
+            self.discovery.change(machine, model.DRAINING, machine.started)
             self.later(trouble.lasts, self.drained, machine, machine.starts, trouble.back)
 
     def drained(self, machine: Machine, starts: int, back: float) -> None:
         if machine.starts != starts or not machine.up:
             return
         self.goes_down(machine, False)
-        self.roster.change(machine, model.GONE, machine.started)
+        self.discovery.change(machine, model.GONE, machine.started)
         if back:
             self.later(back, self.comes_back, machine)
 
@@ -340,15 +340,15 @@
         for machine in self.machines:
             if machine.zone == zone and machine.up:
                 self.goes_down(machine, True)
-                self.roster.change(machine, model.GONE, machine.started, True)
+                self.discovery.change(machine, model.GONE, machine.started, True)
                 self.later(trouble.lasts, self.comes_back, machine)
         for node in list(self.nodes) if trouble.balancers else ():
             if node.zone == zone:
                 self.kill(node, trouble.lasts)
 
     def do_list_down(self, trouble: forms.ListDown) -> None:
-        self.roster.fail(True)
-        self.later(trouble.lasts, self.roster.fail, False)
+        self.discovery.fail(True)
+        self.later(trouble.lasts, self.discovery.fail, False)
 
     def do_store_slow(self, trouble: forms.StoreSlow) -> None:
         self.store.slow *= trouble.factor
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -192,7 +192,7 @@
         {"kind": "crash", "at": 12.5, "servers": ["b-k-1"], "lasts": 1.0},
         rules={"push_multiple": 50.0},
     )  # a balancer that restarts is not told of starts at once
-    assert not world.by_name["a-k-1"].up and world.roster.down == 0
+    assert not world.by_name["a-k-1"].up and world.discovery.down == 0
     assert [machine.slow for machine in world.machines] == pytest.approx([2.0] * 4)
     assert [machine.failing for machine in world.machines] == [0.25] * 4
     assert world.by_name["b-k-1"].up and world.nodes[1].incarnation == 1
