--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -30,7 +30,7 @@
 from bellrack.lab.legs import Setups
 from bellrack.lab.machine import Machine
 from bellrack.lab.node import Out, Seat
-from bellrack.lab.referee import Referee
+from bellrack.lab.rule_checker import RuleChecker
 from bellrack.lab.scenario import Scenario, ScenarioError
 from bellrack.lab.sockets import (
     HOST,
@@ -790,12 +790,12 @@
 
 def result_of(world: LiveWorld) -> dict[str, Any]:
     rules = world.scenario.rules
-    referee = Referee(world.scenario, LIMIT + world.lag, rules.max_legs * rules.connect_timeout)
-    breaches = referee.judge(sorted(world.trace.entries, key=lambda entry: entry[0]))
+    rule_checker = RuleChecker(world.scenario, LIMIT + world.lag, rules.max_legs * rules.connect_timeout)
+    breaches = rule_checker.judge(sorted(world.trace.entries, key=lambda entry: entry[0]))
     result = runs.result_of(world, "bellrack")
     return result | {
         "kept": not breaches,
-        "rules": runs.verdicts(referee, breaches),
+        "rules": runs.verdicts(rule_checker, breaches),
         "live": {
             "lag": round(world.lag, 4),
             "doubtful": world.lag > LATE,
--- a/bellrack/lab/referee.py
+++ b/bellrack/lab/rule_checker.py
@@ -1,4 +1,4 @@
-"""The referee: judges the four rules by the event trace alone.
+"""The rule_checker: judges the four rules by the event trace alone.
 
 Owns what counts as a breach of which rule. It reads entries in order of time and the scenario's figures,
 never the books of a host, the counters of a run or the state of a server; so it convicts a balancer by what
@@ -52,7 +52,7 @@
     legs: list[Leg] = field(default_factory=list)
 
 
-class Referee:
+class RuleChecker:
     def __init__(self, scenario: Scenario, slack: float = 0.0, unseen: float = 0.0):
         """For traces of real sockets, `slack`: seconds added to each time limit, and `unseen`: seconds that a
         call may spend on connections that never come up, of which no trace of ours can tell."""
--- a/bellrack/lab/run.py
+++ b/bellrack/lab/run.py
@@ -15,7 +15,7 @@
 
 from bellrack import choice
 from bellrack.lab import baselines
-from bellrack.lab.referee import Breach, Referee
+from bellrack.lab.rule_checker import Breach, RuleChecker
 from bellrack.lab.scenario import Scenario, ScenarioError, balancer_names, parse_scenario, server_names
 from bellrack.lab.service_record import time_of
 from bellrack.lab.world import World
@@ -61,7 +61,7 @@
     return [bears * tenant.share / whole for tenant in scenario.tenant] or [math.inf]
 
 
-def verdicts(referee: Referee, breaches: list[Breach]) -> dict[str, Any]:
+def verdicts(rule_checker: RuleChecker, breaches: list[Breach]) -> dict[str, Any]:
     return {
         str(rule): {
             "kept": not count,
@@ -70,7 +70,7 @@
                 {"at": time_of(b.at), "what": b.what, "call": b.call} for b in breaches if b.rule == rule
             ][:SHOWN],
         }
-        for rule, count in referee.counts.items()
+        for rule, count in rule_checker.counts.items()
     }
 
 
@@ -87,8 +87,8 @@
 
 def result_of(world: World, policy: str) -> dict[str, Any]:
     scenario = world.scenario
-    referee = Referee(scenario)
-    breaches = referee.judge(world.trace.entries)
+    rule_checker = RuleChecker(scenario)
+    breaches = rule_checker.judge(world.trace.entries)
     count = world.counters
     offered = sum(machine.offered for machine in world.machines)
     figures = world.service_record.summary(shares(scenario, world))
@@ -99,7 +99,7 @@
         "policy": policy,
         "length": scenario.length,
         "kept": not breaches,
-        "rules": verdicts(referee, breaches),
+        "rules": verdicts(rule_checker, breaches),
         **figures,
         "calls": count["calls"],
         "completed": count["completed"],
