--- a/bellrack/lab/clients.py
+++ b/bellrack/lab/clients.py
@@ -13,7 +13,7 @@
 from bellrack.lab.streams import running
 
 if TYPE_CHECKING:
-    from bellrack.lab.node import Out, VirtualNode
+    from bellrack.lab.node import LegRecord, VirtualNode
     from bellrack.lab.world import World
     from bellrack.model import Call
 
@@ -54,14 +54,26 @@
 class Attempt:
     """One try at a demand: one call at one balancer."""
 
-    __slots__ = ("id", "want", "node", "sent", "guard", "delay", "repeat", "call", "out", "said", "due")
+    __slots__ = (
+        "id",
+        "want",
+        "node",
+        "sent",
+        "guard",
+        "delay",
+        "repeat",
+        "call",
+        "leg_record",
+        "said",
+        "due",
+    )
 
     def __init__(self, number: int, want: Want, node: VirtualNode, sent: float, guard: float, delay: float):
         self.id, self.want, self.node = number, want, node
         self.sent, self.guard, self.delay = sent, guard, delay
         self.repeat = want.tries > 0
         self.call: Call | None = None
-        self.out: Out | None = None  # the leg that is out or stands, the last if there were several
+        self.leg_record: LegRecord | None = None  # of the last leg, under way or standing
         self.said = ""  # the answer it heard, or how it ended
 
     def answered(self, how: str, wait: float) -> None:
--- a/bellrack/lab/legs.py
+++ b/bellrack/lab/legs.py
@@ -11,7 +11,7 @@
 from bellrack import model
 from bellrack.lab import machine as machines
 from bellrack.lab.event_queue import RESULT, TIMER
-from bellrack.lab.node import SILENT, Out
+from bellrack.lab.node import SILENT, LegRecord
 from bellrack.model import REFERENCED
 
 if TYPE_CHECKING:
@@ -28,42 +28,51 @@
 
     def __init__(self, world: World):
         self.world = world
-        self.under_way: dict[Machine, dict[Out, None]] = {m: {} for m in world.machines}  # set-ups, by server
+        self.under_way: dict[Machine, dict[LegRecord, None]] = {
+            m: {} for m in world.machines
+        }  # set-ups, by server
         self.standing: dict[Machine, dict] = {m: {} for m in world.machines}  # by balancer, then by leg
         self.memory: dict[tuple[int, int], float] = {}  # referenced calls that ran, till they are forgotten
         self.stream = world.streams["failures"]
 
-    def result(self, out: Out, kind: str, wait: float) -> None:
+    def result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
         """The leg's balancer hears after that wait how it ended before it stood."""
         raise NotImplementedError
 
-    def is_up(self, out: Out) -> None:
+    def is_up(self, leg_record: LegRecord) -> None:
         """It stands at the server: its balancer hears."""
         raise NotImplementedError
 
-    def ended(self, out: Out, silent: bool) -> None:
+    def ended(self, leg_record: LegRecord, silent: bool) -> None:
         """What stood was ended by the server or, where it is silent, will be missed by its balancer."""
         raise NotImplementedError
 
-    def sent(self, out: Out) -> None:
+    def sent(self, leg_record: LegRecord) -> None:
         """Book a leg that is on its way."""
         world = self.world
-        out.attempt.out = out
-        out.machine.within(out.machine.aimed, world.now)
+        leg_record.attempt.leg_record = leg_record
+        leg_record.machine.within(leg_record.machine.aimed, world.now)
         world.counters["legs"] += 1
-        world.counters["crossings"] += out.machine.zone != out.node.zone
-        world.trace.add(world.now, "leg", out.attempt.id, out.number, out.node.name, out.machine.name)
+        world.counters["crossings"] += leg_record.machine.zone != leg_record.node.zone
+        world.trace.add(
+            world.now,
+            "leg",
+            leg_record.attempt.id,
+            leg_record.number,
+            leg_record.node.name,
+            leg_record.machine.name,
+        )
 
-    def accept(self, out: Out) -> None:
+    def accept(self, leg_record: LegRecord) -> None:
         """Its first line has come to a server that is up."""
-        world, machine, now = self.world, out.machine, self.world.now
-        out.starts, fell = machine.starts, machine.fallen
+        world, machine, now = self.world, leg_record.machine, self.world.now
+        leg_record.starts, fell = machine.starts, machine.fallen
         failing = self.stream.hit(machine.failing)
         world.trace.add(
             now,
             "work",
             machine.name,
-            out.attempt.id,
+            leg_record.attempt.id,
             machine.kind.setup,
             machine.demand,
             machine.capacity(now),
@@ -71,51 +80,58 @@
         wait = machine.offer(now, failing)
         if machine.fallen and not fell:
             world.falls(machine)
-            self.result(out, model.RESET, out.delay)
+            self.result(leg_record, model.RESET, leg_record.delay)
         elif wait == machines.FULL:
-            self.result(out, model.FULL, out.delay)
+            self.result(leg_record, model.FULL, leg_record.delay)
         elif wait == machines.FAILS:
-            self.result(out, model.ERROR, out.delay)
+            self.result(leg_record, model.ERROR, leg_record.delay)
         else:
-            self.under_way[machine][out] = None
+            self.under_way[machine][leg_record] = None
             stored = world.store.call(now)
             if stored is None:
-                world.event_queue.schedule_after(world.scenario.store.timeout, RESULT, self.store_failed, out)
+                world.event_queue.schedule_after(
+                    world.scenario.store.timeout, RESULT, self.store_failed, leg_record
+                )
             else:
-                world.event_queue.schedule_after(wait + stored, RESULT, self.comes_up, out)
+                world.event_queue.schedule_after(wait + stored, RESULT, self.comes_up, leg_record)
 
     def hangs(self, machine: Machine) -> None:
         """What stands there brings no messages any more."""
 
-    def store_failed(self, out: Out) -> None:
-        if self.ended_here(out):
-            out.machine.wasted += out.machine.kind.setup
-            self.result(out, model.ERROR, out.delay)
+    def store_failed(self, leg_record: LegRecord) -> None:
+        if self.ended_here(leg_record):
+            leg_record.machine.wasted += leg_record.machine.kind.setup
+            self.result(leg_record, model.ERROR, leg_record.delay)
 
-    def ended_here(self, out: Out) -> bool:
+    def ended_here(self, leg_record: LegRecord) -> bool:
         """Is the set-up still under way in the process that began it? It no longer is."""
-        if out.starts != out.machine.starts or out not in self.under_way[out.machine]:
+        if (
+            leg_record.starts != leg_record.machine.starts
+            or leg_record not in self.under_way[leg_record.machine]
+        ):
             return False
-        del self.under_way[out.machine][out]
-        out.machine.setups -= 1
+        del self.under_way[leg_record.machine][leg_record]
+        leg_record.machine.setups -= 1
         return True
 
-    def comes_up(self, out: Out) -> None:
+    def comes_up(self, leg_record: LegRecord) -> None:
         """The set-up is done: this is when its effect happens, whoever still waits for it."""
-        if out.machine.hung_until > self.world.now:
-            self.world.event_queue.schedule_at(out.machine.hung_until, RESULT, self.comes_up, out)
+        if leg_record.machine.hung_until > self.world.now:
+            self.world.event_queue.schedule_at(
+                leg_record.machine.hung_until, RESULT, self.comes_up, leg_record
+            )
             return
-        if not self.ended_here(out):
+        if not self.ended_here(leg_record):
             return
-        world, machine, want = self.world, out.machine, out.attempt.want
+        world, machine, want = self.world, leg_record.machine, leg_record.attempt.want
         kind = world.scenario.type[want.type]
         if kind.effect != REFERENCED or not self.repeated(machine, want.request, kind):
-            world.trace.add(world.now, "ran", out.attempt.id, out.number, machine.name)
-        if out.over or not out.node.alive:
+            world.trace.add(world.now, "ran", leg_record.attempt.id, leg_record.number, machine.name)
+        if leg_record.over or not leg_record.node.alive:
             machine.wasted += machine.kind.setup
             return
-        self.stands_at(out)
-        self.is_up(out)
+        self.stands_at(leg_record)
+        self.is_up(leg_record)
 
     def repeated(self, machine: Machine, request: int, kind: Type) -> bool:
         """Has a server among those that drop repeats of this call run it already? They remember it from
@@ -129,104 +145,112 @@
         self.memory[scope, request] = now + kind.remembered
         return False
 
-    def stands_at(self, out: Out) -> None:
+    def stands_at(self, leg_record: LegRecord) -> None:
         """It stands at its server from now on."""
-        out.up = True
-        out.machine.take(self.world.now, out, out.attempt.want.load, out.attempt.want.group)
-        self.standing[out.machine].setdefault(out.node, {})[out] = None
-        self.world.service_record.stands(out)
+        leg_record.up = True
+        leg_record.machine.take(
+            self.world.now, leg_record, leg_record.attempt.want.load, leg_record.attempt.want.group
+        )
+        self.standing[leg_record.machine].setdefault(leg_record.node, {})[leg_record] = None
+        self.world.service_record.stands(leg_record)
 
-    def closed(self, out: Out) -> None:
+    def closed(self, leg_record: LegRecord) -> None:
         """The balancer's side of it has ended; the server hears of it a delay later."""
-        if out.up:
-            self.world.service_record.ends(out)
-            self.forget(out)
-            self.world.event_queue.schedule_after(out.delay, RESULT, self.leaves, out)
-
-    def leaves(self, out: Out) -> None:
-        if out.starts == out.machine.starts:
-            out.machine.leave(self.world.now, out)
-
-    def forget(self, out: Out) -> None:
-        out.up = False
-        theirs = self.standing[out.machine].get(out.node, {})
-        theirs.pop(out, None)
+        if leg_record.up:
+            self.world.service_record.ends(leg_record)
+            self.forget(leg_record)
+            self.world.event_queue.schedule_after(leg_record.delay, RESULT, self.leaves, leg_record)
+
+    def leaves(self, leg_record: LegRecord) -> None:
+        if leg_record.starts == leg_record.machine.starts:
+            leg_record.machine.leave(self.world.now, leg_record)
+
+    def forget(self, leg_record: LegRecord) -> None:
+        leg_record.up = False
+        theirs = self.standing[leg_record.machine].get(leg_record.node, {})
+        theirs.pop(leg_record, None)
         if not theirs:
-            self.standing[out.machine].pop(out.node, None)
+            self.standing[leg_record.machine].pop(leg_record.node, None)
 
     def machine_ends(self, machine: Machine, silent: bool) -> None:
         """A server's process is gone, with all that stands there and all set-ups under way."""
-        outs = [out for legs in self.standing[machine].values() for out in legs]
+        leg_records = [leg_record for legs in self.standing[machine].values() for leg_record in legs]
         begun = list(self.under_way[machine])
         self.under_way[machine].clear()
-        for out in outs:
-            self.world.service_record.ends(out)
-            self.forget(out)
-            self.ended(out, silent)
+        for leg_record in leg_records:
+            self.world.service_record.ends(leg_record)
+            self.forget(leg_record)
+            self.ended(leg_record, silent)
         if not silent:
-            for out in begun:
-                self.result(out, model.RESET, out.delay)
+            for leg_record in begun:
+                self.result(leg_record, model.RESET, leg_record.delay)
 
-    def drops(self, out: Out) -> None:
+    def drops(self, leg_record: LegRecord) -> None:
         """The server cuts this one off, as more is piled up than it bears."""
         self.world.counters["shed"] += 1
-        out.machine.leave(self.world.now, out)
-        self.world.service_record.ends(out)
-        self.forget(out)
-        self.ended(out, False)
+        leg_record.machine.leave(self.world.now, leg_record)
+        self.world.service_record.ends(leg_record)
+        self.forget(leg_record)
+        self.ended(leg_record, False)
 
 
 class Legs(Setups):
     """On virtual time."""
 
-    def goes(self, out: Out, until: float) -> None:
+    def goes(self, leg_record: LegRecord, until: float) -> None:
         """A balancer opens a connection to a server, and sends its first line as soon as it is up."""
-        self.sent(out)
-        self.world.event_queue.schedule_after(LINE * out.delay, RESULT, self.reaches, out)
-        self.world.event_queue.schedule_at(until, TIMER, out.node.turn, self.late, out)
+        self.sent(leg_record)
+        self.world.event_queue.schedule_after(LINE * leg_record.delay, RESULT, self.reaches, leg_record)
+        self.world.event_queue.schedule_at(until, TIMER, leg_record.node.turn, self.late, leg_record)
 
-    def late(self, out: Out) -> None:
+    def late(self, leg_record: LegRecord) -> None:
         """The balancer's time for it is up."""
-        if not out.stood:
-            out.node.leg_over(out, model.TIMEOUT)
+        if not leg_record.stood:
+            leg_record.node.leg_over(leg_record, model.TIMEOUT)
 
-    def reaches(self, out: Out) -> None:
-        machine = out.machine
+    def reaches(self, leg_record: LegRecord) -> None:
+        machine = leg_record.machine
         if machine.hung_until > self.world.now:
-            self.world.event_queue.schedule_at(machine.hung_until, RESULT, self.reaches, out)
+            self.world.event_queue.schedule_at(machine.hung_until, RESULT, self.reaches, leg_record)
         elif machine.silent:
-            wait = self.world.scenario.rules.connect_timeout - LINE * out.delay
-            self.result(out, model.NO_CONN, max(0.0, wait))
+            wait = self.world.scenario.rules.connect_timeout - LINE * leg_record.delay
+            self.result(leg_record, model.NO_CONN, max(0.0, wait))
         elif not machine.up:
             # Refused; or gone between connecting and the line, which may have run for all that is known.
-            came_up = self.world.down_since.get(machine, 0.0) > out.sent + CONNECT * out.delay
-            self.result(out, model.RESET if came_up else model.NO_CONN, 0.0)
-        elif out.node.alive and not out.over:  # else its balancer has hung up before its line was through
-            self.accept(out)
-
-    def result(self, out: Out, kind: str, wait: float) -> None:
-        self.world.event_queue.schedule_after(wait, RESULT, out.node.turn, out.node.leg_over, out, kind)
+            came_up = self.world.down_since.get(machine, 0.0) > leg_record.sent + CONNECT * leg_record.delay
+            self.result(leg_record, model.RESET if came_up else model.NO_CONN, 0.0)
+        elif (
+            leg_record.node.alive and not leg_record.over
+        ):  # else its balancer has hung up before its line was through
+            self.accept(leg_record)
+
+    def result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
+        self.world.event_queue.schedule_after(
+            wait, RESULT, leg_record.node.turn, leg_record.node.leg_over, leg_record, kind
+        )
 
-    def is_up(self, out: Out) -> None:
-        self.world.event_queue.schedule_after(out.delay, RESULT, out.node.turn, out.node.stands, out)
+    def is_up(self, leg_record: LegRecord) -> None:
+        self.world.event_queue.schedule_after(
+            leg_record.delay, RESULT, leg_record.node.turn, leg_record.node.stands, leg_record
+        )
 
-    def ended(self, out: Out, silent: bool) -> None:
+    def ended(self, leg_record: LegRecord, silent: bool) -> None:
         # In a machine that vanished all stays open and silent, till its balancer misses messages.
-        wait = self.stream.between(list(SILENT)) if silent else out.delay
-        what = self.silent_end if silent else out.node.lost
-        self.world.event_queue.schedule_after(wait, RESULT, out.node.turn, what, out)
+        wait = self.stream.between(list(SILENT)) if silent else leg_record.delay
+        what = self.silent_end if silent else leg_record.node.lost
+        self.world.event_queue.schedule_after(wait, RESULT, leg_record.node.turn, what, leg_record)
 
     def hangs(self, machine: Machine) -> None:
         for legs in self.standing[machine].values():
-            for out in legs:
+            for leg_record in legs:
                 self.world.event_queue.schedule_after(
-                    self.stream.between(list(SILENT)), RESULT, out.node.turn, self.missed, out
+                    self.stream.between(list(SILENT)), RESULT, leg_record.node.turn, self.missed, leg_record
                 )
 
-    def missed(self, out: Out) -> None:
-        if out.machine.hung_until > self.world.now:
-            self.silent_end(out)
+    def missed(self, leg_record: LegRecord) -> None:
+        if leg_record.machine.hung_until > self.world.now:
+            self.silent_end(leg_record)
 
-    def silent_end(self, out: Out) -> None:
+    def silent_end(self, leg_record: LegRecord) -> None:
         """The host moves a client whose server says nothing; the leg counts as reset."""
-        out.node.moved(out.attempt, model.RESET)
+        leg_record.node.moved(leg_record.attempt, model.RESET)
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -29,7 +29,7 @@
 from bellrack.lab.event_queue import ARRIVAL, LOOK, RESULT, START, EventQueue
 from bellrack.lab.legs import Setups
 from bellrack.lab.machine import Machine
-from bellrack.lab.node import Out, Seat
+from bellrack.lab.node import LegRecord, Seat
 from bellrack.lab.rule_checker import RuleChecker
 from bellrack.lab.scenario import Scenario, ScenarioError
 from bellrack.lab.sockets import (
@@ -283,8 +283,8 @@
         how = {"UP": "completed", "BUSY": "rejected"}.get(word, "released")
         wait = int(rest) / 1000 if how == "rejected" and rest.isdigit() else 0.0
         self.note_answer(attempt, how, wait)
-        if attempt.out and how == "completed":
-            attempt.out.stood = True
+        if attempt.leg_record and how == "completed":
+            attempt.leg_record.stood = True
         self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
         if how != "completed":
             line.close()
@@ -316,16 +316,16 @@
         self.lines.pop(attempt, None)
         self.world.by_mark.pop(self.world.mark_of(attempt), None)
 
-    def resume_standing(self, attempt: Attempt, machine: Machine) -> Out:
+    def resume_standing(self, attempt: Attempt, machine: Machine) -> LegRecord:
         """A connection that stands before the run: its client comes with `at=`, its server knows it."""
-        out = attempt.out = Out(
+        leg_record = attempt.leg_record = LegRecord(
             attempt, None, machine, 1, self.world.now, self.world.delay(self.zone, machine.zone)
         )
-        out.stood = True
+        leg_record.stood = True
         self.note_stood(attempt, machine)
         self.world.standing_wanted += 1
         self.arrive(attempt, machine.name)
-        return out
+        return leg_record
 
 
 class LiveLegs(Setups):
@@ -345,12 +345,12 @@
             link.close()
             return
         if ",at=" in words[3]:
-            attempt.out.link, link.out = link, attempt.out
+            attempt.leg_record.link, link.leg_record = link, attempt.leg_record
             link.say("UP 0")
             return
         attempt.call = attempt.call or attempt
         self.world.order[attempt] = number = self.world.order.get(attempt, 0) + 1
-        out = link.out = Out(
+        leg_record = link.leg_record = LegRecord(
             attempt,
             None,
             link.machine,
@@ -358,59 +358,61 @@
             self.world.now,
             self.world.delay(attempt.node.zone, link.machine.zone),
         )
-        out.link = link
-        self.sent(out)
+        leg_record.link = link
+        self.sent(leg_record)
         # The way that the network of the scenario is longer than loopback.
-        self.world.event_queue.schedule_after(3 * out.delay, RESULT, self.reaches, out)
+        self.world.event_queue.schedule_after(3 * leg_record.delay, RESULT, self.reaches, leg_record)
 
-    def reaches(self, out: Out) -> None:
-        if out.machine.hung_until > self.world.now:
-            self.world.event_queue.schedule_at(out.machine.hung_until, RESULT, self.reaches, out)
-        elif out.machine.up and not out.machine.silent and not out.over:
-            self.accept(out)
+    def reaches(self, leg_record: LegRecord) -> None:
+        if leg_record.machine.hung_until > self.world.now:
+            self.world.event_queue.schedule_at(
+                leg_record.machine.hung_until, RESULT, self.reaches, leg_record
+            )
+        elif leg_record.machine.up and not leg_record.machine.silent and not leg_record.over:
+            self.accept(leg_record)
 
-    def result(self, out: Out, kind: str, wait: float) -> None:
-        self.world.event_queue.schedule_after(wait, RESULT, self.tell_result, out, kind)
+    def result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
+        self.world.event_queue.schedule_after(wait, RESULT, self.tell_result, leg_record, kind)
 
-    def tell_result(self, out: Out, kind: str) -> None:
-        if out.over:
+    def tell_result(self, leg_record: LegRecord, kind: str) -> None:
+        if leg_record.over:
             return
-        self.is_over(out, kind)
+        self.is_over(leg_record, kind)
         if kind in NEGATIVE:
-            out.link.say(NEGATIVE[kind])
-            out.link.close()
+            leg_record.link.say(NEGATIVE[kind])
+            leg_record.link.close()
         else:
-            out.link.reset()
+            leg_record.link.reset()
 
-    def is_over(self, out: Out, kind: str) -> None:
-        out.over = True
-        out.node.note_back(out, kind)
+    def is_over(self, leg_record: LegRecord, kind: str) -> None:
+        leg_record.over = True
+        leg_record.node.note_back(leg_record, kind)
 
-    def is_up(self, out: Out) -> None:
-        self.world.event_queue.schedule_after(out.delay, RESULT, self.tell_up, out)
+    def is_up(self, leg_record: LegRecord) -> None:
+        self.world.event_queue.schedule_after(leg_record.delay, RESULT, self.tell_up, leg_record)
 
-    def tell_up(self, out: Out) -> None:
-        if not out.over and out.up:
-            out.link.say(f"UP {out.attempt.id:x}")
-            out.link.stream(self.world.scenario.clients.stream)
+    def tell_up(self, leg_record: LegRecord) -> None:
+        if not leg_record.over and leg_record.up:
+            leg_record.link.say(f"UP {leg_record.attempt.id:x}")
+            leg_record.link.stream(self.world.scenario.clients.stream)
 
-    def ended(self, out: Out, silent: bool) -> None:
+    def ended(self, leg_record: LegRecord, silent: bool) -> None:
         if not silent:
-            self.is_over(out, model.RESET)
-            out.link.reset()
+            self.is_over(leg_record, model.RESET)
+            leg_record.link.reset()
 
     def link_lost(self, link: ServerLine) -> None:
         """The balancer's side has ended."""
-        out = link.out
-        if out is None or out.over:
+        leg_record = link.leg_record
+        if leg_record is None or leg_record.over:
             return
-        self.is_over(out, model.COMPLETED if out.stood and out.up else model.CANCELLED)
+        self.is_over(leg_record, model.COMPLETED if leg_record.stood and leg_record.up else model.CANCELLED)
         if not link.transport.is_closing():
             link.transport.close()
-        if out.up:
-            self.world.service_record.ends(out)
-            self.forget(out)
-            self.leaves(out)
+        if leg_record.up:
+            self.world.service_record.ends(leg_record)
+            self.forget(leg_record)
+            self.leaves(leg_record)
 
 
 class Tasks:
@@ -586,9 +588,9 @@
         for line in list(self.server_lines[machine]):
             line.say_owed()
 
-    def told_late(self, out: Out, delay: float) -> None:
-        if not out.over and out.up:
-            out.link.say(f"LOAD {delay * 1000:.3f}")
+    def told_late(self, leg_record: LegRecord, delay: float) -> None:
+        if not leg_record.over and leg_record.up:
+            leg_record.link.say(f"LOAD {delay * 1000:.3f}")
 
     # The run.
 
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -25,7 +25,7 @@
 SILENT = (4.5, 5.5)  # seconds after a server's last word when what stands there is moved on
 
 
-class Out:
+class LegRecord:
     """A leg under way or standing: the world's own record of it."""
 
     __slots__ = (
@@ -83,9 +83,9 @@
         self.world.counters[how] += 1
         self.world.trace.add(self.world.now, "answer", attempt.id, how, wait)
 
-    def note_back(self, out: Out, kind: str) -> None:
+    def note_back(self, leg_record: LegRecord, kind: str) -> None:
         self.world.counters[f"leg_{kind.replace(' ', '_')}"] += 1
-        self.world.trace.add(self.world.now, "back", out.attempt.id, out.number, kind)
+        self.world.trace.add(self.world.now, "back", leg_record.attempt.id, leg_record.number, kind)
 
     def note_stop(self, how: str) -> None:
         self.alive = False
@@ -131,9 +131,11 @@
         leg = self.begin_leg(call, server)
         attempt: Attempt = call.host_record
         machine = self.machines[server.id_hash]
-        out = Out(attempt, leg, machine, len(call.legs), self.now, self.world.delay(self.zone, machine.zone))
-        leg.host_record = out
-        self.world.legs.goes(out, until)
+        leg_record = LegRecord(
+            attempt, leg, machine, len(call.legs), self.now, self.world.delay(self.zone, machine.zone)
+        )
+        leg.host_record = leg_record
+        self.world.legs.goes(leg_record, until)
         return leg
 
     def cancel(self, leg: Leg) -> None:
@@ -206,78 +208,80 @@
         else:
             self.balancer.on_call(call)
 
-    def stands(self, out: Out) -> None:
+    def stands(self, leg_record: LegRecord) -> None:
         """The server's UP came."""
-        if out.over:
+        if leg_record.over:
             return
-        if out.leg.call.done:
-            self.leg_over(out, model.CANCELLED)  # it would stand for nobody
+        if leg_record.leg.call.done:
+            self.leg_over(leg_record, model.CANCELLED)  # it would stand for nobody
             return
-        self.note_answer(out.attempt, "completed")
+        self.note_answer(leg_record.attempt, "completed")
         self.world.event_queue.schedule_after(
-            out.attempt.delay, ARRIVAL, out.attempt.answered, "completed", 0.0
+            leg_record.attempt.delay, ARRIVAL, leg_record.attempt.answered, "completed", 0.0
         )
-        out.stood = True
-        self.leg_established(out.leg)
+        leg_record.stood = True
+        self.leg_established(leg_record.leg)
         if self.shutting_down:
-            self.move(out.leg.call)
+            self.move(leg_record.leg.call)
 
-    def leg_over(self, out: Out, kind: str) -> None:
+    def leg_over(self, leg_record: LegRecord, kind: str) -> None:
         """The leg's one result."""
-        if out.over:
+        if leg_record.over:
             return
-        out.over, leg = True, out.leg
-        self.note_back(out, kind)
-        self.world.legs.closed(out)
+        leg_record.over, leg = True, leg_record.leg
+        self.note_back(leg_record, kind)
+        self.world.legs.closed(leg_record)
         if leg.established:
-            self.attempts.pop(out.attempt, None)
+            self.attempts.pop(leg_record.attempt, None)
         self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.established or leg.call.done)
 
     def moved(self, attempt: Attempt, kind: str) -> None:
         """The client is told to come again, between two lines, and both sides end."""
-        out = attempt.out
-        if out is None or out.over or not out.leg.established:
+        leg_record = attempt.leg_record
+        if leg_record is None or leg_record.over or not leg_record.leg.established:
             return
         self.world.counters["moves"] += 1
         self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.broken, "moved")
-        self.leg_over(out, kind)
+        self.leg_over(leg_record, kind)
 
-    def lost(self, out: Out) -> None:
+    def lost(self, leg_record: LegRecord) -> None:
         """The server ended the connection, or the kernel says that it is gone."""
-        if out.over:
+        if leg_record.over:
             return
-        if out.leg.established:
-            self.world.event_queue.schedule_after(out.attempt.delay, ARRIVAL, out.attempt.broken, "reset")
-        self.leg_over(out, model.RESET)
+        if leg_record.leg.established:
+            self.world.event_queue.schedule_after(
+                leg_record.attempt.delay, ARRIVAL, leg_record.attempt.broken, "reset"
+            )
+        self.leg_over(leg_record, model.RESET)
 
     def hung_up(self, attempt: Attempt, kind: str) -> None:
         """The client ended the connection."""
-        call, out = attempt.call, attempt.out
+        call, leg_record = attempt.call, attempt.leg_record
         if call is None:
             return
-        if not call.done and not (out and out.leg.established):
+        if not call.done and not (leg_record and leg_record.leg.established):
             call.done = True
             self.world.trace.add(self.now, "gone", attempt.id)
             self.balancer.on_client_left(call)
             kind = model.CANCELLED
         self.attempts.pop(attempt, None)
-        if out and not out.over:
-            self.leg_over(out, kind)
+        if leg_record and not leg_record.over:
+            self.leg_over(leg_record, kind)
 
-    def resume_standing(self, attempt: Attempt, machine: Machine) -> Out:
+    def resume_standing(self, attempt: Attempt, machine: Machine) -> LegRecord:
         """A connection that stood before the run."""
         want = attempt.want
         call = self.new_call(want.type, 0.0, key=want.key, group=want.group, tenant=want.tenant)
         call.host_record, attempt.call = attempt, call
         self.attempts[attempt] = None
         leg = self.begin_leg(call, self.servers[self.world.marks[machine]])
-        out = leg.host_record = attempt.out = Out(
+        leg_record = leg.host_record = attempt.leg_record = LegRecord(
             attempt, leg, machine, 1, self.now, self.world.delay(self.zone, machine.zone)
         )
-        out.stood = True
+        leg_record.stood = True
         self.note_stood(attempt, machine)
         self.resume_leg(leg)
-        return out
+        return leg_record
 
     def listed(self, rows: list[tuple[Machine, str, float]], whole: bool) -> None:
         """The list or changes of it."""
@@ -311,9 +315,9 @@
         """Killed, or at the end of its way out: all it knew is gone, its connections end on both sides."""
         self.note_stop(how)
         for attempt in list(self.attempts):
-            if attempt.out and not attempt.out.over:
-                attempt.out.over = True
-                self.world.legs.closed(attempt.out)
+            if attempt.leg_record and not attempt.leg_record.over:
+                attempt.leg_record.over = True
+                self.world.legs.closed(attempt.leg_record)
             self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.broken, "balancer killed")
 
     def leave(self, grace: float) -> None:
@@ -321,7 +325,9 @@
         if not self.alive or self.shutting_down:
             return
         self.shutting_down = True
-        standing = [attempt for attempt in self.attempts if attempt.out and attempt.out.leg.established]
+        standing = [
+            attempt for attempt in self.attempts if attempt.leg_record and attempt.leg_record.leg.established
+        ]
         for index, attempt in enumerate(standing):
             share = shutdown.FIRST_MOVE_SHARE + (
                 shutdown.LAST_MOVE_SHARE - shutdown.FIRST_MOVE_SHARE
--- a/bellrack/lab/service_record.py
+++ b/bellrack/lab/service_record.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from bellrack.lab.clients import Want
-    from bellrack.lab.node import Out
+    from bellrack.lab.node import LegRecord
     from bellrack.lab.scenario import Scenario
 
 LOOK = 0.25  # seconds between looks at who is served
@@ -51,13 +51,13 @@
     def wants(self, want: Want, by: int) -> None:
         self.wanting[want.type, want.tenant] += by
 
-    def stands(self, out: Out) -> None:
-        want = out.attempt.want
-        self.held[self.index[out.machine], want.type, want.tenant] += 1
+    def stands(self, leg_record: LegRecord) -> None:
+        want = leg_record.attempt.want
+        self.held[self.index[leg_record.machine], want.type, want.tenant] += 1
 
-    def ends(self, out: Out) -> None:
-        want = out.attempt.want
-        self.held[self.index[out.machine], want.type, want.tenant] -= 1
+    def ends(self, leg_record: LegRecord) -> None:
+        want = leg_record.attempt.want
+        self.held[self.index[leg_record.machine], want.type, want.tenant] -= 1
 
     def came_up(self, want: Want, took: float) -> None:
         """Seconds from when the connection was wanted, or had broken, to its UP."""
--- a/bellrack/lab/sockets.py
+++ b/bellrack/lab/sockets.py
@@ -20,7 +20,7 @@
     from bellrack.lab.clients import Attempt
     from bellrack.lab.live import LiveNode, LiveWorld
     from bellrack.lab.machine import Machine
-    from bellrack.lab.node import Out
+    from bellrack.lab.node import LegRecord
 
 HOST = "127.0.0.1"
 SPEAKS = 2.0  # seconds between a client's lines
@@ -129,7 +129,7 @@
     def __init__(self, world: LiveWorld, machine: Machine):
         super().__init__()
         self.world, self.machine = world, machine
-        self.out: Out | None = None
+        self.leg_record: LegRecord | None = None
         self.owed = 0  # answers held back while the server hangs
 
     def connection_made(self, transport: Any) -> None:
@@ -139,7 +139,7 @@
     def line(self, line: str) -> None:
         if self.machine.silent:
             return
-        if self.out is None:
+        if self.leg_record is None:
             self.world.legs.line_came(self, line)
         else:
             self.owed += 1
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -18,7 +18,7 @@
 from bellrack.lab.event_queue import LOOK, RESULT, START, TROUBLE, EventQueue
 from bellrack.lab.legs import Legs, Setups
 from bellrack.lab.machine import Machine, SessionStore
-from bellrack.lab.node import Out, VirtualNode
+from bellrack.lab.node import LegRecord, VirtualNode
 from bellrack.lab.scenario import Scenario
 from bellrack.lab.service_record import LOOK as EACH
 from bellrack.lab.service_record import ServiceRecord
@@ -188,9 +188,9 @@
             if not machine.up or machine.silent or machine.hung_until > now:
                 flags.append([0] * len(kinds))
                 continue
-            for out in machine.sheds(now):
-                if out.up:
-                    self.legs.drops(out)
+            for leg_record in machine.sheds(now):
+                if leg_record.up:
+                    self.legs.drops(leg_record)
             delay = machine.delay(now)
             flags.append([int(delay <= kind.message_aim) for kind in kinds])
         self.service_record.look(flags)
@@ -209,17 +209,19 @@
             delay = machine.delay(self.now)
             late = delay > NOTICE * self.quickest
             if late or self.late.get(machine):
-                for outs in self.legs.standing[machine].values():
-                    out = next((out for out in outs if out.stood), None)
-                    if out:
-                        self.event_queue.schedule_after(out.delay, RESULT, self.told_late, out, delay)
+                for leg_records in self.legs.standing[machine].values():
+                    leg_record = next((leg_record for leg_record in leg_records if leg_record.stood), None)
+                    if leg_record:
+                        self.event_queue.schedule_after(
+                            leg_record.delay, RESULT, self.told_late, leg_record, delay
+                        )
             self.late[machine] = late
         if self.now < START + self.scenario.length + self.scenario.tail:
             self.event_queue.schedule_after(NOTICES, LOOK, self.notices)
 
-    def told_late(self, out: Out, delay: float) -> None:
-        if not out.over:
-            out.node.turn(out.node.balancer.on_delay_reported, out.leg, delay)
+    def told_late(self, leg_record: LegRecord, delay: float) -> None:
+        if not leg_record.over:
+            leg_record.node.turn(leg_record.node.balancer.on_delay_reported, leg_record.leg, delay)
 
     def falls(self, machine: Machine) -> None:
         """A cold server is pushed over: its process is gone for good."""
