--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -101,13 +101,15 @@
     world: World
 
     def choose(self, call: Call, places: list[Server]) -> Server | None:
-        world, now, want = self.world, self.world.now, call.host_record.want
+        world, now, demand = self.world, self.world.now, call.host_record.demand
         found = []
         for server in places:
             machine = call.host_record.node.machines[server.id_hash]
             if not machine.up or machine.silent or machine.draining or machine.fallen:
                 continue
-            extra = want.load + (machine.group_cost if want.group and want.group not in machine.groups else 0)
+            extra = demand.load + (
+                machine.group_cost if demand.group and demand.group not in machine.groups else 0
+            )
             coming, can = machine.setups * world.scenario.load.mean, machine.capacity(now)
             if machine.warm(now) < 1:
                 recent = sum(at > now - world.scenario.rules.push_window for at in machine.aimed)
--- a/bellrack/lab/clients.py
+++ b/bellrack/lab/clients.py
@@ -21,7 +21,7 @@
 LATEST = 1e9  # an end that never comes
 
 
-class Want:
+class Demand:
     """A client's demand for a connection."""
 
     __slots__ = (
@@ -56,7 +56,7 @@
 
     __slots__ = (
         "id",
-        "want",
+        "demand",
         "node",
         "sent",
         "guard",
@@ -68,10 +68,12 @@
         "due",
     )
 
-    def __init__(self, number: int, want: Want, node: VirtualNode, sent: float, guard: float, delay: float):
-        self.id, self.want, self.node = number, want, node
+    def __init__(
+        self, number: int, demand: Demand, node: VirtualNode, sent: float, guard: float, delay: float
+    ):
+        self.id, self.demand, self.node = number, demand, node
         self.sent, self.guard, self.delay = sent, guard, delay
-        self.repeat = want.tries > 0
+        self.repeat = demand.tries > 0
         self.call: Call | None = None
         self.leg_record: LegRecord | None = None  # of the last leg, under way or standing
         self.said = ""  # the answer it heard, or how it ended
@@ -94,7 +96,7 @@
         self.tenants = running([one.share * one.usage for one in scenario.tenant] or [1.0])
         self.groups = running([1 / (n + 1) ** scenario.groups.zipf for n in range(scenario.groups.count)])
         self.requests = self.calls = 0
-        self.wants: dict[Want, None] = {}  # those that last
+        self.demands: dict[Demand, None] = {}  # those that last
         self.dear: list = []  # troubles in force
         self.burst = 1.0
 
@@ -111,50 +113,52 @@
 
     def comes(self) -> None:
         self.next_arrival()
-        self.tries(self.want())
+        self.tries(self.new_demand())
 
-    def want(self) -> Want:
+    def new_demand(self) -> Demand:
         """A new demand, due now."""
         world, scenario = self.world, self.world.scenario
         self.requests += 1
-        want = Want(self.requests, world.now)
-        want.type, want.tenant = self.kinds.index(self.types), self.kinds.index(self.tenants)
-        want.zone = self.kinds.index(self.zones)
-        want.group = self.kinds.index(self.groups) + 1 if self.groups else 0
-        want.key = self.kinds.seed()
-        kind = scenario.type[want.type]
-        want.ends = world.now + self.kinds.wait(self.form.life * kind.life)
-        want.load = scenario.load.mean * kind.load * self.loads.skewed(scenario.load.spread)
-        want.heavy = self.loads.even()  # which of dear calls it is among, whatever the troubles
-        want.load *= math.prod(trouble.factor for trouble in self.dear if self.is_dear(want, trouble))
-        want.never, want.honours = self.habits.hit(self.form.never), self.habits.hit(self.form.honours)
-        want.failed_since = world.now
-        self.wants[want] = None
-        world.service_record.wants(want, 1)
-        world.event_queue.schedule_at(min(want.ends, LATEST), GUARD, self.leaves, want)
-        return want
-
-    def is_dear(self, want: Want, trouble) -> bool:
+        demand = Demand(self.requests, world.now)
+        demand.type, demand.tenant = self.kinds.index(self.types), self.kinds.index(self.tenants)
+        demand.zone = self.kinds.index(self.zones)
+        demand.group = self.kinds.index(self.groups) + 1 if self.groups else 0
+        demand.key = self.kinds.seed()
+        kind = scenario.type[demand.type]
+        demand.ends = world.now + self.kinds.wait(self.form.life * kind.life)
+        demand.load = scenario.load.mean * kind.load * self.loads.skewed(scenario.load.spread)
+        demand.heavy = self.loads.even()  # which of dear calls it is among, whatever the troubles
+        demand.load *= math.prod(trouble.factor for trouble in self.dear if self.is_dear(demand, trouble))
+        demand.never, demand.honours = self.habits.hit(self.form.never), self.habits.hit(self.form.honours)
+        demand.failed_since = world.now
+        self.demands[demand] = None
+        world.service_record.add_demand(demand, 1)
+        world.event_queue.schedule_at(min(demand.ends, LATEST), GUARD, self.leaves, demand)
+        return demand
+
+    def is_dear(self, demand: Demand, trouble) -> bool:
         tenants, kinds = self.world.scenario.tenant, self.world.scenario.type
         named = (
-            tenants[want.tenant].name == trouble.tenant
+            tenants[demand.tenant].name == trouble.tenant
             if trouble.tenant and tenants
-            else kinds[want.type].name == trouble.type
+            else kinds[demand.type].name == trouble.type
         )
-        return named and want.heavy < trouble.share
+        return named and demand.heavy < trouble.share
 
-    def tries(self, want: Want) -> None:
+    def tries(self, demand: Demand) -> None:
         """Connect to the balancer that the front deals out."""
-        if want.over or want.attempt:
+        if demand.over or demand.attempt:
             return
-        world, kind = self.world, self.world.scenario.type[want.type]
-        node = world.front.deal(want.zone)
+        world, kind = self.world, self.world.scenario.type[demand.type]
+        node = world.front.deal(demand.zone)
         if node is None:
-            self.failed(want, None, 0.0)
+            self.failed(demand, None, 0.0)
             return
         self.calls += 1
-        delay = world.client_delay() + (0 if node.zone == want.zone else world.delay(want.zone, node.zone))
-        attempt = want.attempt = Attempt(self.calls, want, node, world.now, world.now + kind.guard, delay)
+        delay = world.client_delay() + (
+            0 if node.zone == demand.zone else world.delay(demand.zone, node.zone)
+        )
+        attempt = demand.attempt = Attempt(self.calls, demand, node, world.now, world.now + kind.guard, delay)
         world.event_queue.schedule_after(delay, ARRIVAL, self.reaches, attempt)
         world.event_queue.schedule_at(attempt.guard, GUARD, self.gives_up, attempt)
 
@@ -167,32 +171,32 @@
     # What it hears.
 
     def answered(self, attempt: Attempt, how: str, wait: float) -> None:
-        want = attempt.want
+        demand = attempt.demand
         if attempt.said:
             return
         attempt.said = how
-        if want.over or want.attempt is not attempt:
+        if demand.over or demand.attempt is not attempt:
             return
         if how == "completed":
-            self.world.service_record.came_up(want, self.world.now - want.failed_since)
-            want.tries = 0
+            self.world.service_record.came_up(demand, self.world.now - demand.failed_since)
+            demand.tries = 0
             return
-        self.failed(want, attempt, wait)
+        self.failed(demand, attempt, wait)
 
     def gives_up(self, attempt: Attempt) -> None:
         """Its guard time is up and it has heard nothing."""
-        if attempt.said or attempt.want.attempt is not attempt:
+        if attempt.said or attempt.demand.attempt is not attempt:
             return
         attempt.said = "gave up"
         self.world.counters["gave_up"] += 1
         self.hangs_up(attempt)
-        self.failed(attempt.want, attempt, 0.0)
+        self.failed(attempt.demand, attempt, 0.0)
 
-    def failed(self, want: Want, attempt: Attempt | None, wait: float) -> None:
-        want.attempt = None
-        if want.over:
+    def failed(self, demand: Demand, attempt: Attempt | None, wait: float) -> None:
+        demand.attempt = None
+        if demand.over:
             return
-        world, kind = self.world, self.world.scenario.type[want.type]
+        world, kind = self.world, self.world.scenario.type[demand.type]
         how = attempt.said if attempt else "none"
         # What may have run and must not run twice is a new request when the client comes again.
         harmless = (
@@ -200,60 +204,62 @@
             or kind.effect == "repeatable"
             or kind.effect == "referenced"
             and kind.group == "all"
-            and world.now < want.due + kind.remembered
+            and world.now < demand.due + kind.remembered
         )
-        want.tries += 1
-        if not want.never and harmless and want.tries <= self.form.retries:
+        demand.tries += 1
+        if not demand.never and harmless and demand.tries <= self.form.retries:
             back = self.waits.between(self.form.backoff)
-            if how == "rejected" and wait and want.honours:
+            if how == "rejected" and wait and demand.honours:
                 back = wait + back
             if how in ("none", "unreached"):
                 back = max(back, UNREACHED)
-            world.event_queue.schedule_after(back, ARRIVAL, self.tries, want)
-        elif self.form.again[1] and not want.never:
-            want.tries = 0
+            world.event_queue.schedule_after(back, ARRIVAL, self.tries, demand)
+        elif self.form.again[1] and not demand.never:
+            demand.tries = 0
             world.event_queue.schedule_after(
-                max(wait, self.waits.between(self.form.again)), ARRIVAL, self.anew, want
+                max(wait, self.waits.between(self.form.again)), ARRIVAL, self.anew, demand
             )
 
-    def anew(self, want: Want) -> None:
+    def anew(self, demand: Demand) -> None:
         """A new request for the same demand."""
-        if not want.over and not want.attempt:
+        if not demand.over and not demand.attempt:
             self.requests += 1
-            want.request, want.due = self.requests, self.world.now
-            self.tries(want)
+            demand.request, demand.due = self.requests, self.world.now
+            self.tries(demand)
 
     def broken(self, attempt: Attempt, how: str) -> None:
         """The connection ended, with MOVE or without."""
-        want = attempt.want
-        if want.attempt is not attempt or how == attempt.said:
+        demand = attempt.demand
+        if demand.attempt is not attempt or how == attempt.said:
             return
         standing = attempt.said == "completed"
         if standing:
             self.world.trace.add(self.world.now, "over", attempt.id, how)
         attempt.said = attempt.said or how  # killed: what it held is the client's to retry
-        want.attempt = None
-        if want.over:
+        demand.attempt = None
+        if demand.over:
             return
         if not standing:
-            self.failed(want, attempt, 0.0)
+            self.failed(demand, attempt, 0.0)
             return
-        want.returned, want.tries, want.failed_since = True, 0, self.world.now
+        demand.returned, demand.tries, demand.failed_since = True, 0, self.world.now
         self.requests += 1
-        want.request, want.due = self.requests, self.world.now
-        self.world.event_queue.schedule_after(self.waits.between(self.form.rejoin), ARRIVAL, self.tries, want)
+        demand.request, demand.due = self.requests, self.world.now
+        self.world.event_queue.schedule_after(
+            self.waits.between(self.form.rejoin), ARRIVAL, self.tries, demand
+        )
 
     def hangs_up(self, attempt: Attempt, kind: str = "cancelled") -> None:
         node = attempt.node
         self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, node.turn, node.hung_up, attempt, kind)
 
-    def leaves(self, want: Want) -> None:
+    def leaves(self, demand: Demand) -> None:
         """The demand is over, served to its end or not."""
-        want.over = True
-        del self.wants[want]
-        self.world.service_record.wants(want, -1)
-        if want.attempt:
-            attempt, want.attempt = want.attempt, None
+        demand.over = True
+        del self.demands[demand]
+        self.world.service_record.add_demand(demand, -1)
+        if demand.attempt:
+            attempt, demand.attempt = demand.attempt, None
             if attempt.said == "completed":
                 self.world.trace.add(self.world.now, "over", attempt.id, "left")
             attempt.said = attempt.said or "left"
@@ -262,8 +268,8 @@
     def drops(self, share: float, zone: int | None) -> None:
         """So many clients drop at once and come again."""
         stream = self.world.streams["drops"]
-        for want in list(self.wants):
-            attempt = want.attempt
-            if stream.hit(share) and attempt and attempt.said == "completed" and zone in (None, want.zone):
+        for demand in list(self.demands):
+            attempt = demand.attempt
+            if stream.hit(share) and attempt and attempt.said == "completed" and zone in (None, demand.zone):
                 self.hangs_up(attempt, "completed")
                 self.broken(attempt, "dropped")
--- a/bellrack/lab/legs.py
+++ b/bellrack/lab/legs.py
@@ -123,9 +123,9 @@
             return
         if not self.ended_here(leg_record):
             return
-        world, machine, want = self.world, leg_record.machine, leg_record.attempt.want
-        kind = world.scenario.type[want.type]
-        if kind.effect != REFERENCED or not self.repeated(machine, want.request, kind):
+        world, machine, demand = self.world, leg_record.machine, leg_record.attempt.demand
+        kind = world.scenario.type[demand.type]
+        if kind.effect != REFERENCED or not self.repeated(machine, demand.request, kind):
             world.trace.add(world.now, "ran", leg_record.attempt.id, leg_record.number, machine.name)
         if leg_record.over or not leg_record.node.alive:
             machine.wasted += machine.kind.setup
@@ -149,7 +149,7 @@
         """It stands at its server from now on."""
         leg_record.up = True
         leg_record.machine.take(
-            self.world.now, leg_record, leg_record.attempt.want.load, leg_record.attempt.want.group
+            self.world.now, leg_record, leg_record.attempt.demand.load, leg_record.attempt.demand.group
         )
         self.standing[leg_record.machine].setdefault(leg_record.node, {})[leg_record] = None
         self.world.service_record.stands(leg_record)
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -247,16 +247,16 @@
 
     def arrive(self, attempt: Attempt, at: str = "") -> None:
         """Connect, and say the first line."""
-        world, want = self.world, attempt.want
-        kind = world.scenario.type[want.type]
+        world, demand = self.world, attempt.demand
+        kind = world.scenario.type[demand.type]
         wait = max(1, round((attempt.guard - world.now) * 1000)) if not at else 3_600_000
         pairs = [f"c={kind.name}", f"d={wait}"]
         if world.scenario.tenant:
-            pairs.append(f"t={world.scenario.tenant[want.tenant].name}")
-        if want.group:
-            pairs.append(f"g={want.group:x}")
-        pairs += ["r=1"] * attempt.repeat + ["again=1"] * want.returned + [f"at={at}"] * bool(at)
-        line = ClientLine(self, attempt, f"OPEN {world.mark_of(attempt)} {want.key:x} {','.join(pairs)}")
+            pairs.append(f"t={world.scenario.tenant[demand.tenant].name}")
+        if demand.group:
+            pairs.append(f"g={demand.group:x}")
+        pairs += ["r=1"] * attempt.repeat + ["again=1"] * demand.returned + [f"at={at}"] * bool(at)
+        line = ClientLine(self, attempt, f"OPEN {world.mark_of(attempt)} {demand.key:x} {','.join(pairs)}")
         self.lines[attempt] = line
         world.by_mark[world.mark_of(attempt)] = attempt
         world.task(self.dial(attempt, line))
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -70,10 +70,10 @@
             self.world.trace.add(self.world.now, "told", self.name, machine.name, state)
 
     def note_call(self, attempt: Attempt) -> None:
-        want = attempt.want
+        demand = attempt.demand
         self.world.counters["calls"] += 1
         self.world.trace.add(
-            self.world.now, "call", attempt.id, self.name, want.request, want.type, attempt.guard
+            self.world.now, "call", attempt.id, self.name, demand.request, demand.type, attempt.guard
         )
 
     def note_stood(self, attempt: Attempt, machine: Machine) -> None:
@@ -190,15 +190,15 @@
 
     def arrive(self, attempt: Attempt) -> None:
         """A client's first line."""
-        want = attempt.want
+        demand = attempt.demand
         call = self.new_call(
-            want.type,
+            demand.type,
             attempt.guard - self.now,
-            key=want.key,
-            group=want.group,
-            tenant=want.tenant,
+            key=demand.key,
+            group=demand.group,
+            tenant=demand.tenant,
             repeat=attempt.repeat,
-            returned=want.returned,
+            returned=demand.returned,
         )
         call.host_record, attempt.call = attempt, call
         self.attempts[attempt] = None
@@ -270,8 +270,8 @@
 
     def resume_standing(self, attempt: Attempt, machine: Machine) -> LegRecord:
         """A connection that stood before the run."""
-        want = attempt.want
-        call = self.new_call(want.type, 0.0, key=want.key, group=want.group, tenant=want.tenant)
+        demand = attempt.demand
+        call = self.new_call(demand.type, 0.0, key=demand.key, group=demand.group, tenant=demand.tenant)
         call.host_record, attempt.call = attempt, call
         self.attempts[attempt] = None
         leg = self.begin_leg(call, self.servers[self.world.marks[machine]])
--- a/bellrack/lab/service_record.py
+++ b/bellrack/lab/service_record.py
@@ -14,7 +14,7 @@
 from bellrack.lab.event_queue import START
 
 if TYPE_CHECKING:
-    from bellrack.lab.clients import Want
+    from bellrack.lab.clients import Demand
     from bellrack.lab.node import LegRecord
     from bellrack.lab.scenario import Scenario
 
@@ -41,28 +41,28 @@
         self.scenario = scenario
         self.index = {machine: number for number, machine in enumerate(machines)}
         shape = len(scenario.type), max(1, len(scenario.tenant))
-        self.wanting = numpy.zeros(shape, numpy.int64)
+        self.demanded = numpy.zeros(shape, numpy.int64)
         self.held = numpy.zeros((len(machines), *shape), numpy.int64)
         self.looks: list[tuple[numpy.ndarray, numpy.ndarray]] = []  # a look: wanted and served
         self.open: list[list[int]] = []  # each second: connections, by server
         self.set_up = histogram()
         self.in_time = self.set_ups = 0  # set-ups within their target, of those wanted
 
-    def wants(self, want: Want, by: int) -> None:
-        self.wanting[want.type, want.tenant] += by
+    def add_demand(self, demand: Demand, by: int) -> None:
+        self.demanded[demand.type, demand.tenant] += by
 
     def stands(self, leg_record: LegRecord) -> None:
-        want = leg_record.attempt.want
-        self.held[self.index[leg_record.machine], want.type, want.tenant] += 1
+        demand = leg_record.attempt.demand
+        self.held[self.index[leg_record.machine], demand.type, demand.tenant] += 1
 
     def ends(self, leg_record: LegRecord) -> None:
-        want = leg_record.attempt.want
-        self.held[self.index[leg_record.machine], want.type, want.tenant] -= 1
+        demand = leg_record.attempt.demand
+        self.held[self.index[leg_record.machine], demand.type, demand.tenant] -= 1
 
-    def came_up(self, want: Want, took: float) -> None:
+    def came_up(self, demand: Demand, took: float) -> None:
         """Seconds from when the connection was wanted, or had broken, to its UP."""
         self.set_up.record_value(min(LONGEST, max(1, round(took * 1e6))))
-        self.in_time += took <= self.scenario.type[want.type].setup_target
+        self.in_time += took <= self.scenario.type[demand.type].setup_target
 
     def look(self, in_time: list[list[int]]) -> None:
         """`in_time`: for each server a 1 for each traffic type whose messages come in time there now."""
@@ -70,8 +70,8 @@
             flags = numpy.array(in_time, numpy.int64).reshape(self.held.shape[:2])
             served = (self.held * flags[:, :, None]).sum(axis=0)
         else:
-            served = numpy.zeros_like(self.wanting)
-        self.looks.append((self.wanting.copy(), served))
+            served = numpy.zeros_like(self.demanded)
+        self.looks.append((self.demanded.copy(), served))
         if len(self.looks) * LOOK % 1 == 0:
             self.open.append(self.held.sum(axis=(1, 2)).tolist())
 
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -163,17 +163,17 @@
         worth = [sum(can[m] for m in home) for home in homes]
         asked = [0.0 for _ in homes]
         for _ in range(self.scenario.clients.standing if self.machines else 0):
-            want = self.clients.want()
-            node, zone = self.front.deal(want.zone), want.zone
-            lot = zone, want.group or -1 - int(stream.even() * LOTS)
+            demand = self.clients.new_demand()
+            node, zone = self.front.deal(demand.zone), demand.zone
+            lot = zone, demand.group or -1 - int(stream.even() * LOTS)
             if lot not in orders:
                 orders[lot] = sorted(homes[zone], key=lambda _: stream.even())
-            asked[zone] += want.load
+            asked[zone] += demand.load
             most = GATHER * asked[zone] / worth[zone]
             machine = next((m for m in orders[lot] if m.demand <= most * can[m]), orders[lot][0])
             self.clients.calls += 1
-            attempt = want.attempt = Attempt(
-                self.clients.calls, want, node, self.now, self.now, self.client_delay()
+            attempt = demand.attempt = Attempt(
+                self.clients.calls, demand, node, self.now, self.now, self.client_delay()
             )
             attempt.said = "completed"
             self.legs.stands_at(node.resume_standing(attempt, machine))
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -176,7 +176,7 @@
             for server in node.servers.values()
         )
     assert not any(machine.held or machine.setups for machine in world.machines)
-    assert not world.service_record.held.any() and not world.service_record.wanting.any()
+    assert not world.service_record.held.any() and not world.service_record.demanded.any()
 
 
 def test_a_trouble_that_outlasts_the_run_and_one_that_overlaps_another():
@@ -280,14 +280,14 @@
 
 
 def test_a_trouble_more_shifts_no_arrivals(monkeypatch):
-    made = Clients.want
+    made = Clients.new_demand
 
     def noted(clients):
-        want = made(clients)
-        demands.append((want.due, want.zone, want.key, want.ends))
-        return want
+        demand = made(clients)
+        demands.append((demand.due, demand.zone, demand.key, demand.ends))
+        return demand
 
-    monkeypatch.setattr(Clients, "want", noted)
+    monkeypatch.setattr(Clients, "new_demand", noted)
     seen = []
     for troubles in (
         [],
