--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -99,7 +99,7 @@
     )
 
 
-class Seat(Accounting):
+class SimulatedHost(Accounting):
     """One balancer, and the Host through which it acts on the start that is played."""
 
     def __init__(self, play: Play, number: int, settings: Settings, seed: int, decides: Callable[..., Any]):
@@ -159,7 +159,7 @@
         self.play.at(when, self.turn, lambda: self.balancer.on_timer(what))
 
     def send_datagram(self, peer: int | None, data: bytes) -> None:
-        for other in self.play.seats if peer is None else self.play.seats[peer : peer + 1]:
+        for other in self.play.hosts if peer is None else self.play.hosts[peer : peer + 1]:
             if other is not self:
                 other.later(TELLS, other.heard, self.number, data)
 
@@ -201,13 +201,13 @@
             overload_factor=start.overload_factor,
             fall_time=start.fall_time,
         )
-        self.seats = []
+        self.hosts = []
         for number in range(start.balancers):
             mine = Settings(
                 **vars(rules)
                 | {"number": number, "zone": number % 2, "may_publish": start.tells and start.balancers > 2}
             )
-            self.seats.append(Seat(self, number, mine, self.chance.getrandbits(62), decides))
+            self.hosts.append(SimulatedHost(self, number, mine, self.chance.getrandbits(62), decides))
 
     def at(self, when: float, what: Callable, *values: Any) -> None:
         self.events += 1
@@ -222,67 +222,67 @@
     def begin(self) -> None:
         """Traffic, what stands on warm servers, and the news of the start."""
         start, chance = self.start, self.chance
-        order = chance.sample(self.seats, len(self.seats))
+        order = chance.sample(self.hosts, len(self.hosts))
         busy = order[: max(1, round(len(order) * (1 - start.idle)))]
-        parts = {seat: chance.lognormvariate(0.0, start.spread) for seat in busy}
+        parts = {host: chance.lognormvariate(0.0, start.spread) for host in busy}
         fresh = set(chance.sample(busy, round(len(busy) * start.fresh)))
         warm = [mark for mark in self.marks if mark not in self.cold]
-        for seat in self.seats:
-            if seat not in fresh:
-                seat.turn(seat.apply_entries, self.rows(model.READY, 0.0, self.marks), True)
-                seat.turn(seat.apply_entries, self.rows(model.GONE, 0.0, sorted(self.cold)), False)
+        for host in self.hosts:
+            if host not in fresh:
+                host.turn(host.apply_entries, self.rows(model.READY, 0.0, self.marks), True)
+                host.turn(host.apply_entries, self.rows(model.GONE, 0.0, sorted(self.cold)), False)
         # What restarted had held has come again elsewhere; all that stands is seen by whoever holds it.
-        holders = [seat for seat in busy if seat not in fresh]
-        weights = [parts[seat] for seat in holders]
+        holders = [host for host in busy if host not in fresh]
+        weights = [parts[host] for host in holders]
         for mark in warm if holders else ():
-            for seat in chance.choices(holders, weights, k=round(start.used * self.fills)):
-                call = seat.new_call(0, PATIENCE)
+            for host in chance.choices(holders, weights, k=round(start.used * self.fills)):
+                call = host.new_call(0, PATIENCE)
                 call.done = True
-                seat.turn(seat.resume_leg, seat.begin_leg(call, seat.servers[mark]))
-        for seat in self.seats:
+                host.turn(host.resume_leg, host.begin_leg(call, host.servers[mark]))
+        for host in self.hosts:
             # A process that starts later has the start in its first list.
             since = self.rows(model.READY, self.back, sorted(self.cold))
             when = self.back + chance.uniform(*TOLD)
-            rows = since + self.rows(model.READY, 0.0, warm) if seat in fresh else since
-            self.at(when, seat.turn, seat.apply_entries, rows, seat in fresh)
+            rows = since + self.rows(model.READY, 0.0, warm) if host in fresh else since
+            self.at(when, host.turn, host.apply_entries, rows, host in fresh)
         rate = start.demand * start.cold * self.fills / start.ramp_time
-        for seat in busy:
-            self.arrivals(seat, rate * parts[seat] / sum(parts.values()))
+        for host in busy:
+            self.arrivals(host, rate * parts[host] / sum(parts.values()))
         standing = start.rush * start.used * self.fills * (start.warm + start.cold)
         # Dealt out anew: idle balancers get theirs too.
         for _ in range(min(MOST_CALLS // 2, round(standing))):
             when = self.back + start.rush_at * start.ramp_time + chance.uniform(0.0, 0.5)
-            self.at(when, self.arrives, chance.choice(self.seats))
+            self.at(when, self.arrives, chance.choice(self.hosts))
         self.at(self.back + chance.random(), self.drowns, warm)
         for _ in range(start.moves):
             self.has_seen(self.dealt_anew())
-        for seat in holders:  # as each call's decision looks
+        for host in holders:  # as each call's decision looks
             for turn in range(3):
-                self.at(self.now + turn * BEFORE / 2.4, seat.turn, seat.balancer.slow_start.baseline_load)
+                self.at(self.now + turn * BEFORE / 2.4, host.turn, host.balancer.slow_start.baseline_load)
 
-    def dealt_anew(self) -> dict[Seat, float]:
+    def dealt_anew(self) -> dict[SimulatedHost, float]:
         """Other parts of the same traffic, by balancer; those without any are left out."""
-        chance, count = self.chance, max(1, round(len(self.seats) * (1 - self.start.idle)))
-        drawn = {s: chance.lognormvariate(0.0, self.start.spread) for s in chance.sample(self.seats, count)}
-        return {seat: part / sum(drawn.values()) for seat, part in drawn.items()}
+        chance, count = self.chance, max(1, round(len(self.hosts) * (1 - self.start.idle)))
+        drawn = {s: chance.lognormvariate(0.0, self.start.spread) for s in chance.sample(self.hosts, count)}
+        return {host: part / sum(drawn.values()) for host, part in drawn.items()}
 
-    def has_seen(self, parts: dict[Seat, float]) -> None:
+    def has_seen(self, parts: dict[SimulatedHost, float]) -> None:
         """Each balancer has held its part of what warm servers held."""
-        for seat, part in parts.items():
-            cold = seat.balancer.slow_start
+        for host, part in parts.items():
+            cold = host.balancer.slow_start
             cold.proven_load = max(cold.proven_load, self.start.used * self.start.bears * part)
 
-    def arrivals(self, seat: Seat, rate: float) -> None:
+    def arrivals(self, host: SimulatedHost, rate: float) -> None:
         rate, when = min(rate, MOST_CALLS / 2 / self.start.ramp_time), self.back
         while rate and (when := when + self.chance.expovariate(rate)) < self.back + self.start.ramp_time:
-            self.at(when, self.arrives, seat)
+            self.at(when, self.arrives, host)
 
-    def arrives(self, seat: Seat) -> None:
+    def arrives(self, host: SimulatedHost) -> None:
         group = self.chance.randint(1, 40) if self.start.grouped else 0
-        seat.turn(seat.calls, self.start.retries, group)
+        host.turn(host.calls, self.start.retries, group)
 
     def holds(self, mark: int) -> int:
-        return sum(seat.servers[mark].local_state.open_legs for seat in self.seats if mark in seat.servers)
+        return sum(host.servers[mark].local_state.open_legs for host in self.hosts if mark in host.servers)
 
     def full(self, server: Server) -> bool:
         return server.id_hash not in self.cold and self.holds(server.id_hash) > CAP * self.fills
@@ -292,11 +292,11 @@
         balancer."""
         for mark in warm:
             if self.start.drowning or self.holds(mark) > self.fills:
-                for seat in self.seats:
-                    if mark in seat.servers and (
-                        leg := next(iter(seat.servers[mark].local_state.established_legs), None)
+                for host in self.hosts:
+                    if mark in host.servers and (
+                        leg := next(iter(host.servers[mark].local_state.established_legs), None)
                     ):
-                        seat.turn(seat.balancer.on_delay_reported, leg, LATE * AIM)
+                        host.turn(host.balancer.on_delay_reported, leg, LATE * AIM)
         self.at(self.now + 1.0, self.drowns, warm)
 
     def counts(self, server: Server) -> None:
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -29,7 +29,7 @@
 from bellrack.lab.event_queue import ARRIVAL, LOOK, RESULT, START, EventQueue
 from bellrack.lab.legs import Setups
 from bellrack.lab.machine import Machine
-from bellrack.lab.node import LegRecord, Seat
+from bellrack.lab.node import BalancerRecord, LegRecord
 from bellrack.lab.rule_checker import RuleChecker
 from bellrack.lab.scenario import Scenario, ScenarioError
 from bellrack.lab.sockets import (
@@ -95,7 +95,7 @@
             self.failed(error)
 
 
-class LiveNode(Seat):
+class LiveNode(BalancerRecord):
     """A balancer's process, and the world's side of its connections."""
 
     world: LiveWorld
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -53,7 +53,7 @@
         self.link: Any = None  # on sockets: the server's side of the connection
 
 
-class Seat:
+class BalancerRecord:
     """What the world knows of a balancer on either face: who it is, what it was told, which calls it has."""
 
     def __init__(self, world: World, name: str, number: int, zone: int, incarnation: int):
@@ -93,7 +93,7 @@
         self.world.trace.add(self.world.now, "stop", self.name, how)
 
 
-class VirtualNode(Seat, Accounting):
+class VirtualNode(BalancerRecord, Accounting):
     def __init__(
         self,
         world: World,
@@ -105,7 +105,7 @@
         seed: int,
         decides: Callable[..., Any],
     ):
-        Seat.__init__(self, world, name, number, zone, incarnation)
+        BalancerRecord.__init__(self, world, name, number, zone, incarnation)
         self.machines: dict[int, Machine] = {}  # by mark
         Accounting.__init__(self, settings, seed, world.now, decides)
 
