--- a/bellrack/lab/clients.py
+++ b/bellrack/lab/clients.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from bellrack.lab.event_queue import ARRIVAL, GUARD, START
-from bellrack.lab.streams import running
+from bellrack.lab.streams import cumulative_sums
 
 if TYPE_CHECKING:
     from bellrack.lab.node import LegRecord, VirtualNode
@@ -91,10 +91,12 @@
         scenario = world.scenario
         self.arrivals, self.kinds, self.loads = (world.streams[c] for c in ("arrivals", "kinds", "loads"))
         self.habits, self.waits = world.streams["habits"], world.streams["waits"]
-        self.zones = running([zone.clients for zone in scenario.zone])
-        self.types = running([kind.share for kind in scenario.type])
-        self.tenants = running([one.share * one.usage for one in scenario.tenant] or [1.0])
-        self.groups = running([1 / (n + 1) ** scenario.groups.zipf for n in range(scenario.groups.count)])
+        self.zones = cumulative_sums([zone.clients for zone in scenario.zone])
+        self.types = cumulative_sums([kind.share for kind in scenario.type])
+        self.tenants = cumulative_sums([one.share * one.usage for one in scenario.tenant] or [1.0])
+        self.groups = cumulative_sums(
+            [1 / (n + 1) ** scenario.groups.zipf for n in range(scenario.groups.count)]
+        )
         self.requests = self.calls = 0
         self.demands: dict[Demand, None] = {}  # those that last
         self.dear: list = []  # troubles in force
@@ -107,7 +109,7 @@
             self.next_arrival()
 
     def next_arrival(self) -> None:
-        wait = self.arrivals.wait(1 / (self.form.rate * self.burst))
+        wait = self.arrivals.exponential(1 / (self.form.rate * self.burst))
         if self.world.now + wait < START + self.world.scenario.length:
             self.world.event_queue.schedule_after(wait, ARRIVAL, self.comes)
 
@@ -120,16 +122,22 @@
         world, scenario = self.world, self.world.scenario
         self.requests += 1
         demand = Demand(self.requests, world.now)
-        demand.type, demand.tenant = self.kinds.index(self.types), self.kinds.index(self.tenants)
-        demand.zone = self.kinds.index(self.zones)
-        demand.group = self.kinds.index(self.groups) + 1 if self.groups else 0
-        demand.key = self.kinds.seed()
+        demand.type, demand.tenant = (
+            self.kinds.weighted_index(self.types),
+            self.kinds.weighted_index(self.tenants),
+        )
+        demand.zone = self.kinds.weighted_index(self.zones)
+        demand.group = self.kinds.weighted_index(self.groups) + 1 if self.groups else 0
+        demand.key = self.kinds.draw_seed()
         kind = scenario.type[demand.type]
-        demand.ends = world.now + self.kinds.wait(self.form.life * kind.life)
-        demand.load = scenario.load.mean * kind.load * self.loads.skewed(scenario.load.spread)
-        demand.heavy = self.loads.even()  # which of dear calls it is among, whatever the troubles
+        demand.ends = world.now + self.kinds.exponential(self.form.life * kind.life)
+        demand.load = scenario.load.mean * kind.load * self.loads.log_normal(scenario.load.spread)
+        demand.heavy = self.loads.uniform()  # which of dear calls it is among, whatever the troubles
         demand.load *= math.prod(trouble.factor for trouble in self.dear if self.is_dear(demand, trouble))
-        demand.never, demand.honours = self.habits.hit(self.form.never), self.habits.hit(self.form.honours)
+        demand.never, demand.honours = (
+            self.habits.bernoulli(self.form.never),
+            self.habits.bernoulli(self.form.honours),
+        )
         demand.failed_since = world.now
         self.demands[demand] = None
         world.service_record.add_demand(demand, 1)
@@ -208,7 +216,7 @@
         )
         demand.tries += 1
         if not demand.never and harmless and demand.tries <= self.form.retries:
-            back = self.waits.between(self.form.backoff)
+            back = self.waits.uniform_between(self.form.backoff)
             if how == "rejected" and wait and demand.honours:
                 back = wait + back
             if how in ("none", "unreached"):
@@ -217,7 +225,7 @@
         elif self.form.again[1] and not demand.never:
             demand.tries = 0
             world.event_queue.schedule_after(
-                max(wait, self.waits.between(self.form.again)), ARRIVAL, self.anew, demand
+                max(wait, self.waits.uniform_between(self.form.again)), ARRIVAL, self.anew, demand
             )
 
     def anew(self, demand: Demand) -> None:
@@ -246,7 +254,7 @@
         self.requests += 1
         demand.request, demand.due = self.requests, self.world.now
         self.world.event_queue.schedule_after(
-            self.waits.between(self.form.rejoin), ARRIVAL, self.tries, demand
+            self.waits.uniform_between(self.form.rejoin), ARRIVAL, self.tries, demand
         )
 
     def hangs_up(self, attempt: Attempt, kind: str = "cancelled") -> None:
@@ -270,6 +278,11 @@
         stream = self.world.streams["drops"]
         for demand in list(self.demands):
             attempt = demand.attempt
-            if stream.hit(share) and attempt and attempt.said == "completed" and zone in (None, demand.zone):
+            if (
+                stream.bernoulli(share)
+                and attempt
+                and attempt.said == "completed"
+                and zone in (None, demand.zone)
+            ):
                 self.hangs_up(attempt, "completed")
                 self.broken(attempt, "dropped")
--- a/bellrack/lab/discovery_model.py
+++ b/bellrack/lab/discovery_model.py
@@ -33,7 +33,7 @@
 
     def change(self, machine: Machine, state: str, since: float, silent: bool = False) -> None:
         """It happened; the service learns of it later, of changes to one server in their order."""
-        notice = self.stream.between(self.form.silent_notice if silent else self.form.notice)
+        notice = self.stream.uniform_between(self.form.silent_notice if silent else self.form.notice)
         when = max(self.world.now + notice, self.due.get(machine, 0.0))
         self.due[machine] = when
         self.world.event_queue.schedule_at(when, TROUBLE, self.learn, machine, state, since)
@@ -63,7 +63,7 @@
     def tell(self, node: VirtualNode, machines: list[Machine], whole: bool) -> None:
         """Each balancer's line has its own delay; lines to one of them stay in order."""
         node.in_vain = False
-        wait = FIRST_LINE + self.world.client_delay() + self.form.spread * self.stream.even()
+        wait = FIRST_LINE + self.world.client_delay() + self.form.spread * self.stream.uniform()
         node.line_at = max(node.line_at, self.world.now + wait)
         rows = [(machine, *self.known[machine]) for machine in machines]
         self.lines += len(rows)
@@ -113,4 +113,4 @@
 
     def deal(self, zone: int) -> VirtualNode | None:
         among = self.alive[zone] or [node for nodes in self.alive for node in nodes]
-        return among[int(self.stream.even() * len(among))] if among else None
+        return among[int(self.stream.uniform() * len(among))] if among else None
--- a/bellrack/lab/legs.py
+++ b/bellrack/lab/legs.py
@@ -67,7 +67,7 @@
         """Its first line has come to a server that is up."""
         world, machine, now = self.world, leg_record.machine, self.world.now
         leg_record.starts, fell = machine.starts, machine.fallen
-        failing = self.stream.hit(machine.failing)
+        failing = self.stream.bernoulli(machine.failing)
         world.trace.add(
             now,
             "work",
@@ -236,7 +236,7 @@
 
     def ended(self, leg_record: LegRecord, silent: bool) -> None:
         # In a machine that vanished all stays open and silent, till its balancer misses messages.
-        wait = self.stream.between(list(SILENT)) if silent else leg_record.delay
+        wait = self.stream.uniform_between(list(SILENT)) if silent else leg_record.delay
         what = self.silent_end if silent else leg_record.node.lost
         self.world.event_queue.schedule_after(wait, RESULT, leg_record.node.turn, what, leg_record)
 
@@ -244,7 +244,11 @@
         for legs in self.standing[machine].values():
             for leg_record in legs:
                 self.world.event_queue.schedule_after(
-                    self.stream.between(list(SILENT)), RESULT, leg_record.node.turn, self.missed, leg_record
+                    self.stream.uniform_between(list(SILENT)),
+                    RESULT,
+                    leg_record.node.turn,
+                    self.missed,
+                    leg_record,
                 )
 
     def missed(self, leg_record: LegRecord) -> None:
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -510,11 +510,11 @@
         self.counters["datagrams"] += 1
         self.counters["datagram_bytes"] += len(data)
         way = self.nodes[relay.sender].zone, self.nodes[relay.receiver].zone
-        if len(data) > DATAGRAM or stream.hit(form.loss) or way in self.cut:
+        if len(data) > DATAGRAM or stream.bernoulli(form.loss) or way in self.cut:
             return
-        wait = stream.between(form.delay) * (REORDERED if stream.hit(form.reorder) else 1)
+        wait = stream.uniform_between(form.delay) * (REORDERED if stream.bernoulli(form.reorder) else 1)
         back = self.relays[relay.receiver, relay.sender].transport
-        for _ in range(1 + stream.hit(form.twice)):
+        for _ in range(1 + stream.bernoulli(form.twice)):
             self.event_queue.schedule_after(
                 wait, RESULT, back.sendto, data, (HOST, self.peer_ports[relay.receiver])
             )
@@ -546,7 +546,7 @@
             number,
             zone,
             before.incarnation + 1 if before else 0,
-            self.streams[f"balancer {name}"].seed(),
+            self.streams[f"balancer {name}"].draw_seed(),
         )
         if before:
             self.memory_kb = max(self.memory_kb, before.memory_kb)
@@ -570,7 +570,7 @@
     def do_stall(self, trouble: forms.Stall) -> None:
         stream = self.streams["stalls"]
         lines = [line for node in self.nodes for line in node.lines.values() if line.answer == "UP"]
-        stalled = [line for line in lines if not line.over and stream.hit(trouble.share)]
+        stalled = [line for line in lines if not line.over and stream.bernoulli(trouble.share)]
         for line in stalled:
             line.transport.pause_reading()
         self.later(trouble.lasts, self.stall_over, stalled)
@@ -793,7 +793,7 @@
 def result_of(world: LiveWorld) -> dict[str, Any]:
     rules = world.scenario.rules
     rule_checker = RuleChecker(world.scenario, LIMIT + world.lag, rules.max_legs * rules.connect_timeout)
-    breaches = rule_checker.judge(sorted(world.trace.entries, key=lambda entry: entry[0]))
+    breaches = rule_checker.check(sorted(world.trace.entries, key=lambda entry: entry[0]))
     result = runs.result_of(world, "bellrack")
     return result | {
         "kept": not breaches,
--- a/bellrack/lab/rule_checker.py
+++ b/bellrack/lab/rule_checker.py
@@ -76,7 +76,7 @@
         if self.counts[rule] <= EACH_RULE:
             self.breaches.append(Breach(rule, at, what, call))
 
-    def judge(self, entries: Iterable[tuple]) -> list[Breach]:
+    def check(self, entries: Iterable[tuple]) -> list[Breach]:
         """All breaches, in the order in which they were seen."""
         last = 0.0
         for last, kind, *fields in entries:
--- a/bellrack/lab/run.py
+++ b/bellrack/lab/run.py
@@ -88,7 +88,7 @@
 def result_of(world: World, policy: str) -> dict[str, Any]:
     scenario = world.scenario
     rule_checker = RuleChecker(scenario)
-    breaches = rule_checker.judge(world.trace.entries)
+    breaches = rule_checker.check(world.trace.entries)
     count = world.counters
     offered = sum(machine.offered for machine in world.machines)
     figures = world.service_record.summary(shares(scenario, world))
--- a/bellrack/lab/scale/tier.py
+++ b/bellrack/lab/scale/tier.py
@@ -64,7 +64,7 @@
         if (
             self.cut
             and self.apart(self.zone(sender), self.zone(receiver))
-            or (self.plan.loss and self.network.even() < self.plan.loss)
+            or (self.plan.loss and self.network.uniform() < self.plan.loss)
         ):
             self.lost += 1
             return True
@@ -90,7 +90,7 @@
             self.event_queue.schedule_after(trouble.at, TROUBLE, self.strike, trouble)
 
     def later(self, concern: str, mean: float, what: Callable) -> None:
-        self.event_queue.schedule_after(self.streams[concern].wait(mean), TROUBLE, what)
+        self.event_queue.schedule_after(self.streams[concern].exponential(mean), TROUBLE, what)
 
     def fill(self, number: int) -> None:
         """Choose the servers at which it holds connections, and let them stand."""
@@ -98,17 +98,17 @@
         if not node.alive:
             return
         ready = self.desk.ready(self.zone(number))
-        chosen = draw.some(ready, min(connections.servers, len(ready)))
+        chosen = draw.sample(ready, min(connections.servers, len(ready)))
         node.own = [lines.id_hash(self.desk.name(n)) for n in chosen]
         node.queue(node.will_hold, node.own)
         for mark in node.own:
-            for _ in range(max(1, round(connections.each * draw.skewed(0.5)))):
+            for _ in range(max(1, round(connections.each * draw.log_normal(0.5)))):
                 node.queue(self.opened, node, mark)
 
     def group(self) -> int:
         """A small part of the groups have most connections."""
         groups = self.plan.connections.groups
-        return 1 + int(groups * self.connections.even() ** 3) if groups else 0
+        return 1 + int(groups * self.connections.uniform() ** 3) if groups else 0
 
     def opened(self, node: Hollow, mark: int) -> None:
         """If the list names it, now that the node's turn has come."""
@@ -123,7 +123,7 @@
 
     def next_change(self) -> None:
         mean = 1 / (self.plan.connections.changes * len(self.hollow))
-        self.event_queue.schedule_after(self.connections.wait(mean), TROUBLE, self.connection_changes)
+        self.event_queue.schedule_after(self.connections.exponential(mean), TROUBLE, self.connection_changes)
 
     def connection_changes(self) -> None:
         draw = self.connections.even
@@ -133,7 +133,7 @@
 
     def list_changes(self) -> None:
         """A server drains, ends, and another takes its place: three changes."""
-        old, new = self.desk.replace(self.streams["list"].even())
+        old, new = self.desk.replace(self.streams["list"].uniform())
         self.tell_change(old, "terminating")
         self.event_queue.schedule_after(DRAINS, TROUBLE, self.tell_change, old, "terminated")
         self.event_queue.schedule_after(DRAINS, TROUBLE, self.tell_change, new, "in_service")
@@ -156,13 +156,13 @@
         self.event_queue.schedule_after(REFILLED, TROUBLE, self.fill, number)
 
     def restart_one(self) -> None:
-        self.kill(self.hollow[int(self.streams["restarts"].even() * len(self.hollow))], self.plan.down)
+        self.kill(self.hollow[int(self.streams["restarts"].uniform() * len(self.hollow))], self.plan.down)
         self.later("restarts", 3600 * TARGET / (self.plan.restarts * len(self.hollow)), self.restart_one)
 
     def strike(self, trouble: Any) -> None:
         if isinstance(trouble, RackLost):
             count = max(1, round(trouble.share * len(self.figures)))
-            first = int(self.streams["racks"].even() * (len(self.figures) - count + 1))
+            first = int(self.streams["racks"].uniform() * (len(self.figures) - count + 1))
             for number in range(first, first + count):
                 self.kill(number, trouble.lasts)
         elif isinstance(trouble, AggregatorLost):
--- a/bellrack/lab/streams.py
+++ b/bellrack/lab/streams.py
@@ -23,36 +23,36 @@
         self.generator = numpy.random.Generator(numpy.random.PCG64([seed, mark]))
         self.ahead: list[float] = []
 
-    def even(self) -> float:
+    def uniform(self) -> float:
         """From 0 up to, not with, 1."""
         if not self.ahead:
             self.ahead = self.generator.random(AHEAD).tolist()[::-1]
         return self.ahead.pop()
 
-    def between(self, span: list[float]) -> float:
+    def uniform_between(self, span: list[float]) -> float:
         """Seconds."""
-        return round(span[0] + (span[1] - span[0]) * self.even(), 6)
+        return round(span[0] + (span[1] - span[0]) * self.uniform(), 6)
 
-    def wait(self, mean: float) -> float:
+    def exponential(self, mean: float) -> float:
         """Seconds until the next of events that come at random, `mean` apart."""
-        return round(-math.log(1.0 - self.even()) * mean, 6)
+        return round(-math.log(1.0 - self.uniform()) * mean, 6)
 
-    def skewed(self, sigma: float) -> float:
+    def log_normal(self, sigma: float) -> float:
         """Log-normal of mean 1."""
         if not sigma:
             return 1.0
-        normal = math.sqrt(-2 * math.log(1.0 - self.even())) * math.cos(2 * math.pi * self.even())
+        normal = math.sqrt(-2 * math.log(1.0 - self.uniform())) * math.cos(2 * math.pi * self.uniform())
         return round(math.exp(sigma * normal - sigma * sigma / 2), 6)
 
-    def hit(self, share: float) -> bool:
-        return self.even() < share
+    def bernoulli(self, share: float) -> bool:
+        return self.uniform() < share
 
-    def seed(self) -> int:
-        return int(self.even() * (1 << 53))
+    def draw_seed(self) -> int:
+        return int(self.uniform() * (1 << 53))
 
-    def index(self, sums: list[float]) -> int:
+    def weighted_index(self, sums: list[float]) -> int:
         """An index by weight, where `sums` are the running sums of the weights."""
-        at = self.even() * sums[-1]
+        at = self.uniform() * sums[-1]
         low, high = 0, len(sums) - 1
         while low < high:
             middle = (low + high) // 2
@@ -62,9 +62,9 @@
                 low = middle + 1
         return low
 
-    def some(self, things: list, count: int) -> list:
+    def sample(self, things: list, count: int) -> list:
         """So many of them, in their order."""
-        order = sorted(range(len(things)), key=lambda _: self.even())[:count]
+        order = sorted(range(len(things)), key=lambda _: self.uniform())[:count]
         return [things[index] for index in sorted(order)]
 
 
@@ -81,7 +81,7 @@
         return self.by_concern[concern]
 
 
-def running(weights: list[float]) -> list[float]:
+def cumulative_sums(weights: list[float]) -> list[float]:
     """Running sums."""
     total, sums = 0.0, []
     for weight in weights:
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -77,7 +77,7 @@
         cost, made = scenario.groups.cost * scenario.load.mean, []
         for number, (name, row) in enumerate(forms.server_names(scenario)):
             kind = kinds[row.kind]
-            speed = kind.speed * (1 + kind.speed_spread * (2 * stream.even() - 1))
+            speed = kind.speed * (1 + kind.speed_spread * (2 * stream.uniform() - 1))
             made.append(Machine(name, zones[row.zone], number % scenario.cells, kind, speed, scenario, cost))
         return made
 
@@ -115,7 +115,7 @@
             zone,
             before.incarnation + 1 if before else 0,
             self.settings(zone),
-            self.streams[f"balancer {name}"].seed(),
+            self.streams[f"balancer {name}"].draw_seed(),
             self.decides,
         )
         self.nodes[number : number + 1] = [node]
@@ -127,10 +127,10 @@
 
     def delay(self, zone: int, other: int) -> float:
         net = self.scenario.net
-        return (net.same if zone == other else net.cross) * (1 + net.jitter * self.jitter.even())
+        return (net.same if zone == other else net.cross) * (1 + net.jitter * self.jitter.uniform())
 
     def client_delay(self) -> float:
-        return self.scenario.net.client * (1 + self.scenario.net.jitter * self.jitter.even())
+        return self.scenario.net.client * (1 + self.scenario.net.jitter * self.jitter.uniform())
 
     # Playing.
 
@@ -165,9 +165,9 @@
         for _ in range(self.scenario.clients.standing if self.machines else 0):
             demand = self.clients.new_demand()
             node, zone = self.front.deal(demand.zone), demand.zone
-            lot = zone, demand.group or -1 - int(stream.even() * LOTS)
+            lot = zone, demand.group or -1 - int(stream.uniform() * LOTS)
             if lot not in orders:
-                orders[lot] = sorted(homes[zone], key=lambda _: stream.even())
+                orders[lot] = sorted(homes[zone], key=lambda _: stream.uniform())
             asked[zone] += demand.load
             most = GATHER * asked[zone] / worth[zone]
             machine = next((m for m in orders[lot] if m.demand <= most * can[m]), orders[lot][0])
@@ -241,9 +241,11 @@
                 continue
             self.counters["datagrams"] += 1
             self.counters["datagram_bytes"] += len(data)
-            for _ in range(1 + stream.hit(form.twice)):
-                wait = stream.between(form.delay) * (REORDERED if stream.hit(form.reorder) else 1)
-                lost = stream.hit(form.loss)
+            for _ in range(1 + stream.bernoulli(form.twice)):
+                wait = stream.uniform_between(form.delay) * (
+                    REORDERED if stream.bernoulli(form.reorder) else 1
+                )
+                lost = stream.bernoulli(form.loss)
                 if not lost and (sender.zone, self.nodes[number].zone) not in self.cut:
                     self.event_queue.schedule_after(wait, RESULT, self.arrives, sender.number, number, data)
 
@@ -267,7 +269,7 @@
             return [self.by_name[name] for name in trouble.servers]
         zones = [zone.name for zone in self.scenario.zone]
         among = [m for m in self.machines if m.up and trouble.zone in ("", zones[m.zone])]
-        return self.streams[f"trouble {trouble.at} {type(trouble).__name__}"].some(
+        return self.streams[f"trouble {trouble.at} {type(trouble).__name__}"].sample(
             among, trouble.count or len(among)
         )
 
@@ -380,7 +382,7 @@
         if trouble.balancers:
             among = [node for node in among if node.name in trouble.balancers]
         elif trouble.count:
-            among = self.streams[f"trouble {trouble.at} killed"].some(among, trouble.count)
+            among = self.streams[f"trouble {trouble.at} killed"].sample(among, trouble.count)
         for node in among:
             self.kill(node, trouble.lasts)
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -50,7 +50,7 @@
 
 
 def kept(world):
-    return not RuleChecker(world.scenario).judge(world.trace.entries)
+    return not RuleChecker(world.scenario).check(world.trace.entries)
 
 
 class Scripted:
@@ -141,7 +141,7 @@
         if told[early] + 0.1 < entry[0] < told[late] and entry[5] == "a-k-1"
     ]
     assert {entry[4] for entry in between} == {early, late}  # Blind sends on
-    broken = [breach for breach in RuleChecker(world.scenario).judge(world.trace.entries) if breach.rule == 3]
+    broken = [breach for breach in RuleChecker(world.scenario).check(world.trace.entries) if breach.rule == 3]
     balancer = {entry[2]: entry[3] for entry in entries(world, "call")}
     guilty = {balancer[breach.call] for breach in broken if breach.at < told[late]}
     assert guilty == {early}  # the other had not been told: it could not know
@@ -326,7 +326,7 @@
     """What the referee says of a trace: rule and words of the first breach, None if there is none."""
     form = {"name": "k", "guard": 2.0, "setup_target": 0.3, "remembered": 1.0} | kind
     head = [(0.0, "start", "n", 0), (1.0, "call", 7, "n", 1, 0, 3.0)]
-    breaches = RuleChecker(parse_scenario(raw(type=[form]))).judge([*head, *entries, (9.0, "trouble", "end")])
+    breaches = RuleChecker(parse_scenario(raw(type=[form]))).check([*head, *entries, (9.0, "trouble", "end")])
     return (breaches[0].rule, breaches[0].what.split(",")[0]) if breaches else None
 
 
--- a/tests/test_lab_live.py
+++ b/tests/test_lab_live.py
@@ -206,6 +206,6 @@
             (START + 0.2 + ended, "back", 1, 1, "cancelled"),
             (START + 1, "answer", 1, "completed", 0.0),
         ]
-        return [breach.rule for breach in RuleChecker(scenario, 0.05).judge(trace)]
+        return [breach.rule for breach in RuleChecker(scenario, 0.05).check(trace)]
 
     assert judged(0.04) == [] and judged(0.06) == [2]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -42,7 +42,7 @@
         node = self.nodes[number] = Membership(
             number,
             len(self.nodes),
-            1 + int(stream.even() * 0xFFFFFFF0),
+            1 + int(stream.uniform() * 0xFFFFFFF0),
             self.event_queue.now,
             lambda peer, message: self.post(number, node, peer, message),
             stream.even,
@@ -62,7 +62,7 @@
         self.bytes[sender] += len(data)
         self.largest = max(self.largest, len(data))
         stream = self.streams["net"]
-        delay, lost = stream.between(self.delay), stream.hit(self.loss)
+        delay, lost = stream.uniform_between(self.delay), stream.bernoulli(self.loss)
         if not lost and not self.is_cut(sender, receiver):
             self.event_queue.schedule_after(delay, RESULT, self.deliver, sender, receiver, data)
 
