--- a/bellrack/lab/discovery_model.py
+++ b/bellrack/lab/discovery_model.py
@@ -56,18 +56,18 @@
         also one that has asked in vain."""
         if self.known[machine] == (state, since):
             for node in self.world.nodes:
-                deaf = node not in self.watching and (even_so or not node.in_vain)
+                deaf = node not in self.watching and (even_so or not node.discovery_failed)
                 if node.alive and deaf and node.told.get(machine) != (state, since):
-                    node.note_told(machine, state, since)
+                    node.record_told(machine, state, since)
 
     def tell(self, node: VirtualNode, machines: list[Machine], whole: bool) -> None:
         """Each balancer's line has its own delay; lines to one of them stay in order."""
-        node.in_vain = False
+        node.discovery_failed = False
         wait = FIRST_LINE + self.world.client_delay() + self.form.spread * self.stream.uniform()
         node.line_at = max(node.line_at, self.world.now + wait)
         rows = [(machine, *self.known[machine]) for machine in machines]
         self.lines += len(rows)
-        self.world.event_queue.schedule_at(node.line_at, NEWS, node.listed, rows, whole)
+        self.world.event_queue.schedule_at(node.line_at, NEWS, node.apply_list, rows, whole)
 
     def rows(self) -> list[tuple[Machine, str, float]]:
         return [(machine, *known) for machine, known in self.known.items()]
@@ -76,14 +76,18 @@
         if not on:
             self.watching.pop(node, None)
         elif self.down:
-            self.world.event_queue.schedule_after(self.world.client_delay() * 2, NEWS, node.unheard)
+            self.world.event_queue.schedule_after(
+                self.world.client_delay() * 2, NEWS, node.on_discovery_failure
+            )
         elif node not in self.watching:
             self.watching[node] = None
             self.tell(node, list(self.known), True)
 
     def fetch(self, node: VirtualNode) -> None:
         if self.down:
-            self.world.event_queue.schedule_after(self.world.client_delay() * 2, NEWS, node.unheard)
+            self.world.event_queue.schedule_after(
+                self.world.client_delay() * 2, NEWS, node.on_discovery_failure
+            )
         else:
             self.tell(node, list(self.known), True)
 
@@ -93,7 +97,9 @@
         if down:
             watching, self.watching = list(self.watching), {}
             for node in watching:
-                self.world.event_queue.schedule_after(self.world.client_delay(), NEWS, node.unheard)
+                self.world.event_queue.schedule_after(
+                    self.world.client_delay(), NEWS, node.on_discovery_failure
+                )
 
 
 class Front:
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -179,7 +179,7 @@
 
     def ends(self, how: str) -> None:
         self.signal(signal.SIGKILL)
-        self.note_stop(how)
+        self.record_stop(how)
         self.let_go()
 
     def let_go(self) -> None:
@@ -207,13 +207,13 @@
             self.world.discovery.watching.pop(self, None)
 
     def refused(self) -> None:
-        self.in_vain = True
+        self.discovery_failed = True
 
-    def listed(self, rows: list[tuple[Machine, str, float]], whole: bool) -> None:
+    def apply_list(self, rows: list[tuple[Machine, str, float]], whole: bool) -> None:
         if self.watcher and self.alive:
             self.watcher.chunk(json.dumps(self.listing(rows, whole)).encode() + b"\n")
             for machine, state, since in rows:
-                self.note_told(machine, state, since)
+                self.record_told(machine, state, since)
 
     def listing(self, rows: list[tuple[Machine, str, float]], whole: bool) -> dict[str, Any]:
         self.version += 1
@@ -236,9 +236,9 @@
             ],
         }
 
-    def unheard(self) -> None:
+    def on_discovery_failure(self) -> None:
         """Discovery is down: its watch ends."""
-        self.in_vain = True
+        self.discovery_failed = True
         if self.watcher:
             self.watcher.reset()
             self.unwatched(self.watcher)
@@ -273,7 +273,7 @@
     def wrote(self, attempt: Attempt) -> None:
         attempt.call = attempt.call or attempt  # its balancer has it
         if attempt.said != "completed":  # else it stood before the run
-            self.note_call(attempt)
+            self.record_call(attempt)
 
     def answered(self, line: ClientLine, word: str, rest: str) -> None:
         attempt = line.attempt
@@ -282,7 +282,7 @@
             return
         how = {"UP": "completed", "BUSY": "rejected"}.get(word, "released")
         wait = int(rest) / 1000 if how == "rejected" and rest.isdigit() else 0.0
-        self.note_answer(attempt, how, wait)
+        self.record_answer(attempt, how, wait)
         if attempt.leg_record and how == "completed":
             attempt.leg_record.stood = True
         self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
@@ -322,7 +322,7 @@
             attempt, None, machine, 1, self.world.now, self.world.delay(self.zone, machine.zone)
         )
         leg_record.stood = True
-        self.note_stood(attempt, machine)
+        self.record_stood(attempt, machine)
         self.world.standing_wanted += 1
         self.arrive(attempt, machine.name)
         return leg_record
@@ -386,7 +386,7 @@
 
     def is_over(self, leg_record: LegRecord, kind: str) -> None:
         leg_record.over = True
-        leg_record.node.note_back(leg_record, kind)
+        leg_record.node.record_back(leg_record, kind)
 
     def is_up(self, leg_record: LegRecord) -> None:
         self.world.event_queue.schedule_after(leg_record.delay, RESULT, self.tell_up, leg_record)
@@ -554,7 +554,7 @@
         self.nodes[number : number + 1] = [node]
         self.trace.add(self.now, "start", name, node.incarnation)
         for machine, (state, since) in self.discovery.known.items() if not before else ():
-            node.note_told(machine, state, since)
+            node.record_told(machine, state, since)
         return node
 
     def back_again(self, node: LiveNode) -> None:
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -60,34 +60,34 @@
         self.world, self.name, self.number, self.zone = world, name, number, zone
         self.incarnation, self.alive, self.shutting_down = incarnation, True, False
         self.told: dict[Machine, tuple[str, float]] = {}
-        self.in_vain = False  # its last question to discovery failed
+        self.discovery_failed = False  # its last question to discovery failed
         self.line_at = 0.0  # when the last line of the list arrives
         self.attempts: dict[Attempt, None] = {}  # calls here that are not over
 
-    def note_told(self, machine: Machine, state: str, since: float) -> None:
+    def record_told(self, machine: Machine, state: str, since: float) -> None:
         if self.told.get(machine) != (state, since):
             self.told[machine] = state, since
             self.world.trace.add(self.world.now, "told", self.name, machine.name, state)
 
-    def note_call(self, attempt: Attempt) -> None:
+    def record_call(self, attempt: Attempt) -> None:
         demand = attempt.demand
         self.world.counters["calls"] += 1
         self.world.trace.add(
             self.world.now, "call", attempt.id, self.name, demand.request, demand.type, attempt.guard
         )
 
-    def note_stood(self, attempt: Attempt, machine: Machine) -> None:
+    def record_stood(self, attempt: Attempt, machine: Machine) -> None:
         self.world.trace.add(self.world.now, "stood", attempt.id, self.name, machine.name)
 
-    def note_answer(self, attempt: Attempt, how: str, wait: float = 0.0) -> None:
+    def record_answer(self, attempt: Attempt, how: str, wait: float = 0.0) -> None:
         self.world.counters[how] += 1
         self.world.trace.add(self.world.now, "answer", attempt.id, how, wait)
 
-    def note_back(self, leg_record: LegRecord, kind: str) -> None:
+    def record_back(self, leg_record: LegRecord, kind: str) -> None:
         self.world.counters[f"leg_{kind.replace(' ', '_')}"] += 1
         self.world.trace.add(self.world.now, "back", leg_record.attempt.id, leg_record.number, kind)
 
-    def note_stop(self, how: str) -> None:
+    def record_stop(self, how: str) -> None:
         self.alive = False
         self.world.discovery.watching.pop(self, None)
         self.world.trace.add(self.world.now, "stop", self.name, how)
@@ -151,7 +151,7 @@
     def answer(self, call: Call, how: str, wait: float = 0.0) -> None:
         call.done = True
         attempt: Attempt = call.host_record
-        self.note_answer(attempt, how, wait)
+        self.record_answer(attempt, how, wait)
         self.attempts.pop(attempt, None)
         self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
 
@@ -202,7 +202,7 @@
         )
         call.host_record, attempt.call = attempt, call
         self.attempts[attempt] = None
-        self.note_call(attempt)
+        self.record_call(attempt)
         if self.shutting_down:
             self.reject(call)
         else:
@@ -215,7 +215,7 @@
         if leg_record.leg.call.done:
             self.leg_over(leg_record, model.CANCELLED)  # it would stand for nobody
             return
-        self.note_answer(leg_record.attempt, "completed")
+        self.record_answer(leg_record.attempt, "completed")
         self.world.event_queue.schedule_after(
             leg_record.attempt.delay, ARRIVAL, leg_record.attempt.answered, "completed", 0.0
         )
@@ -229,7 +229,7 @@
         if leg_record.over:
             return
         leg_record.over, leg = True, leg_record.leg
-        self.note_back(leg_record, kind)
+        self.record_back(leg_record, kind)
         self.world.legs.closed(leg_record)
         if leg.established:
             self.attempts.pop(leg_record.attempt, None)
@@ -279,15 +279,15 @@
             attempt, leg, machine, 1, self.now, self.world.delay(self.zone, machine.zone)
         )
         leg_record.stood = True
-        self.note_stood(attempt, machine)
+        self.record_stood(attempt, machine)
         self.resume_leg(leg)
         return leg_record
 
-    def listed(self, rows: list[tuple[Machine, str, float]], whole: bool) -> None:
+    def apply_list(self, rows: list[tuple[Machine, str, float]], whole: bool) -> None:
         """The list or changes of it."""
         if self.alive:
             for machine, state, since in rows:
-                self.note_told(machine, state, since)
+                self.record_told(machine, state, since)
             marks = self.world.marks
             for machine, _, _ in rows:
                 self.machines[marks[machine]] = machine
@@ -297,9 +297,9 @@
                 whole,
             )
 
-    def unheard(self) -> None:
+    def on_discovery_failure(self) -> None:
         """A question to discovery failed, or a watch ended."""
-        self.in_vain = True
+        self.discovery_failed = True
         self.turn(self.balancer.on_discovery_failed)
         if self.alive and not self.settings.asks:
             self.world.event_queue.schedule_after(WATCH_AGAIN, NEWS, self.turn, self.watch)
@@ -313,7 +313,7 @@
 
     def ends(self, how: str) -> None:
         """Killed, or at the end of its way out: all it knew is gone, its connections end on both sides."""
-        self.note_stop(how)
+        self.record_stop(how)
         for attempt in list(self.attempts):
             if attempt.leg_record and not attempt.leg_record.over:
                 attempt.leg_record.over = True
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -121,7 +121,7 @@
         self.nodes[number : number + 1] = [node]
         self.trace.add(self.now, "start", name, node.incarnation)
         known = before.told if before and before.told else self.discovery.known
-        node.listed([(machine, state, since) for machine, (state, since) in known.items()], True)
+        node.apply_list([(machine, state, since) for machine, (state, since) in known.items()], True)
         node.begin_watch()
         return node
 
