--- a/bellrack/lab/legs.py
+++ b/bellrack/lab/legs.py
@@ -23,8 +23,8 @@
 
 
 class Setups:
-    """Set-ups and standing connections at the servers. A face says how results reach a balancer: `result`,
-    `is_up`, `ended`."""
+    """Set-ups and standing connections at the servers. A face defines how results reach a balancer:
+    `report_result`, `report_up`, `report_end`."""
 
     def __init__(self, world: World):
         self.world = world
@@ -35,19 +35,19 @@
         self.memory: dict[tuple[int, int], float] = {}  # referenced calls that ran, till they are forgotten
         self.stream = world.streams["failures"]
 
-    def result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
+    def report_result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
         """The leg's balancer hears after that wait how it ended before it stood."""
         raise NotImplementedError
 
-    def is_up(self, leg_record: LegRecord) -> None:
+    def report_up(self, leg_record: LegRecord) -> None:
         """It stands at the server: its balancer hears."""
         raise NotImplementedError
 
-    def ended(self, leg_record: LegRecord, silent: bool) -> None:
+    def report_end(self, leg_record: LegRecord, silent: bool) -> None:
         """What stood was ended by the server or, where it is silent, will be missed by its balancer."""
         raise NotImplementedError
 
-    def sent(self, leg_record: LegRecord) -> None:
+    def record_sent(self, leg_record: LegRecord) -> None:
         """Book a leg that is on its way."""
         world = self.world
         leg_record.attempt.leg_record = leg_record
@@ -63,7 +63,7 @@
             leg_record.machine.name,
         )
 
-    def accept(self, leg_record: LegRecord) -> None:
+    def accept_setup(self, leg_record: LegRecord) -> None:
         """Its first line has come to a server that is up."""
         world, machine, now = self.world, leg_record.machine, self.world.now
         leg_record.starts, fell = machine.starts, machine.fallen
@@ -80,11 +80,11 @@
         wait = machine.offer(now, failing)
         if machine.fallen and not fell:
             world.falls(machine)
-            self.result(leg_record, model.RESET, leg_record.delay)
+            self.report_result(leg_record, model.RESET, leg_record.delay)
         elif wait == machines.FULL:
-            self.result(leg_record, model.FULL, leg_record.delay)
+            self.report_result(leg_record, model.FULL, leg_record.delay)
         elif wait == machines.FAILS:
-            self.result(leg_record, model.ERROR, leg_record.delay)
+            self.report_result(leg_record, model.ERROR, leg_record.delay)
         else:
             self.under_way[machine][leg_record] = None
             stored = world.store.call(now)
@@ -101,7 +101,7 @@
     def store_failed(self, leg_record: LegRecord) -> None:
         if self.ended_here(leg_record):
             leg_record.machine.wasted += leg_record.machine.kind.setup
-            self.result(leg_record, model.ERROR, leg_record.delay)
+            self.report_result(leg_record, model.ERROR, leg_record.delay)
 
     def ended_here(self, leg_record: LegRecord) -> bool:
         """Is the set-up still under way in the process that began it? It no longer is."""
@@ -131,7 +131,7 @@
             machine.wasted += machine.kind.setup
             return
         self.stands_at(leg_record)
-        self.is_up(leg_record)
+        self.report_up(leg_record)
 
     def repeated(self, machine: Machine, request: int, kind: Type) -> bool:
         """Has a server among those that drop repeats of this call run it already? They remember it from
@@ -152,16 +152,18 @@
             self.world.now, leg_record, leg_record.attempt.demand.load, leg_record.attempt.demand.group
         )
         self.standing[leg_record.machine].setdefault(leg_record.node, {})[leg_record] = None
-        self.world.service_record.stands(leg_record)
+        self.world.service_record.connection_up(leg_record)
 
     def closed(self, leg_record: LegRecord) -> None:
         """The balancer's side of it has ended; the server hears of it a delay later."""
         if leg_record.up:
-            self.world.service_record.ends(leg_record)
+            self.world.service_record.connection_down(leg_record)
             self.forget(leg_record)
-            self.world.event_queue.schedule_after(leg_record.delay, RESULT, self.leaves, leg_record)
+            self.world.event_queue.schedule_after(
+                leg_record.delay, RESULT, self.remove_from_machine, leg_record
+            )
 
-    def leaves(self, leg_record: LegRecord) -> None:
+    def remove_from_machine(self, leg_record: LegRecord) -> None:
         if leg_record.starts == leg_record.machine.starts:
             leg_record.machine.leave(self.world.now, leg_record)
 
@@ -178,20 +180,20 @@
         begun = list(self.under_way[machine])
         self.under_way[machine].clear()
         for leg_record in leg_records:
-            self.world.service_record.ends(leg_record)
+            self.world.service_record.connection_down(leg_record)
             self.forget(leg_record)
-            self.ended(leg_record, silent)
+            self.report_end(leg_record, silent)
         if not silent:
             for leg_record in begun:
-                self.result(leg_record, model.RESET, leg_record.delay)
+                self.report_result(leg_record, model.RESET, leg_record.delay)
 
     def drops(self, leg_record: LegRecord) -> None:
         """The server cuts this one off, as more is piled up than it bears."""
         self.world.counters["shed"] += 1
         leg_record.machine.leave(self.world.now, leg_record)
-        self.world.service_record.ends(leg_record)
+        self.world.service_record.connection_down(leg_record)
         self.forget(leg_record)
-        self.ended(leg_record, False)
+        self.report_end(leg_record, False)
 
 
 class Legs(Setups):
@@ -199,42 +201,42 @@
 
     def goes(self, leg_record: LegRecord, until: float) -> None:
         """A balancer opens a connection to a server, and sends its first line as soon as it is up."""
-        self.sent(leg_record)
-        self.world.event_queue.schedule_after(LINE * leg_record.delay, RESULT, self.reaches, leg_record)
+        self.record_sent(leg_record)
+        self.world.event_queue.schedule_after(LINE * leg_record.delay, RESULT, self.on_first_line, leg_record)
         self.world.event_queue.schedule_at(until, TIMER, leg_record.node.turn, self.late, leg_record)
 
     def late(self, leg_record: LegRecord) -> None:
         """The balancer's time for it is up."""
-        if not leg_record.stood:
+        if not leg_record.established:
             leg_record.node.leg_over(leg_record, model.TIMEOUT)
 
-    def reaches(self, leg_record: LegRecord) -> None:
+    def on_first_line(self, leg_record: LegRecord) -> None:
         machine = leg_record.machine
         if machine.hung_until > self.world.now:
-            self.world.event_queue.schedule_at(machine.hung_until, RESULT, self.reaches, leg_record)
+            self.world.event_queue.schedule_at(machine.hung_until, RESULT, self.on_first_line, leg_record)
         elif machine.silent:
             wait = self.world.scenario.rules.connect_timeout - LINE * leg_record.delay
-            self.result(leg_record, model.NO_CONN, max(0.0, wait))
+            self.report_result(leg_record, model.NO_CONN, max(0.0, wait))
         elif not machine.up:
             # Refused; or gone between connecting and the line, which may have run for all that is known.
             came_up = self.world.down_since.get(machine, 0.0) > leg_record.sent + CONNECT * leg_record.delay
-            self.result(leg_record, model.RESET if came_up else model.NO_CONN, 0.0)
+            self.report_result(leg_record, model.RESET if came_up else model.NO_CONN, 0.0)
         elif (
             leg_record.node.alive and not leg_record.over
         ):  # else its balancer has hung up before its line was through
-            self.accept(leg_record)
+            self.accept_setup(leg_record)
 
-    def result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
+    def report_result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
         self.world.event_queue.schedule_after(
             wait, RESULT, leg_record.node.turn, leg_record.node.leg_over, leg_record, kind
         )
 
-    def is_up(self, leg_record: LegRecord) -> None:
+    def report_up(self, leg_record: LegRecord) -> None:
         self.world.event_queue.schedule_after(
             leg_record.delay, RESULT, leg_record.node.turn, leg_record.node.stands, leg_record
         )
 
-    def ended(self, leg_record: LegRecord, silent: bool) -> None:
+    def report_end(self, leg_record: LegRecord, silent: bool) -> None:
         # In a machine that vanished all stays open and silent, till its balancer misses messages.
         wait = self.stream.uniform_between(list(SILENT)) if silent else leg_record.delay
         what = self.silent_end if silent else leg_record.node.lost
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -284,13 +284,13 @@
         wait = int(rest) / 1000 if how == "rejected" and rest.isdigit() else 0.0
         self.record_answer(attempt, how, wait)
         if attempt.leg_record and how == "completed":
-            attempt.leg_record.stood = True
+            attempt.leg_record.established = True
         self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
         if how != "completed":
             line.close()
             self.done_with(attempt)
 
-    def ended(self, line: ClientLine) -> None:
+    def report_end(self, line: ClientLine) -> None:
         """The balancer has ended the connection, or died."""
         attempt = line.attempt
         self.done_with(attempt)
@@ -321,7 +321,7 @@
         leg_record = attempt.leg_record = LegRecord(
             attempt, None, machine, 1, self.world.now, self.world.delay(self.zone, machine.zone)
         )
-        leg_record.stood = True
+        leg_record.established = True
         self.record_stood(attempt, machine)
         self.world.standing_wanted += 1
         self.arrive(attempt, machine.name)
@@ -359,19 +359,19 @@
             self.world.delay(attempt.node.zone, link.machine.zone),
         )
         leg_record.link = link
-        self.sent(leg_record)
+        self.record_sent(leg_record)
         # The way that the network of the scenario is longer than loopback.
-        self.world.event_queue.schedule_after(3 * leg_record.delay, RESULT, self.reaches, leg_record)
+        self.world.event_queue.schedule_after(3 * leg_record.delay, RESULT, self.on_first_line, leg_record)
 
-    def reaches(self, leg_record: LegRecord) -> None:
+    def on_first_line(self, leg_record: LegRecord) -> None:
         if leg_record.machine.hung_until > self.world.now:
             self.world.event_queue.schedule_at(
-                leg_record.machine.hung_until, RESULT, self.reaches, leg_record
+                leg_record.machine.hung_until, RESULT, self.on_first_line, leg_record
             )
         elif leg_record.machine.up and not leg_record.machine.silent and not leg_record.over:
-            self.accept(leg_record)
+            self.accept_setup(leg_record)
 
-    def result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
+    def report_result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
         self.world.event_queue.schedule_after(wait, RESULT, self.tell_result, leg_record, kind)
 
     def tell_result(self, leg_record: LegRecord, kind: str) -> None:
@@ -388,7 +388,7 @@
         leg_record.over = True
         leg_record.node.record_back(leg_record, kind)
 
-    def is_up(self, leg_record: LegRecord) -> None:
+    def report_up(self, leg_record: LegRecord) -> None:
         self.world.event_queue.schedule_after(leg_record.delay, RESULT, self.tell_up, leg_record)
 
     def tell_up(self, leg_record: LegRecord) -> None:
@@ -396,7 +396,7 @@
             leg_record.link.say(f"UP {leg_record.attempt.id:x}")
             leg_record.link.stream(self.world.scenario.clients.stream)
 
-    def ended(self, leg_record: LegRecord, silent: bool) -> None:
+    def report_end(self, leg_record: LegRecord, silent: bool) -> None:
         if not silent:
             self.is_over(leg_record, model.RESET)
             leg_record.link.reset()
@@ -406,13 +406,15 @@
         leg_record = link.leg_record
         if leg_record is None or leg_record.over:
             return
-        self.is_over(leg_record, model.COMPLETED if leg_record.stood and leg_record.up else model.CANCELLED)
+        self.is_over(
+            leg_record, model.COMPLETED if leg_record.established and leg_record.up else model.CANCELLED
+        )
         if not link.transport.is_closing():
             link.transport.close()
         if leg_record.up:
-            self.world.service_record.ends(leg_record)
+            self.world.service_record.connection_down(leg_record)
             self.forget(leg_record)
-            self.leaves(leg_record)
+            self.remove_from_machine(leg_record)
 
 
 class Tasks:
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -39,7 +39,7 @@
         "delay",
         "over",
         "up",
-        "stood",
+        "established",
         "link",
     )
 
@@ -49,7 +49,7 @@
         self.starts = machine.starts
         self.over = False  # its balancer has its result
         self.up = False  # it stands at the server
-        self.stood = False  # its balancer knows
+        self.established = False  # its balancer knows
         self.link: Any = None  # on sockets: the server's side of the connection
 
 
@@ -219,7 +219,7 @@
         self.world.event_queue.schedule_after(
             leg_record.attempt.delay, ARRIVAL, leg_record.attempt.answered, "completed", 0.0
         )
-        leg_record.stood = True
+        leg_record.established = True
         self.leg_established(leg_record.leg)
         if self.shutting_down:
             self.move(leg_record.leg.call)
@@ -278,7 +278,7 @@
         leg_record = leg.host_record = attempt.leg_record = LegRecord(
             attempt, leg, machine, 1, self.now, self.world.delay(self.zone, machine.zone)
         )
-        leg_record.stood = True
+        leg_record.established = True
         self.record_stood(attempt, machine)
         self.resume_leg(leg)
         return leg_record
--- a/bellrack/lab/service_record.py
+++ b/bellrack/lab/service_record.py
@@ -51,11 +51,11 @@
     def add_demand(self, demand: Demand, by: int) -> None:
         self.demanded[demand.type, demand.tenant] += by
 
-    def stands(self, leg_record: LegRecord) -> None:
+    def connection_up(self, leg_record: LegRecord) -> None:
         demand = leg_record.attempt.demand
         self.held[self.index[leg_record.machine], demand.type, demand.tenant] += 1
 
-    def ends(self, leg_record: LegRecord) -> None:
+    def connection_down(self, leg_record: LegRecord) -> None:
         demand = leg_record.attempt.demand
         self.held[self.index[leg_record.machine], demand.type, demand.tenant] -= 1
 
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -210,7 +210,9 @@
             late = delay > NOTICE * self.quickest
             if late or self.late.get(machine):
                 for leg_records in self.legs.standing[machine].values():
-                    leg_record = next((leg_record for leg_record in leg_records if leg_record.stood), None)
+                    leg_record = next(
+                        (leg_record for leg_record in leg_records if leg_record.established), None
+                    )
                     if leg_record:
                         self.event_queue.schedule_after(
                             leg_record.delay, RESULT, self.told_late, leg_record, delay
