--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -248,7 +248,7 @@
     # Balancers.
 
     def made(self, number: int) -> Hollow:
-        config = self.configuration(number, self.zone(number), self.seeds.seed())
+        config = self.configuration(number, self.zone(number), self.seeds.draw_seed())
         node = Hollow(config, self.loop, self.figures[number], self.post)
         node.moved = lambda: self.loop.call_soon(self.replaced, node)
         node.start()
@@ -267,7 +267,7 @@
             "name": f"b{number}",
             "listen": "{}:{}".format(*process.listen),
             "discovery": f"{HOST}:{self.list_port}",
-            "seed": f"{self.seeds.seed():x}",
+            "seed": f"{self.seeds.draw_seed():x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
             "peer_listen": "{}:{}".format(*process.peer_listen),
             "peers": [known(other) for other in range(self.plan.tier)],
@@ -301,12 +301,12 @@
         draw, turn = self.streams[f"client {process.number}-{index}"], 0
         while True:
             turn += 1
-            how, life = "no_answer", draw.wait(self.plan.clients.life)
+            how, life = "no_answer", draw.exponential(self.plan.clients.life)
             with contextlib.suppress(OSError, TimeoutError):
                 reader, writer = await asyncio.open_connection(*process.listen)
                 try:
                     mark = f"{process.number:x}-{index:x}-{turn:x}"
-                    writer.write(f"OPEN {mark} {draw.seed():x} c=view,d=2000\r\n".encode())
+                    writer.write(f"OPEN {mark} {draw.draw_seed():x} c=view,d=2000\r\n".encode())
                     async with asyncio.timeout(5.0):
                         answer = await reader.readline()
                     how = "up" if answer.startswith(b"UP") else "turned_away" if answer else "no_answer"
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -183,7 +183,7 @@
                 guard.look(f"with {number} balancers made")
 
     def made(self, number: int) -> Hollow:
-        config = self.configuration(number, self.zone(number), self.seeds.seed())
+        config = self.configuration(number, self.zone(number), self.seeds.draw_seed())
         form = self.figures[number]
         if self.plan.lean:
             node = VirtualLean(config, self.loop, form, self.post, self.shared)
