--- a/bellrack/lab/clients.py
+++ b/bellrack/lab/clients.py
@@ -158,7 +158,7 @@
         if demand.over or demand.attempt:
             return
         world, kind = self.world, self.world.scenario.type[demand.type]
-        node = world.front.deal(demand.zone)
+        node = world.front.choose(demand.zone)
         if node is None:
             self.failed(demand, None, 0.0)
             return
--- a/bellrack/lab/discovery_model.py
+++ b/bellrack/lab/discovery_model.py
@@ -109,14 +109,14 @@
         self.world, self.stream = world, world.streams["front"]
         self.alive: list[list[VirtualNode]] = [[] for _ in world.scenario.zone]
 
-    def takes_in(self, node: VirtualNode) -> None:
+    def add(self, node: VirtualNode) -> None:
         if node.alive:
             self.alive[node.zone].append(node)
 
-    def notices(self, node: VirtualNode) -> None:
+    def remove(self, node: VirtualNode) -> None:
         if node in self.alive[node.zone]:
             self.alive[node.zone].remove(node)
 
-    def deal(self, zone: int) -> VirtualNode | None:
+    def choose(self, zone: int) -> VirtualNode | None:
         among = self.alive[zone] or [node for nodes in self.alive for node in nodes]
         return among[int(self.stream.uniform() * len(among))] if among else None
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -441,7 +441,7 @@
 
 
 class LiveWorld(Tasks, World):
-    legs_form = LiveLegs
+    legs_class = LiveLegs
     nodes: list[LiveNode]
 
     def __init__(self, scenario: Scenario, seed: int, loop: asyncio.AbstractEventLoop, logs: Path | None):
@@ -512,7 +512,7 @@
         self.counters["datagrams"] += 1
         self.counters["datagram_bytes"] += len(data)
         way = self.nodes[relay.sender].zone, self.nodes[relay.receiver].zone
-        if len(data) > DATAGRAM or stream.bernoulli(form.loss) or way in self.cut:
+        if len(data) > DATAGRAM or stream.bernoulli(form.loss) or way in self.partitioned:
             return
         wait = stream.uniform_between(form.delay) * (REORDERED if stream.bernoulli(form.reorder) else 1)
         back = self.relays[relay.receiver, relay.sender].transport
@@ -523,8 +523,8 @@
 
     # Servers and balancers.
 
-    def goes_down(self, machine: Machine, silent: bool) -> None:
-        super().goes_down(machine, silent)
+    def stop_machine(self, machine: Machine, silent: bool) -> None:
+        super().stop_machine(machine, silent)
         if silent:
             self.ports[machine].clog()
         else:
@@ -532,15 +532,15 @@
                 line.reset()
             self.ports[machine].refuse()
 
-    def comes_back(self, machine: Machine, told_older: float = 0.0) -> None:
+    def restart_machine(self, machine: Machine, told_older: float = 0.0) -> None:
         if machine.up or machine.fallen:
             return
         for line in list(self.server_lines[machine]):
             line.reset()  # what was open to a machine that vanished
-        super().comes_back(machine, told_older)
+        super().restart_machine(machine, told_older)
         self.task(self.ports[machine].open(self.loop, lambda: ServerLine(self, machine)))
 
-    def starts(self, number: int, before: LiveNode | None = None) -> LiveNode:
+    def start_balancer(self, number: int, before: LiveNode | None = None) -> LiveNode:
         name, zone = forms.balancer_names(self.scenario)[number]
         node = LiveNode(
             self,
@@ -559,15 +559,15 @@
             node.record_told(machine, state, since)
         return node
 
-    def back_again(self, node: LiveNode) -> None:
-        self.front.notices(node)
-        self.task(self.comes_up(self.starts(node.number, node)))
+    def restart_balancer(self, node: LiveNode) -> None:
+        self.front.remove(node)
+        self.task(self.comes_up(self.start_balancer(node.number, node)))
 
     async def comes_up(self, node: LiveNode) -> None:
         await self.lists[node.number].open(self.loop, lambda: ListLine(node))
         await node.start()
         if await node.ready():
-            self.front.takes_in(node)
+            self.front.add(node)
 
     def do_stall(self, trouble: forms.Stall) -> None:
         stream = self.streams["stalls"]
@@ -575,22 +575,22 @@
         stalled = [line for line in lines if not line.over and stream.bernoulli(trouble.share)]
         for line in stalled:
             line.transport.pause_reading()
-        self.later(trouble.lasts, self.stall_over, stalled)
+        self.schedule_trouble_step(trouble.lasts, self.stall_over, stalled)
 
     def stall_over(self, stalled: list[ClientLine]) -> None:
         for line in stalled:
             if not line.over:
                 line.transport.resume_reading()
 
-    def hung(self, machine: Machine) -> None:
-        super().hung(machine)
+    def on_hang(self, machine: Machine) -> None:
+        super().on_hang(machine)
         self.event_queue.schedule_at(machine.hung_until, LOOK, self.speaks_again, machine)
 
     def speaks_again(self, machine: Machine) -> None:
         for line in list(self.server_lines[machine]):
             line.say_owed()
 
-    def told_late(self, leg_record: LegRecord, delay: float) -> None:
+    def report_delay(self, leg_record: LegRecord, delay: float) -> None:
         if not leg_record.over and leg_record.up:
             leg_record.link.say(f"LOAD {delay * 1000:.3f}")
 
@@ -608,7 +608,7 @@
                     )
                     self.relays[sender, receiver] = relay
         self.unix = time.time() - START
-        fresh = [self.starts(number) for number, _ in enumerate(forms.balancer_names(self.scenario))]
+        fresh = [self.start_balancer(number) for number, _ in enumerate(forms.balancer_names(self.scenario))]
         try:
             async with asyncio.timeout(READY_WITHIN):
                 await asyncio.gather(*(self.comes_up(node) for node in fresh))
@@ -616,7 +616,7 @@
             raise ScenarioError(f"the balancers were not ready within {READY_WITHIN:g} s") from None
         if any(node.process.returncode is not None for node in fresh):
             raise ScenarioError("a balancer ended at its start; --logs=DIR keeps what it said")
-        self.stand_at_start()
+        self.create_standing_connections()
         deadline = self.loop.time() + UP_WITHIN
         while self.standing_up < self.standing_wanted and not self.fault.done():
             if self.loop.time() > deadline:
@@ -627,7 +627,7 @@
             await asyncio.sleep(PING_EACH)
         self.unix = time.time() - START
         self.event_queue.begin()
-        self.set_off()
+        self.schedule_start()
         self.event_queue.schedule_at(START, LOOK, self.look_at_self, self.loop.time())
         end = self.event_queue.begun + self.scenario.length + self.scenario.tail
         while self.loop.time() < end and not self.fault.done():
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -36,7 +36,7 @@
 
 
 class World:
-    legs_form: type[Setups] = Legs
+    legs_class: type[Setups] = Legs
 
     def __init__(
         self,
@@ -52,13 +52,13 @@
         self.jitter, self.down_since = self.streams["net"], {}
         self.machines = self.make_machines()
         self.marks = {machine: lines.id_hash(machine.name) for machine in self.machines}
-        self.by_name = {machine.name: machine for machine in self.machines}
+        self.machines_by_name = {machine.name: machine for machine in self.machines}
         self.service_record, self.store = ServiceRecord(scenario, self.machines), SessionStore(scenario.store)
-        self.discovery, self.front, self.legs = DiscoveryModel(self), Front(self), self.legs_form(self)
+        self.discovery, self.front, self.legs = DiscoveryModel(self), Front(self), self.legs_class(self)
         self.decides = policy(self) if policy else choice.Balancer
         self.nodes: list[VirtualNode] = []  # the latest incarnation of each
         self.clients = Clients(self)
-        self.cut: list[tuple[int, int]] = []  # zones whose datagrams to others are lost
+        self.partitioned: list[tuple[int, int]] = []  # zones whose datagrams to others are lost
         self.quickest = min(kind.message_aim for kind in scenario.type)
         self.late: dict[Machine, bool] = {}
         self.store_calls: list[int] = []  # each second, so far
@@ -105,7 +105,7 @@
             fall_time=rules.push_window,
         )
 
-    def starts(self, number: int, before: VirtualNode | None = None) -> VirtualNode:
+    def start_balancer(self, number: int, before: VirtualNode | None = None) -> VirtualNode:
         """A balancer starts, with the list as it last had it."""
         name, zone = forms.balancer_names(self.scenario)[number]
         node = VirtualNode(
@@ -137,14 +137,14 @@
     def play(self) -> World:
         length = self.scenario.length
         for number, _ in enumerate(forms.balancer_names(self.scenario)):
-            self.front.takes_in(self.starts(number))
-        self.stand_at_start()
-        self.set_off()
+            self.front.add(self.start_balancer(number))
+        self.create_standing_connections()
+        self.schedule_start()
         self.event_queue.run(START + length)
         self.event_queue.run(START + length + self.scenario.tail)
         return self
 
-    def set_off(self) -> None:
+    def schedule_start(self) -> None:
         """Put down what the run begins with."""
         for trouble in self.scenario.trouble:
             self.event_queue.schedule_at(START + trouble.at, TROUBLE, self.begin_trouble, trouble)
@@ -152,7 +152,7 @@
         self.event_queue.schedule_at(START + EACH, LOOK, self.look)
         self.event_queue.schedule_at(START + NOTICES, LOOK, self.notices)
 
-    def stand_at_start(self) -> None:
+    def create_standing_connections(self) -> None:
         """Connections that stood before: in their zones, with their groups, no server far over the mean."""
         stream, orders = self.streams["standing"], {}
         homes = [
@@ -164,7 +164,7 @@
         asked = [0.0 for _ in homes]
         for _ in range(self.scenario.clients.standing if self.machines else 0):
             demand = self.clients.new_demand()
-            node, zone = self.front.deal(demand.zone), demand.zone
+            node, zone = self.front.choose(demand.zone), demand.zone
             lot = zone, demand.group or -1 - int(stream.uniform() * LOTS)
             if lot not in orders:
                 orders[lot] = sorted(homes[zone], key=lambda _: stream.uniform())
@@ -215,13 +215,13 @@
                     )
                     if leg_record:
                         self.event_queue.schedule_after(
-                            leg_record.delay, RESULT, self.told_late, leg_record, delay
+                            leg_record.delay, RESULT, self.report_delay, leg_record, delay
                         )
             self.late[machine] = late
         if self.now < START + self.scenario.length + self.scenario.tail:
             self.event_queue.schedule_after(NOTICES, LOOK, self.notices)
 
-    def told_late(self, leg_record: LegRecord, delay: float) -> None:
+    def report_delay(self, leg_record: LegRecord, delay: float) -> None:
         if not leg_record.over:
             leg_record.node.turn(leg_record.node.balancer.on_delay_reported, leg_record.leg, delay)
 
@@ -229,7 +229,7 @@
         """A cold server is pushed over: its process is gone for good."""
         self.trace.add(self.now, "server", machine.name, "fell")
         self.counters["fell"] += 1
-        self.goes_down(machine, False)
+        self.stop_machine(machine, False)
         self.discovery.change(machine, model.GONE, machine.started)
 
     def post(self, sender: VirtualNode, peer: int | None, data: bytes) -> None:
@@ -248,7 +248,7 @@
                     REORDERED if stream.bernoulli(form.reorder) else 1
                 )
                 lost = stream.bernoulli(form.loss)
-                if not lost and (sender.zone, self.nodes[number].zone) not in self.cut:
+                if not lost and (sender.zone, self.nodes[number].zone) not in self.partitioned:
                     self.event_queue.schedule_after(wait, RESULT, self.arrives, sender.number, number, data)
 
     def arrives(self, sender: int, number: int, data: bytes) -> None:
@@ -262,27 +262,27 @@
         self.trace.add(self.now, "trouble", name)
         getattr(self, "do_" + name.replace("-", "_"))(trouble)
 
-    def later(self, wait: float, what: Callable, *values: Any) -> None:
+    def schedule_trouble_step(self, wait: float, what: Callable, *values: Any) -> None:
         self.event_queue.schedule_after(wait, TROUBLE, what, *values)
 
-    def hit(self, trouble: Any) -> list[Machine]:
+    def affected_machines(self, trouble: Any) -> list[Machine]:
         """The servers that it names, or so many by chance that are up."""
         if trouble.servers:
-            return [self.by_name[name] for name in trouble.servers]
+            return [self.machines_by_name[name] for name in trouble.servers]
         zones = [zone.name for zone in self.scenario.zone]
         among = [m for m in self.machines if m.up and trouble.zone in ("", zones[m.zone])]
         return self.streams[f"trouble {trouble.at} {type(trouble).__name__}"].sample(
             among, trouble.count or len(among)
         )
 
-    def goes_down(self, machine: Machine, silent: bool) -> None:
+    def stop_machine(self, machine: Machine, silent: bool) -> None:
         self.trace.add(self.now, "server", machine.name, "down")
         self.down_since[machine] = self.now
         self.legs.machine_ends(machine, silent)
         machine.stop()
         machine.silent = silent
 
-    def comes_back(self, machine: Machine, told_older: float = 0.0) -> None:
+    def restart_machine(self, machine: Machine, told_older: float = 0.0) -> None:
         if machine.up or machine.fallen:
             return  # another trouble that overlapped has brought it back, or it stays down
         machine.start(self.now)
@@ -290,53 +290,53 @@
         self.discovery.change(machine, model.READY, self.now - told_older)
 
     def do_crash(self, trouble: forms.Crash) -> None:
-        for machine in self.hit(trouble):
+        for machine in self.affected_machines(trouble):
             if not machine.up:
                 continue
-            self.goes_down(machine, trouble.silent)
+            self.stop_machine(machine, trouble.silent)
             self.discovery.change(machine, model.GONE, machine.started, trouble.silent)
             if trouble.lasts:
-                self.later(trouble.lasts, self.comes_back, machine, trouble.told_older)
+                self.schedule_trouble_step(trouble.lasts, self.restart_machine, machine, trouble.told_older)
 
     def do_drain(self, trouble: forms.Drain) -> None:
-        for machine in self.hit(trouble):
+        for machine in self.affected_machines(trouble):
             if not machine.up:
                 continue
             machine.draining = True
             self.trace.add(self.now, "server", machine.name, "drain")
             self.discovery.change(machine, model.DRAINING, machine.started)
-            self.later(trouble.lasts, self.drained, machine, machine.starts, trouble.back)
+            self.schedule_trouble_step(trouble.lasts, self.drained, machine, machine.starts, trouble.back)
 
     def drained(self, machine: Machine, starts: int, back: float) -> None:
         if machine.starts != starts or not machine.up:
             return
-        self.goes_down(machine, False)
+        self.stop_machine(machine, False)
         self.discovery.change(machine, model.GONE, machine.started)
         if back:
-            self.later(back, self.comes_back, machine)
+            self.schedule_trouble_step(back, self.restart_machine, machine)
 
     def do_slow(self, trouble: forms.Slow) -> None:
-        for machine in self.hit(trouble):
+        for machine in self.affected_machines(trouble):
             self.slowed(machine, trouble.factor)
-            self.later(trouble.lasts, self.slowed, machine, 1 / trouble.factor)
+            self.schedule_trouble_step(trouble.lasts, self.slowed, machine, 1 / trouble.factor)
 
     def slowed(self, machine: Machine, factor: float) -> None:
         machine.advance(self.now)
         machine.slow *= factor
 
     def do_failing(self, trouble: forms.Failing) -> None:
-        for machine in self.hit(trouble):
+        for machine in self.affected_machines(trouble):
             machine.failures.append(trouble.share)
-            self.later(trouble.lasts, machine.failures.remove, trouble.share)
+            self.schedule_trouble_step(trouble.lasts, machine.failures.remove, trouble.share)
 
     def do_hang(self, trouble: forms.Hang) -> None:
-        for machine in self.hit(trouble):
+        for machine in self.affected_machines(trouble):
             if machine.up:
                 machine.hung_until = max(machine.hung_until, self.now + trouble.lasts)
                 self.trace.add(self.now, "server", machine.name, "hang")
-                self.hung(machine)
+                self.on_hang(machine)
 
-    def hung(self, machine: Machine) -> None:
+    def on_hang(self, machine: Machine) -> None:
         self.legs.hangs(machine)
 
     def do_stall(self, trouble: forms.Stall) -> None: ...
@@ -345,31 +345,31 @@
         zone = [zone.name for zone in self.scenario.zone].index(trouble.zone)
         for machine in self.machines:
             if machine.zone == zone and machine.up:
-                self.goes_down(machine, True)
+                self.stop_machine(machine, True)
                 self.discovery.change(machine, model.GONE, machine.started, True)
-                self.later(trouble.lasts, self.comes_back, machine)
+                self.schedule_trouble_step(trouble.lasts, self.restart_machine, machine)
         for node in list(self.nodes) if trouble.balancers else ():
             if node.zone == zone:
                 self.kill(node, trouble.lasts)
 
     def do_list_down(self, trouble: forms.ListDown) -> None:
         self.discovery.fail(True)
-        self.later(trouble.lasts, self.discovery.fail, False)
+        self.schedule_trouble_step(trouble.lasts, self.discovery.fail, False)
 
     def do_store_slow(self, trouble: forms.StoreSlow) -> None:
         self.store.slow *= trouble.factor
-        self.later(trouble.lasts, self.store_slowed, 1 / trouble.factor)
+        self.schedule_trouble_step(trouble.lasts, self.store_slowed, 1 / trouble.factor)
 
     def store_slowed(self, factor: float) -> None:
         self.store.slow *= factor
 
     def do_dear(self, trouble: forms.Dear) -> None:
         self.clients.dear.append(trouble)
-        self.later(trouble.lasts, self.clients.dear.remove, trouble)
+        self.schedule_trouble_step(trouble.lasts, self.clients.dear.remove, trouble)
 
     def do_burst(self, trouble: forms.Burst) -> None:
         self.clients.burst *= trouble.factor
-        self.later(trouble.lasts, self.burst_over, trouble.factor)
+        self.schedule_trouble_step(trouble.lasts, self.burst_over, trouble.factor)
 
     def burst_over(self, factor: float) -> None:
         self.clients.burst /= factor
@@ -392,36 +392,36 @@
         if not node.alive:
             return
         node.ends("killed")
-        self.later(self.scenario.front.notice, self.front.notices, node)
+        self.schedule_trouble_step(self.scenario.front.notice, self.front.remove, node)
         if lasts:
-            self.later(lasts, self.back_again, node)
+            self.schedule_trouble_step(lasts, self.restart_balancer, node)
 
-    def back_again(self, node: VirtualNode) -> None:
-        self.front.notices(node)
-        fresh = self.starts(node.number, node)
-        self.later(self.scenario.front.ready, self.front.takes_in, fresh)
+    def restart_balancer(self, node: VirtualNode) -> None:
+        self.front.remove(node)
+        fresh = self.start_balancer(node.number, node)
+        self.schedule_trouble_step(self.scenario.front.ready, self.front.add, fresh)
 
     def do_rolled(self, trouble: forms.Rolled) -> None:
         zones = [zone.name for zone in self.scenario.zone]
         chosen = [node.number for node in self.nodes if trouble.zone in ("", zones[node.zone])]
         for turn, number in enumerate(chosen):
-            self.later(turn * trouble.gap, self.roll, number, trouble)
+            self.schedule_trouble_step(turn * trouble.gap, self.roll, number, trouble)
 
     def roll(self, number: int, trouble: forms.Rolled) -> None:
         node = self.nodes[number]
         if node.alive and not node.shutting_down:
             node.leave(trouble.grace)
-            self.front.notices(node)  # a planned restart is told to the front
-            self.later(trouble.grace, self.rolled_out, node, trouble.down)
+            self.front.remove(node)  # a planned restart is told to the front
+            self.schedule_trouble_step(trouble.grace, self.rolled_out, node, trouble.down)
 
     def rolled_out(self, node: VirtualNode, down: float) -> None:
         if node.alive:
             node.ends("left")
-            self.later(down, self.back_again, node)
+            self.schedule_trouble_step(down, self.restart_balancer, node)
 
     def do_partition(self, trouble: forms.Partition) -> None:
         zones = [zone.name for zone in self.scenario.zone]
         pair = zones.index(trouble.zone), zones.index(trouble.other)
         for one in (pair,) if trouble.one_way else (pair, pair[::-1]):
-            self.cut.append(one)
-            self.later(trouble.lasts, self.cut.remove, one)
+            self.partitioned.append(one)
+            self.schedule_trouble_step(trouble.lasts, self.partitioned.remove, one)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -157,7 +157,7 @@
 
 def test_a_restart_under_the_same_id_told_with_an_older_start():
     world = played({"kind": "crash", "at": 4.0, "servers": ["a-k-1"], "lasts": 3.0, "told_older": 900.0})
-    machine = world.by_name["a-k-1"]
+    machine = world.machines_by_name["a-k-1"]
     node = world.nodes[0]
     told = node.servers[world.marks[machine]]
     assert told.state == model.READY and told.started_at == pytest.approx(START + 7.0 - 900.0)
@@ -192,10 +192,10 @@
         {"kind": "crash", "at": 12.5, "servers": ["b-k-1"], "lasts": 1.0},
         rules={"push_multiple": 50.0},
     )  # a balancer that restarts is not told of starts at once
-    assert not world.by_name["a-k-1"].up and world.discovery.down == 0
+    assert not world.machines_by_name["a-k-1"].up and world.discovery.down == 0
     assert [machine.slow for machine in world.machines] == pytest.approx([2.0] * 4)
     assert [machine.failing for machine in world.machines] == [0.25] * 4
-    assert world.by_name["b-k-1"].up and world.nodes[1].incarnation == 1
+    assert world.machines_by_name["b-k-1"].up and world.nodes[1].incarnation == 1
     assert kept(world)
 
 
