--- a/bellrack/lab/cli.py
+++ b/bellrack/lab/cli.py
@@ -148,10 +148,10 @@
 
 def do_cold(args: dict[str, Any]) -> int:
     seed = number(args, "--seed", 0) if args["--seed"] else 1
-    results = cold.played_all(
-        cold.starts(number(args, "--starts"), seed), number(args, "--jobs"), args["--quiet"]
+    results = cold.play_all(
+        cold.draw_starts(number(args, "--starts"), seed), number(args, "--jobs"), args["--quiet"]
     )
-    rows, fallen = cold.by_size(results), [one for one in results if one["fell"]]
+    rows, fallen = cold.summarize_by_size(results), [one for one in results if one["fell"]]
     show(COLD, rows, args)
     for one in fallen[:SHOWN] if args["--json"] != "-" else ():
         print(
--- a/bellrack/lab/clients.py
+++ b/bellrack/lab/clients.py
@@ -64,7 +64,7 @@
         "repeat",
         "call",
         "leg_record",
-        "said",
+        "outcome",
         "due",
     )
 
@@ -76,13 +76,13 @@
         self.repeat = demand.tries > 0
         self.call: Call | None = None
         self.leg_record: LegRecord | None = None  # of the last leg, under way or standing
-        self.said = ""  # the answer it heard, or how it ended
+        self.outcome = ""  # the answer it heard, or how it ended
 
-    def answered(self, how: str, wait: float) -> None:
-        self.node.world.clients.answered(self, how, wait)
+    def on_answer(self, how: str, wait: float) -> None:
+        self.node.world.clients.on_answer(self, how, wait)
 
-    def broken(self, how: str) -> None:
-        self.node.world.clients.broken(self, how)
+    def on_connection_end(self, how: str) -> None:
+        self.node.world.clients.on_connection_end(self, how)
 
 
 class Clients:
@@ -172,17 +172,17 @@
 
     def reaches(self, attempt: Attempt) -> None:
         if not attempt.node.alive:
-            attempt.answered("unreached", 0.0)
+            attempt.on_answer("unreached", 0.0)
         else:
-            attempt.node.turn(attempt.node.arrive, attempt)
+            attempt.node.turn(attempt.node.start_call, attempt)
 
     # What it hears.
 
-    def answered(self, attempt: Attempt, how: str, wait: float) -> None:
+    def on_answer(self, attempt: Attempt, how: str, wait: float) -> None:
         demand = attempt.demand
-        if attempt.said:
+        if attempt.outcome:
             return
-        attempt.said = how
+        attempt.outcome = how
         if demand.over or demand.attempt is not attempt:
             return
         if how == "completed":
@@ -193,9 +193,9 @@
 
     def gives_up(self, attempt: Attempt) -> None:
         """Its guard time is up and it has heard nothing."""
-        if attempt.said or attempt.demand.attempt is not attempt:
+        if attempt.outcome or attempt.demand.attempt is not attempt:
             return
-        attempt.said = "gave up"
+        attempt.outcome = "gave up"
         self.world.counters["gave_up"] += 1
         self.hangs_up(attempt)
         self.failed(attempt.demand, attempt, 0.0)
@@ -205,7 +205,7 @@
         if demand.over:
             return
         world, kind = self.world, self.world.scenario.type[demand.type]
-        how = attempt.said if attempt else "none"
+        how = attempt.outcome if attempt else "none"
         # What may have run and must not run twice is a new request when the client comes again.
         harmless = (
             how in ("rejected", "unreached", "none")
@@ -235,15 +235,15 @@
             demand.request, demand.due = self.requests, self.world.now
             self.tries(demand)
 
-    def broken(self, attempt: Attempt, how: str) -> None:
+    def on_connection_end(self, attempt: Attempt, how: str) -> None:
         """The connection ended, with MOVE or without."""
         demand = attempt.demand
-        if demand.attempt is not attempt or how == attempt.said:
+        if demand.attempt is not attempt or how == attempt.outcome:
             return
-        standing = attempt.said == "completed"
+        standing = attempt.outcome == "completed"
         if standing:
             self.world.trace.add(self.world.now, "over", attempt.id, how)
-        attempt.said = attempt.said or how  # killed: what it held is the client's to retry
+        attempt.outcome = attempt.outcome or how  # killed: what it held is the client's to retry
         demand.attempt = None
         if demand.over:
             return
@@ -259,7 +259,9 @@
 
     def hangs_up(self, attempt: Attempt, kind: str = "cancelled") -> None:
         node = attempt.node
-        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, node.turn, node.hung_up, attempt, kind)
+        self.world.event_queue.schedule_after(
+            attempt.delay, ARRIVAL, node.turn, node.on_client_closed, attempt, kind
+        )
 
     def leaves(self, demand: Demand) -> None:
         """The demand is over, served to its end or not."""
@@ -268,9 +270,9 @@
         self.world.service_record.add_demand(demand, -1)
         if demand.attempt:
             attempt, demand.attempt = demand.attempt, None
-            if attempt.said == "completed":
+            if attempt.outcome == "completed":
                 self.world.trace.add(self.world.now, "over", attempt.id, "left")
-            attempt.said = attempt.said or "left"
+            attempt.outcome = attempt.outcome or "left"
             self.hangs_up(attempt, "completed")
 
     def drops(self, share: float, zone: int | None) -> None:
@@ -281,8 +283,8 @@
             if (
                 stream.bernoulli(share)
                 and attempt
-                and attempt.said == "completed"
+                and attempt.outcome == "completed"
                 and zone in (None, demand.zone)
             ):
                 self.hangs_up(attempt, "completed")
-                self.broken(attempt, "dropped")
+                self.on_connection_end(attempt, "dropped")
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -67,7 +67,7 @@
     moves: int = 0  # times that the traffic had been dealt out anew among the balancers before
 
 
-def drawn(seed: int, sizes: tuple[int, ...] = SIZES) -> Start:
+def draw_start(seed: int, sizes: tuple[int, ...] = SIZES) -> Start:
     """The start of this seed."""
     chance = Random(seed)
     between, one = chance.uniform, chance.choice
@@ -328,7 +328,7 @@
         return self
 
 
-def played(start: Start, decides: Callable[..., Any] = Balancer) -> dict[str, Any]:
+def play(start: Start, decides: Callable[..., Any] = Balancer) -> dict[str, Any]:
     """How near it came: requests in the worst window over the limit then, and whether a server fell."""
     play = Play(start, decides).run()
     return {
@@ -341,23 +341,23 @@
     }
 
 
-def starts(count: int, seed: int, sizes: tuple[int, ...] = SIZES) -> list[Start]:
-    return [drawn(seed * 1_000_003 + number, sizes) for number in range(count)]
+def draw_starts(count: int, seed: int, sizes: tuple[int, ...] = SIZES) -> list[Start]:
+    return [draw_start(seed * 1_000_003 + number, sizes) for number in range(count)]
 
 
-def played_all(all_of: list[Start], jobs: int = 1, quiet: bool = True) -> list[dict[str, Any]]:
+def play_all(all_of: list[Start], jobs: int = 1, quiet: bool = True) -> list[dict[str, Any]]:
     """All of them, in order; `jobs` processes at once."""
 
     def shown(results: Iterator[dict[str, Any]]) -> list[dict[str, Any]]:
         return list(tqdm(results, total=len(all_of), disable=quiet, unit="start"))
 
     if jobs == 1:
-        return shown(map(played, all_of))
+        return shown(map(play, all_of))
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
-        return shown(pool.imap(played, all_of, 8))
+        return shown(pool.imap(play, all_of, 8))
 
 
-def by_size(results: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def summarize_by_size(results: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """A row a band of sizes: starts, falls, the nearest share of the limit, set-ups over what fills."""
     rows, least = [], 0
     for most in (*SIZES, None):
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -177,7 +177,7 @@
             peak = status.partition("VmHWM:")[2].split()[0]
             self.memory_kb = max(self.memory_kb, int(peak))
 
-    def ends(self, how: str) -> None:
+    def stop(self, how: str) -> None:
         self.signal(signal.SIGKILL)
         self.record_stop(how)
         self.let_go()
@@ -189,7 +189,7 @@
             os.close(self.config)
             self.config = -1
 
-    def leave(self, grace: float) -> None:
+    def begin_shutdown(self, grace: float) -> None:
         if self.alive and not self.shutting_down:
             self.shutting_down = True
             self.signal(signal.SIGTERM)
@@ -245,7 +245,7 @@
 
     # Its clients.
 
-    def arrive(self, attempt: Attempt, at: str = "") -> None:
+    def start_call(self, attempt: Attempt, at: str = "") -> None:
         """Connect, and say the first line."""
         world, demand = self.world, attempt.demand
         kind = world.scenario.type[demand.type]
@@ -268,16 +268,16 @@
             if not line.over:
                 line.over = True
                 self.done_with(attempt)
-                attempt.answered("unreached", 0.0)
+                attempt.on_answer("unreached", 0.0)
 
     def wrote(self, attempt: Attempt) -> None:
         attempt.call = attempt.call or attempt  # its balancer has it
-        if attempt.said != "completed":  # else it stood before the run
+        if attempt.outcome != "completed":  # else it stood before the run
             self.record_call(attempt)
 
     def answered(self, line: ClientLine, word: str, rest: str) -> None:
         attempt = line.attempt
-        if attempt.said == "completed":
+        if attempt.outcome == "completed":
             self.world.came_back(word)
             return
         how = {"UP": "completed", "BUSY": "rejected"}.get(word, "released")
@@ -285,7 +285,7 @@
         self.record_answer(attempt, how, wait)
         if attempt.leg_record and how == "completed":
             attempt.leg_record.established = True
-        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
+        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.on_answer, how, wait)
         if how != "completed":
             line.close()
             self.done_with(attempt)
@@ -299,11 +299,11 @@
         self.world.event_queue.schedule_after(
             attempt.delay,
             ARRIVAL,
-            attempt.broken,
+            attempt.on_connection_end,
             "moved" if line.moved else "reset" if line.answer else "balancer killed",
         )
 
-    def hung_up(self, attempt: Attempt, kind: str) -> None:
+    def on_client_closed(self, attempt: Attempt, kind: str) -> None:
         """The client ends it."""
         line = self.lines.get(attempt)
         if line and not line.over:
@@ -324,7 +324,7 @@
         leg_record.established = True
         self.record_stood(attempt, machine)
         self.world.standing_wanted += 1
-        self.arrive(attempt, machine.name)
+        self.start_call(attempt, machine.name)
         return leg_record
 
 
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -153,7 +153,7 @@
         attempt: Attempt = call.host_record
         self.record_answer(attempt, how, wait)
         self.attempts.pop(attempt, None)
-        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.answered, how, wait)
+        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.on_answer, how, wait)
 
     def move(self, call: Call) -> None:
         self.soon(self.moved, call.host_record, model.CANCELLED)
@@ -188,7 +188,7 @@
 
     # What happens to it.
 
-    def arrive(self, attempt: Attempt) -> None:
+    def start_call(self, attempt: Attempt) -> None:
         """A client's first line."""
         demand = attempt.demand
         call = self.new_call(
@@ -217,7 +217,7 @@
             return
         self.record_answer(leg_record.attempt, "completed")
         self.world.event_queue.schedule_after(
-            leg_record.attempt.delay, ARRIVAL, leg_record.attempt.answered, "completed", 0.0
+            leg_record.attempt.delay, ARRIVAL, leg_record.attempt.on_answer, "completed", 0.0
         )
         leg_record.established = True
         self.leg_established(leg_record.leg)
@@ -241,7 +241,7 @@
         if leg_record is None or leg_record.over or not leg_record.leg.established:
             return
         self.world.counters["moves"] += 1
-        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.broken, "moved")
+        self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.on_connection_end, "moved")
         self.leg_over(leg_record, kind)
 
     def lost(self, leg_record: LegRecord) -> None:
@@ -250,11 +250,11 @@
             return
         if leg_record.leg.established:
             self.world.event_queue.schedule_after(
-                leg_record.attempt.delay, ARRIVAL, leg_record.attempt.broken, "reset"
+                leg_record.attempt.delay, ARRIVAL, leg_record.attempt.on_connection_end, "reset"
             )
         self.leg_over(leg_record, model.RESET)
 
-    def hung_up(self, attempt: Attempt, kind: str) -> None:
+    def on_client_closed(self, attempt: Attempt, kind: str) -> None:
         """The client ended the connection."""
         call, leg_record = attempt.call, attempt.leg_record
         if call is None:
@@ -311,16 +311,18 @@
         if not self.settings.asks:
             self.watch()
 
-    def ends(self, how: str) -> None:
+    def stop(self, how: str) -> None:
         """Killed, or at the end of its way out: all it knew is gone, its connections end on both sides."""
         self.record_stop(how)
         for attempt in list(self.attempts):
             if attempt.leg_record and not attempt.leg_record.over:
                 attempt.leg_record.over = True
                 self.world.legs.closed(attempt.leg_record)
-            self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.broken, "balancer killed")
+            self.world.event_queue.schedule_after(
+                attempt.delay, ARRIVAL, attempt.on_connection_end, "balancer killed"
+            )
 
-    def leave(self, grace: float) -> None:
+    def begin_shutdown(self, grace: float) -> None:
         """Asked to end, as on SIGTERM: net/shutdown.py says when who is moved."""
         if not self.alive or self.shutting_down:
             return
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -175,7 +175,7 @@
             attempt = demand.attempt = Attempt(
                 self.clients.calls, demand, node, self.now, self.now, self.client_delay()
             )
-            attempt.said = "completed"
+            attempt.outcome = "completed"
             self.legs.stands_at(node.resume_standing(attempt, machine))
 
     def look(self) -> None:
@@ -391,7 +391,7 @@
     def kill(self, node: VirtualNode, lasts: float) -> None:
         if not node.alive:
             return
-        node.ends("killed")
+        node.stop("killed")
         self.schedule_trouble_step(self.scenario.front.notice, self.front.remove, node)
         if lasts:
             self.schedule_trouble_step(lasts, self.restart_balancer, node)
@@ -410,13 +410,13 @@
     def roll(self, number: int, trouble: forms.Rolled) -> None:
         node = self.nodes[number]
         if node.alive and not node.shutting_down:
-            node.leave(trouble.grace)
+            node.begin_shutdown(trouble.grace)
             self.front.remove(node)  # a planned restart is told to the front
             self.schedule_trouble_step(trouble.grace, self.rolled_out, node, trouble.down)
 
     def rolled_out(self, node: VirtualNode, down: float) -> None:
         if node.alive:
-            node.ends("left")
+            node.stop("left")
             self.schedule_trouble_step(down, self.restart_balancer, node)
 
     def do_partition(self, trouble: forms.Partition) -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -15,12 +15,12 @@
 from bellrack.net import servers
 from bellrack.rng import Rng
 
-STARTS = cold.starts(40, 7, (3, 20, 30))
+STARTS = cold.draw_starts(40, 7, (3, 20, 30))
 
 
 def fallen_servers(starts) -> int:
     """Returns how many servers fail from overload in these starts."""
-    return sum(cold.played(start)["fell"] for start in starts)
+    return sum(cold.play(start)["fell"] for start in starts)
 
 
 def test_all_balancers_together_overload_no_cold_server():
@@ -51,7 +51,7 @@
 
 # Two hundred balancers whose clients retry while the first tokens of a warm-up are used.
 CROWD = replace(
-    cold.drawn(7),
+    cold.draw_start(7),
     balancers=200,
     idle=0.0,
     fresh=0.0,
@@ -85,7 +85,7 @@
     assert bool(fallen_servers([CROWD, STARTS[18], STARTS[6]])) == (mutant is not None)
 
 
-MOVED = [replace(cold.drawn(seed, (3, 8, 20, 30)), moves=3) for seed in (7000102, 7000141, 8000145)]
+MOVED = [replace(cold.draw_start(seed, (3, 8, 20, 30)), moves=3) for seed in (7000102, 7000141, 8000145)]
 
 
 @pytest.mark.parametrize("start", MOVED, ids=lambda start: str(start.seed))
