--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -328,7 +328,7 @@
         return self
 
 
-def play(start: Start, decides: Callable[..., Any] = Balancer) -> dict[str, Any]:
+def play_start(start: Start, decides: Callable[..., Any] = Balancer) -> dict[str, Any]:
     """How near it came: requests in the worst window over the limit then, and whether a server fell."""
     play = Play(start, decides).run()
     return {
@@ -352,9 +352,9 @@
         return list(tqdm(results, total=len(all_of), disable=quiet, unit="start"))
 
     if jobs == 1:
-        return shown(map(play, all_of))
+        return shown(map(play_start, all_of))
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
-        return shown(pool.imap(play, all_of, 8))
+        return shown(pool.imap(play_start, all_of, 8))
 
 
 def summarize_by_size(results: list[dict[str, Any]]) -> list[dict[str, Any]]:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -20,7 +20,7 @@
 
 def fallen_servers(starts) -> int:
     """Returns how many servers fail from overload in these starts."""
-    return sum(cold.play(start)["fell"] for start in starts)
+    return sum(cold.play_start(start)["fell"] for start in starts)
 
 
 def test_all_balancers_together_overload_no_cold_server():
