--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -290,7 +290,7 @@
             line.close()
             self.done_with(attempt)
 
-    def report_end(self, line: ClientLine) -> None:
+    def ended(self, line: ClientLine) -> None:
         """The balancer has ended the connection, or died."""
         attempt = line.attempt
         self.done_with(attempt)
