--- a/bellrack/lab/scale/tier.py
+++ b/bellrack/lab/scale/tier.py
@@ -117,7 +117,7 @@
 
     def replaced(self, node: Hollow) -> None:
         """The decisions moved one: it stands elsewhere now."""
-        draw = self.connections.even
+        draw = self.connections.uniform
         if node.alive and node.own:
             node.queue(self.opened, node, node.own[int(draw() * len(node.own))])
 
@@ -126,7 +126,7 @@
         self.event_queue.schedule_after(self.connections.exponential(mean), TROUBLE, self.connection_changes)
 
     def connection_changes(self) -> None:
-        draw = self.connections.even
+        draw = self.connections.uniform
         node = self.nodes[self.hollow[int(draw() * len(self.hollow))]]
         node.queue(node.changes, draw(), draw(), self.group(), self.plan.connections.setup)
         self.next_change()
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -221,7 +221,7 @@
         sender.figures.sent(data, len(receivers), peer is None)
         if peer is None:
             self.last_broadcast = number
-        here, draw = self.zone(number), self.network.even
+        here, draw = self.zone(number), self.network.uniform
         for other in receivers:
             if not self.falls_out(number, other):
                 wait = self.delay(here, self.zone(other), draw())
