--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -45,7 +45,7 @@
             1 + int(stream.uniform() * 0xFFFFFFF0),
             self.event_queue.now,
             lambda peer, message: self.post(number, node, peer, message),
-            stream.even,
+            stream.uniform,
         )
         self.tick(number, node)
 
