--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -34,11 +34,11 @@
 from bellrack.lab.scenario import Scenario, ScenarioError
 from bellrack.lab.sockets import (
     HOST,
-    ClientLine,
-    ListLine,
+    ClientConnection,
+    DiscoveryConnection,
     Port,
     Relay,
-    ServerLine,
+    ServerConnection,
     free_ports,
 )
 from bellrack.lab.world import DATAGRAM, REORDERED, World
@@ -103,10 +103,10 @@
     def __init__(self, world: LiveWorld, name: str, number: int, zone: int, incarnation: int, seed: int):
         super().__init__(world, name, number, zone, incarnation)
         self.seed, self.process, self.config = seed, None, -1
-        self.questions: dict[ListLine, None] = {}
-        self.watcher: ListLine | None = None
+        self.questions: dict[DiscoveryConnection, None] = {}
+        self.watcher: DiscoveryConnection | None = None
         self.version = 0
-        self.lines: dict[Attempt, ClientLine] = {}
+        self.lines: dict[Attempt, ClientConnection] = {}
         self.memory_kb = 0
 
     def turn(self, what: Callable, *values: Any) -> None:
@@ -196,12 +196,12 @@
 
     # Discovery.
 
-    def watches(self, line: ListLine) -> None:
+    def watches(self, line: DiscoveryConnection) -> None:
         self.watcher = line
         self.world.discovery.watching.pop(self, None)
         self.world.discovery.watch(self, True)
 
-    def unwatched(self, line: ListLine) -> None:
+    def unwatched(self, line: DiscoveryConnection) -> None:
         if self.watcher is line:
             self.watcher = None
             self.world.discovery.watching.pop(self, None)
@@ -256,12 +256,14 @@
         if demand.group:
             pairs.append(f"g={demand.group:x}")
         pairs += ["r=1"] * attempt.repeat + ["again=1"] * demand.returned + [f"at={at}"] * bool(at)
-        line = ClientLine(self, attempt, f"OPEN {world.mark_of(attempt)} {demand.key:x} {','.join(pairs)}")
+        line = ClientConnection(
+            self, attempt, f"OPEN {world.mark_of(attempt)} {demand.key:x} {','.join(pairs)}"
+        )
         self.lines[attempt] = line
         world.by_mark[world.mark_of(attempt)] = attempt
         world.task(self.dial(attempt, line))
 
-    async def dial(self, attempt: Attempt, line: ClientLine) -> None:
+    async def dial(self, attempt: Attempt, line: ClientConnection) -> None:
         try:
             await self.world.loop.create_connection(lambda: line, *self.world.listens[self.number])
         except OSError:
@@ -275,7 +277,7 @@
         if attempt.outcome != "completed":  # else it stood before the run
             self.record_call(attempt)
 
-    def answered(self, line: ClientLine, word: str, rest: str) -> None:
+    def answered(self, line: ClientConnection, word: str, rest: str) -> None:
         attempt = line.attempt
         if attempt.outcome == "completed":
             self.world.came_back(word)
@@ -290,7 +292,7 @@
             line.close()
             self.done_with(attempt)
 
-    def ended(self, line: ClientLine) -> None:
+    def ended(self, line: ClientConnection) -> None:
         """The balancer has ended the connection, or died."""
         attempt = line.attempt
         self.done_with(attempt)
@@ -333,7 +335,7 @@
 
     world: LiveWorld
 
-    def line_came(self, link: ServerLine, line: str) -> None:
+    def line_came(self, link: ServerConnection, line: str) -> None:
         """A leg's first line; what is no OPEN of ours is a probe, or void."""
         words = line.split(" ")
         if words[0] == "PING":
@@ -401,7 +403,7 @@
             self.is_over(leg_record, model.RESET)
             leg_record.link.reset()
 
-    def link_lost(self, link: ServerLine) -> None:
+    def link_lost(self, link: ServerConnection) -> None:
         """The balancer's side has ended."""
         leg_record = link.leg_record
         if leg_record is None or leg_record.over:
@@ -465,7 +467,7 @@
         self.peer_ports = free_ports(len(names)) if scenario.datagrams.allowed else []
         super().__init__(scenario, seed, None, LiveEventQueue(loop, self.failed))
         self.ports = {machine: Port() for machine in self.machines}
-        self.server_lines: dict[Machine, dict[ServerLine, None]] = {m: {} for m in self.machines}
+        self.server_lines: dict[Machine, dict[ServerConnection, None]] = {m: {} for m in self.machines}
 
     @staticmethod
     def mark_of(attempt: Attempt) -> str:
@@ -538,7 +540,7 @@
         for line in list(self.server_lines[machine]):
             line.reset()  # what was open to a machine that vanished
         super().restart_machine(machine, told_older)
-        self.task(self.ports[machine].open(self.loop, lambda: ServerLine(self, machine)))
+        self.task(self.ports[machine].open(self.loop, lambda: ServerConnection(self, machine)))
 
     def start_balancer(self, number: int, before: LiveNode | None = None) -> LiveNode:
         name, zone = forms.balancer_names(self.scenario)[number]
@@ -564,7 +566,7 @@
         self.task(self.comes_up(self.start_balancer(node.number, node)))
 
     async def comes_up(self, node: LiveNode) -> None:
-        await self.lists[node.number].open(self.loop, lambda: ListLine(node))
+        await self.lists[node.number].open(self.loop, lambda: DiscoveryConnection(node))
         await node.start()
         if await node.ready():
             self.front.add(node)
@@ -577,7 +579,7 @@
             line.transport.pause_reading()
         self.schedule_trouble_step(trouble.lasts, self.stall_over, stalled)
 
-    def stall_over(self, stalled: list[ClientLine]) -> None:
+    def stall_over(self, stalled: list[ClientConnection]) -> None:
         for line in stalled:
             if not line.over:
                 line.transport.resume_reading()
@@ -598,7 +600,7 @@
 
     async def play(self, tell: Callable[[float], None]) -> None:  # type: ignore[override]
         for machine, port in self.ports.items():
-            await port.open(self.loop, lambda machine=machine: ServerLine(self, machine))
+            await port.open(self.loop, lambda machine=machine: ServerConnection(self, machine))
         for sender in range(len(self.peer_ports)):
             for receiver in range(len(self.peer_ports)):
                 if sender != receiver:
--- a/bellrack/lab/scale/desk.py
+++ b/bellrack/lab/scale/desk.py
@@ -19,7 +19,7 @@
 KEPT = 512  # changes that a renewed watch may ask for; of older versions it gets the whole list
 
 
-class Line(sockets.ListLine):
+class Line(sockets.DiscoveryConnection):
     """A balancer's connection to discovery, whose bytes are counted."""
 
     def data_received(self, data: bytes) -> None:
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -32,7 +32,7 @@
 from bellrack.lab.scale.run import with_parent
 from bellrack.lab.scale.tier import Tier
 from bellrack.lab.scenario import ScenarioError
-from bellrack.lab.sockets import HOST, Lines, free_ports
+from bellrack.lab.sockets import HOST, LineProtocol, free_ports
 
 READY_WITHIN = 30.0  # seconds until all processes are up, else the run is given up
 LOOK = 0.5  # seconds between looks at memory, at processes and at our own loop
@@ -70,7 +70,7 @@
         return self.transport.get_extra_info("sockname")
 
 
-class ServerLine(Lines):
+class ServerLine(LineProtocol):
     """A server that takes whatever comes."""
 
     def line(self, line: str) -> None:
--- a/bellrack/lab/sockets.py
+++ b/bellrack/lab/sockets.py
@@ -32,7 +32,7 @@
 CLOGGED = 8  # connections tried to fill the queue of a machine that vanished
 
 
-class Lines(asyncio.Protocol):
+class LineProtocol(asyncio.Protocol):
     """A connection of lines; those that derive from it say what is done with each."""
 
     transport: asyncio.Transport | None = None  # until the connection is up
@@ -86,7 +86,7 @@
             self.transport.abort()
 
 
-class ClientLine(Lines):
+class ClientConnection(LineProtocol):
     """A client's connection to a balancer: one call."""
 
     def __init__(self, node: LiveNode, attempt: Attempt, first: str):
@@ -123,7 +123,7 @@
         self.node.ended(self)
 
 
-class ServerLine(Lines):
+class ServerConnection(LineProtocol):
     """A balancer's connection to a server: one leg."""
 
     def __init__(self, world: LiveWorld, machine: Machine):
@@ -171,7 +171,7 @@
         super().reset()
 
 
-class ListLine(Lines):
+class DiscoveryConnection(LineProtocol):
     """A balancer's question to discovery: the whole list once, or a watch."""
 
     def __init__(self, node: LiveNode):
