--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -211,7 +211,7 @@
 
     def apply_list(self, rows: list[tuple[Machine, str, float]], whole: bool) -> None:
         if self.watcher and self.alive:
-            self.watcher.chunk(json.dumps(self.listing(rows, whole)).encode() + b"\n")
+            self.watcher.send_chunk(json.dumps(self.listing(rows, whole)).encode() + b"\n")
             for machine, state, since in rows:
                 self.record_told(machine, state, since)
 
@@ -339,16 +339,16 @@
         """A leg's first line; what is no OPEN of ours is a probe, or void."""
         words = line.split(" ")
         if words[0] == "PING":
-            link.say("PONG")
+            link.send_line("PONG")
             return
         attempt = self.world.by_mark.get(words[1]) if words[0] == "OPEN" and len(words) == 4 else None
         if attempt is None:
-            link.say("SYNTAX")  # also of a client that has gone meanwhile: nobody waits for it
+            link.send_line("SYNTAX")  # also of a client that has gone meanwhile: nobody waits for it
             link.close()
             return
         if ",at=" in words[3]:
             attempt.leg_record.link, link.leg_record = link, attempt.leg_record
-            link.say("UP 0")
+            link.send_line("UP 0")
             return
         attempt.call = attempt.call or attempt
         self.world.order[attempt] = number = self.world.order.get(attempt, 0) + 1
@@ -381,7 +381,7 @@
             return
         self.is_over(leg_record, kind)
         if kind in NEGATIVE:
-            leg_record.link.say(NEGATIVE[kind])
+            leg_record.link.send_line(NEGATIVE[kind])
             leg_record.link.close()
         else:
             leg_record.link.reset()
@@ -395,7 +395,7 @@
 
     def tell_up(self, leg_record: LegRecord) -> None:
         if not leg_record.over and leg_record.up:
-            leg_record.link.say(f"UP {leg_record.attempt.id:x}")
+            leg_record.link.send_line(f"UP {leg_record.attempt.id:x}")
             leg_record.link.stream(self.world.scenario.clients.stream)
 
     def report_end(self, leg_record: LegRecord, silent: bool) -> None:
@@ -594,7 +594,7 @@
 
     def report_delay(self, leg_record: LegRecord, delay: float) -> None:
         if not leg_record.over and leg_record.up:
-            leg_record.link.say(f"LOAD {delay * 1000:.3f}")
+            leg_record.link.send_line(f"LOAD {delay * 1000:.3f}")
 
     # The run.
 
--- a/bellrack/lab/scale/desk.py
+++ b/bellrack/lab/scale/desk.py
@@ -28,10 +28,10 @@
         super().data_received(data)
         self.node.spent(begun)
 
-    def chunk(self, body: bytes) -> None:
+    def send_chunk(self, body: bytes) -> None:
         if not self.over:
             self.node.figures.bytes_out += len(body) + len(b"%x\r\n\r\n" % len(body))
-        super().chunk(body)
+        super().send_chunk(body)
 
 
 class Desk:
@@ -120,7 +120,7 @@
 
     def tell(self, line: Line, told: bytes) -> None:
         self.figures.lines += 1
-        line.chunk(told)
+        line.send_chunk(told)
 
     def unwatched(self, line: Line) -> None:
         self.watching.pop(line, None)
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -73,9 +73,9 @@
 class ServerLine(LineProtocol):
     """A server that takes whatever comes."""
 
-    def line(self, line: str) -> None:
+    def line_received(self, line: str) -> None:
         word, _, rest = line.partition(" ")
-        self.say({"OPEN": f"UP {rest.partition(' ')[0]}", "PING": "PONG"}.get(word, "OK"))
+        self.send_line({"OPEN": f"UP {rest.partition(' ')[0]}", "PING": "PONG"}.get(word, "OK"))
 
 
 class Process:
--- a/bellrack/lab/sockets.py
+++ b/bellrack/lab/sockets.py
@@ -50,25 +50,25 @@
         *whole, self.rest = (self.rest + data).split(b"\n")
         for line in whole:
             if not self.over:
-                self.line(line.rstrip(b"\r").decode("ascii", "replace"))
+                self.line_received(line.rstrip(b"\r").decode("ascii", "replace"))
         if len(self.rest) > LINE:
             self.reset()
 
     def connection_lost(self, error: Exception | None) -> None:
         if not self.over:
             self.over = True
-            self.lost()
+            self.peer_closed()
 
-    def line(self, line: str) -> None: ...
+    def line_received(self, line: str) -> None: ...
 
-    def lost(self) -> None: ...
+    def peer_closed(self) -> None: ...
 
-    def say(self, line: str) -> None:
+    def send_line(self, line: str) -> None:
         if not self.over:
             self.transport.write(line.encode() + b"\r\n")
 
     def close(self) -> None:
-        """End it as agreed; nothing is told to `lost` any more."""
+        """End it as agreed; nothing is told to `peer_closed` any more."""
         if not self.over:
             self.over = True
             if self.transport:
@@ -101,10 +101,10 @@
         if self.over:  # given up while it came up
             transport.abort()
         else:
-            self.say(self.first)
+            self.send_line(self.first)
             self.node.wrote(self.attempt)
 
-    def line(self, line: str) -> None:
+    def line_received(self, line: str) -> None:
         word, _, rest = line.partition(" ")
         if not self.answer:
             self.answer = word
@@ -116,10 +116,10 @@
 
     def speak(self) -> None:
         if not self.over:
-            self.say("M")
+            self.send_line("M")
             self.speaking = self.node.world.loop.call_later(SPEAKS, self.speak)
 
-    def lost(self) -> None:
+    def peer_closed(self) -> None:
         self.node.ended(self)
 
 
@@ -136,7 +136,7 @@
         super().connection_made(transport)
         self.world.server_lines[self.machine][self] = None
 
-    def line(self, line: str) -> None:
+    def line_received(self, line: str) -> None:
         if self.machine.silent:
             return
         if self.leg_record is None:
@@ -148,17 +148,17 @@
 
     def say_owed(self) -> None:
         for _ in range(self.owed):
-            self.say("OK")
+            self.send_line("OK")
         self.owed = 0
 
     def stream(self, bytes_a_second: int) -> None:
         """Send so much as long as the connection stands."""
         if bytes_a_second and not self.over:
             if self.machine.hung_until <= self.world.now:
-                self.say("S" + "." * min(LONGEST, round(bytes_a_second * STREAM_EACH)))
+                self.send_line("S" + "." * min(LONGEST, round(bytes_a_second * STREAM_EACH)))
             self.world.loop.call_later(STREAM_EACH, self.stream, bytes_a_second)
 
-    def lost(self) -> None:
+    def peer_closed(self) -> None:
         self.world.server_lines[self.machine].pop(self, None)
         self.world.legs.link_lost(self)
 
@@ -182,7 +182,7 @@
         super().connection_made(transport)
         self.node.questions[self] = None
 
-    def line(self, line: str) -> None:
+    def line_received(self, line: str) -> None:
         if not self.target:
             self.target = line.split(" ")[1] if line.count(" ") >= 2 else "/"
         elif not line and not self.watch:
@@ -193,7 +193,7 @@
                 self.transport.write(
                     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
                 )
-                self.keep_up()
+                self.send_keep_alives()
                 self.node.watches(self)
             else:
                 body = json.dumps(self.node.listing(self.node.world.discovery.rows(), True)).encode()
@@ -205,16 +205,16 @@
         self.node.refused()
         self.close()
 
-    def chunk(self, body: bytes) -> None:
+    def send_chunk(self, body: bytes) -> None:
         if not self.over:
             self.transport.write(b"%x\r\n%b\r\n" % (len(body), body))
 
-    def keep_up(self) -> None:
+    def send_keep_alives(self) -> None:
         if not self.over:
-            self.chunk(b"\n")
-            self.node.world.loop.call_later(EMPTY, self.keep_up)
+            self.send_chunk(b"\n")
+            self.node.world.loop.call_later(EMPTY, self.send_keep_alives)
 
-    def lost(self) -> None:
+    def peer_closed(self) -> None:
         self.node.questions.pop(self, None)
         self.node.unwatched(self)
 
