--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -103,7 +103,7 @@
     def __init__(self, world: LiveWorld, name: str, number: int, zone: int, incarnation: int, seed: int):
         super().__init__(world, name, number, zone, incarnation)
         self.seed, self.process, self.config = seed, None, -1
-        self.questions: dict[DiscoveryConnection, None] = {}
+        self.discovery_conns: dict[DiscoveryConnection, None] = {}
         self.watcher: DiscoveryConnection | None = None
         self.version = 0
         self.lines: dict[Attempt, ClientConnection] = {}
@@ -196,26 +196,26 @@
 
     # Discovery.
 
-    def watches(self, line: DiscoveryConnection) -> None:
+    def watch_opened(self, line: DiscoveryConnection) -> None:
         self.watcher = line
         self.world.discovery.watching.pop(self, None)
         self.world.discovery.watch(self, True)
 
-    def unwatched(self, line: DiscoveryConnection) -> None:
+    def watch_closed(self, line: DiscoveryConnection) -> None:
         if self.watcher is line:
             self.watcher = None
             self.world.discovery.watching.pop(self, None)
 
-    def refused(self) -> None:
+    def request_refused(self) -> None:
         self.discovery_failed = True
 
     def apply_list(self, rows: list[tuple[Machine, str, float]], whole: bool) -> None:
         if self.watcher and self.alive:
-            self.watcher.send_chunk(json.dumps(self.listing(rows, whole)).encode() + b"\n")
+            self.watcher.send_chunk(json.dumps(self.list_message(rows, whole)).encode() + b"\n")
             for machine, state, since in rows:
                 self.record_told(machine, state, since)
 
-    def listing(self, rows: list[tuple[Machine, str, float]], whole: bool) -> dict[str, Any]:
+    def list_message(self, rows: list[tuple[Machine, str, float]], whole: bool) -> dict[str, Any]:
         self.version += 1
         world = self.world
         return {
@@ -241,7 +241,7 @@
         self.discovery_failed = True
         if self.watcher:
             self.watcher.reset()
-            self.unwatched(self.watcher)
+            self.watch_closed(self.watcher)
 
     # Its clients.
 
@@ -494,7 +494,7 @@
                 "memory_mb": scenario.limits.memory_mb or 192,
                 "sockets": scenario.limits.sockets,
             },
-            "known": node.listing([(m, *known) for m, known in told.items()], True),
+            "known": node.list_message([(m, *known) for m, known in told.items()], True),
             "settings": platform_settings(scenario, self.settings(node.zone), number),
         }
         if self.peer_ports:
--- a/bellrack/lab/scale/desk.py
+++ b/bellrack/lab/scale/desk.py
@@ -42,7 +42,7 @@
     def __init__(self, plan: Plan, loop: Any, place: Callable[[int], str]):
         self.plan, self.loop, self.place = plan, loop, place
         self.world = self.discovery = self
-        self.questions: dict[Line, None] = {}
+        self.discovery_conns: dict[Line, None] = {}
         self.watching: dict[Line, None] = {}
         self.figures = figures.Desk()
         self.version = 1
@@ -107,7 +107,7 @@
 
     # What the lines ask of it.
 
-    def watches(self, line: Line) -> None:
+    def watch_opened(self, line: Line) -> None:
         self.watching[line] = None
         self.figures.watches += 1
         after = int(line.target.partition("after=")[2] or 0)
@@ -122,16 +122,16 @@
         self.figures.lines += 1
         line.send_chunk(told)
 
-    def unwatched(self, line: Line) -> None:
+    def watch_closed(self, line: Line) -> None:
         self.watching.pop(line, None)
 
-    def refused(self) -> None: ...
+    def request_refused(self) -> None: ...
 
     def rows(self) -> list[tuple[int, str]]:
         self.figures.fetches += 1
         return list(self.states.items())
 
-    def listing(self, rows: list[tuple[int, str]], whole: bool) -> dict[str, Any]:
+    def list_message(self, rows: list[tuple[int, str]], whole: bool) -> dict[str, Any]:
         return {
             "generation": self.version,
             "reset": whole,
--- a/bellrack/lab/sockets.py
+++ b/bellrack/lab/sockets.py
@@ -180,7 +180,7 @@
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
-        self.node.questions[self] = None
+        self.node.discovery_conns[self] = None
 
     def line_received(self, line: str) -> None:
         if not self.target:
@@ -194,15 +194,15 @@
                     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n"
                 )
                 self.send_keep_alives()
-                self.node.watches(self)
+                self.node.watch_opened(self)
             else:
-                body = json.dumps(self.node.listing(self.node.world.discovery.rows(), True)).encode()
+                body = json.dumps(self.node.list_message(self.node.world.discovery.rows(), True)).encode()
                 self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
                 self.close()
 
     def refuse(self) -> None:
         self.transport.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
-        self.node.refused()
+        self.node.request_refused()
         self.close()
 
     def send_chunk(self, body: bytes) -> None:
@@ -215,11 +215,11 @@
             self.node.world.loop.call_later(EMPTY, self.send_keep_alives)
 
     def peer_closed(self) -> None:
-        self.node.questions.pop(self, None)
-        self.node.unwatched(self)
+        self.node.discovery_conns.pop(self, None)
+        self.node.watch_closed(self)
 
     def close(self) -> None:
-        self.node.questions.pop(self, None)
+        self.node.discovery_conns.pop(self, None)
         super().close()
 
 
