--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -419,7 +419,7 @@
             self.remove_from_machine(leg_record)
 
 
-class Tasks:
+class BackgroundTasks:
     """What runs beside a run on sockets. Whoever derives from it makes the three."""
 
     loop: asyncio.AbstractEventLoop
@@ -442,7 +442,7 @@
             self.failed(task.exception())
 
 
-class LiveWorld(Tasks, World):
+class LiveWorld(BackgroundTasks, World):
     legs_class = LiveLegs
     nodes: list[LiveNode]
 
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from bellrack.lab.event_queue import START
-from bellrack.lab.live import LATE, LiveEventQueue, Tasks
+from bellrack.lab.live import LATE, BackgroundTasks, LiveEventQueue
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.desk import Desk, Line
 from bellrack.lab.scale.guard import Guard, used_mb
@@ -141,7 +141,7 @@
                 await asyncio.wait_for(self.process.wait(), LAST_WORD)
 
 
-class RealTier(Tasks, Tier):
+class RealTier(BackgroundTasks, Tier):
     def __init__(self, plan: Plan, seed: int, guard: Guard, loop: asyncio.AbstractEventLoop):
         super().__init__(plan, seed, guard)
         self.loop = loop
