--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -52,7 +52,7 @@
 PING_EACH = 0.02  # seconds between looks whether a balancer is ready
 LIMIT = 0.05  # seconds added to each time limit on real sockets
 LAG_EACH = 0.05  # seconds between looks how late our own loop is
-LATE = 0.2  # seconds: a loop as late as that makes the run's figures doubtful
+MAX_LOOP_LAG_SECONDS = 0.2  # seconds: a loop as late as that makes the run's figures doubtful
 LAST_WORD = 5.0  # seconds that balancers get to end when a run is over
 EFFECTS = {model.REPEATABLE: "retryable", model.REFERENCED: "dedup", model.ONCE_ONLY: "fragile"}
 LIFECYCLES = {model.READY: "in_service", model.DRAINING: "terminating", model.GONE: "terminated"}
@@ -804,7 +804,7 @@
         "rules": runs.verdicts(rule_checker, breaches),
         "live": {
             "lag": round(world.lag, 4),
-            "doubtful": world.lag > LATE,
+            "doubtful": world.lag > MAX_LOOP_LAG_SECONDS,
             "balancer_cpu": round(world.cpu, 3),
             "balancer_memory_mb": round(world.memory_kb / 1024, 1),
         },
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -23,7 +23,7 @@
 from typing import Any
 
 from bellrack.lab.event_queue import START
-from bellrack.lab.live import LATE, BackgroundTasks, LiveEventQueue
+from bellrack.lab.live import MAX_LOOP_LAG_SECONDS, BackgroundTasks, LiveEventQueue
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.desk import Desk, Line
 from bellrack.lab.scale.guard import Guard, used_mb
@@ -396,7 +396,7 @@
         of_real = figures.measured([self.figures[number] for number in self.real], self.plan.duration)
         return {
             "lag": round(self.lag, 4),
-            "doubtful": self.lag > LATE,
+            "doubtful": self.lag > MAX_LOOP_LAG_SECONDS,
             "clients": self.answers,
             "memory_mb": {str(number): round(value, 1) for number, value in self.real_memory.items()},
             "core": of_real.get("core"),
