--- a/bellrack/lab/scale/plan.py
+++ b/bellrack/lab/scale/plan.py
@@ -13,7 +13,17 @@
 import msgspec
 from msgspec import Meta, field
 
-from bellrack.lab.scenario import Count, Delay, Form, Seconds, Share, Trouble, Word, parse_tables, read_tables
+from bellrack.lab.scenario import (
+    Count,
+    Delay,
+    Seconds,
+    Share,
+    StrictTable,
+    Trouble,
+    Word,
+    parse_tables,
+    read_tables,
+)
 
 TARGET = 4800  # balancers, for which restarts are stated
 RESTARTS = 54.0  # an hour there: 1,300 of a day
@@ -21,7 +31,7 @@
 A_BALANCER = 1.25  # servers, in a sweep: 6,000 to 4,800
 
 
-class Latency(Form):
+class Latency(StrictTable):
     """One-way delays; `jitter` is the largest share added to each datagram's by chance."""
 
     zone: Delay = 0.0003
@@ -30,7 +40,7 @@
     jitter: Share = 0.2
 
 
-class Connections(Form):
+class Connections(StrictTable):
     """What hollow balancers hold, so that they have something to tell."""
 
     servers: Count = 60  # of its zone, at which a balancer holds any; or all of it if there are fewer
@@ -40,14 +50,14 @@
     setup: Delay = 0.02  # what a set-up takes
 
 
-class Clients(Form):
+class Clients(StrictTable):
     """Stand-in clients of each real balancer."""
 
     standing: Annotated[int, Meta(ge=0, le=500)] = 10
     life: Annotated[float, Meta(ge=0.5, le=3600)] = 10.0  # seconds on the mean
 
 
-class Limits(Form):
+class Limits(StrictTable):
     memory_mb: Count = 0  # of this run, its children included; 0, or more than that: half of the machine
 
 
@@ -71,7 +81,7 @@
     lasts: Seconds = 0.0
 
 
-class Plan(Form, kw_only=True):
+class Plan(StrictTable, kw_only=True):
     name: Word
     about: str = ""
     time: Literal["virtual", "real"] = "virtual"
--- a/bellrack/lab/scenario.py
+++ b/bellrack/lab/scenario.py
@@ -39,11 +39,11 @@
     return allowed + 2 * math.sqrt(allowed) + 2
 
 
-class Form(Struct, forbid_unknown_fields=True):
+class StrictTable(Struct, forbid_unknown_fields=True):
     """A table of the file: unknown keys are refused."""
 
 
-class Rules(Form):
+class Rules(StrictTable):
     """The figures of the four rules, and what a balancer may do."""
 
     drain_grace: Delay = 0.5
@@ -57,7 +57,7 @@
     tick: Delay = 0.004
 
 
-class Net(Form):
+class Net(StrictTable):
     """One-way delays; `jitter` is the largest share added to each by chance."""
 
     same: Delay = 0.0002
@@ -66,7 +66,7 @@
     jitter: Annotated[float, Meta(ge=0, le=10)] = 0.2
 
 
-class Zone(Form):
+class Zone(StrictTable):
     """A zone, how many balancers stand in it and the weight of its part of the clients."""
 
     name: Word
@@ -74,7 +74,7 @@
     clients: Weight = 1.0
 
 
-class Kind(Form):
+class Kind(StrictTable):
     """A kind of server."""
 
     name: Word
@@ -94,7 +94,7 @@
     errors: Share = 0.0  # of set-ups that fail for no other reason
 
 
-class Servers(Form):
+class Servers(StrictTable):
     """So many servers of a kind in a zone; named ZONE-KIND-NUMBER, from 1."""
 
     zone: Word
@@ -102,7 +102,7 @@
     count: Annotated[int, Meta(ge=0, le=20_000)]
 
 
-class Type(Form):
+class Type(StrictTable):
     """A traffic type."""
 
     name: Word
@@ -118,7 +118,7 @@
     life: Positive = 1.0  # times the mean life
 
 
-class Tenant(Form):
+class Tenant(StrictTable):
     """A tenant, its share of the service and how much of that share it asks for."""
 
     name: Word
@@ -126,7 +126,7 @@
     usage: Positive = 1.0
 
 
-class Groups(Form):
+class Groups(StrictTable):
     """Groups of connections that share work: a server that holds any of one pays `cost` mean loads once."""
 
     count: Count = 0  # 0: no groups
@@ -134,7 +134,7 @@
     cost: Annotated[float, Meta(ge=0, le=1000)] = 0.0
 
 
-class Load(Form):
+class Load(StrictTable):
     """What a connection costs its server."""
 
     mean: Positive = 0.08
@@ -144,7 +144,7 @@
     beyond_share: Share = 1.0  # revenue beyond a tenant's share, as a part of the usual
 
 
-class Clients(Form):
+class Clients(StrictTable):
     """Arrivals come in open loop: nobody waits for another's answer."""
 
     rate: Annotated[float, Meta(ge=0)] = 6.0  # a second, in all zones
@@ -159,7 +159,7 @@
     rejoin: Span = field(default_factory=lambda: [0.1, 0.8])  # after a break or a move
 
 
-class Store(Form):
+class Store(StrictTable):
     """The session store, which every set-up draws on."""
 
     rate: Positive = 100.0  # calls a second
@@ -167,7 +167,7 @@
     timeout: Wait = 1.0  # the server gives the call up then, and the set-up fails
 
 
-class Listing(Form):
+class Listing(StrictTable):
     """Discovery."""
 
     asks: bool = True  # changes come only to those who ask
@@ -176,12 +176,12 @@
     spread: Delay = 0.1  # more for each balancer, at most
 
 
-class Front(Form):
+class Front(StrictTable):
     notice: Seconds = 2.0  # until it notices that a balancer has died
     ready: Delay = 0.3  # until a balancer that started is up
 
 
-class Datagrams(Form):
+class Datagrams(StrictTable):
     allowed: bool = False
     delay: Span = field(default_factory=lambda: [0.001, 0.016])
     loss: Share = 0.0
@@ -189,14 +189,14 @@
     twice: Share = 0.0  # come a second time
 
 
-class Limits(Form):
+class Limits(StrictTable):
     """What each balancer process may use on the loopback face."""
 
     sockets: Annotated[int, Meta(ge=32, le=65536)] = 1024
     memory_mb: Annotated[int, Meta(ge=0, le=65536)] = 0  # of data; 0: no limit
 
 
-class Trouble(Form, tag_field="kind", kw_only=True):
+class Trouble(StrictTable, tag_field="kind", kw_only=True):
     at: Annotated[float, Meta(ge=0, le=86400)]
 
 
@@ -334,7 +334,7 @@
 )
 
 
-class Scenario(Form, kw_only=True):
+class Scenario(StrictTable, kw_only=True):
     name: Word
     zone: Annotated[list[Zone], Meta(min_length=1, max_length=64)]
     kind: list[Kind] = field(default_factory=list)
