--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -113,7 +113,7 @@
             coming, can = machine.setups * world.scenario.load.mean, machine.capacity(now)
             if machine.warm(now) < 1:
                 recent = sum(at > now - world.scenario.rules.push_window for at in machine.aimed)
-                if world.scenario.pushed_over((recent + 1) / SPARE, machine.kind, can):
+                if world.scenario.overloads_cold_server((recent + 1) / SPARE, machine.kind, can):
                     continue
             full = (machine.demand + coming + extra) / can + machine.piled(now)
             if full < BRIM:
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -22,7 +22,7 @@
 from bellrack import model
 from bellrack.accounting import Accounting
 from bellrack.choice import Balancer
-from bellrack.lab.scenario import most_requests
+from bellrack.lab.scenario import max_cold_requests
 from bellrack.model import Call, Leg, Result, Server, Settings, TrafficType
 
 SIZES = (3, 20, 30, 200)  # balancers; of one start in two it is one of these, else one between them
@@ -308,7 +308,7 @@
         recent.append(self.now)
         while recent[0] <= self.now - start.fall_time:
             recent.popleft()
-        most = most_requests(self.allowed(age))
+        most = max_cold_requests(self.allowed(age))
         self.sent += 1
         self.nearest, self.window = max((self.nearest, self.window), (len(recent) / most, len(recent)))
         # Whoever sends has been told: a server that is listed as gone gets nothing before.
--- a/bellrack/lab/machine.py
+++ b/bellrack/lab/machine.py
@@ -98,7 +98,7 @@
             self.pushed.clear()
             return
         self.within(self.pushed, now)
-        if self.scenario.pushed_over(len(self.pushed), self.kind, self.capacity(now)):
+        if self.scenario.overloads_cold_server(len(self.pushed), self.kind, self.capacity(now)):
             self.fallen = True
 
     def within(self, window: deque[float], now: float) -> None:
--- a/bellrack/lab/rule_checker.py
+++ b/bellrack/lab/rule_checker.py
@@ -222,7 +222,7 @@
         pushes.append((now, told is not None and told[0] == READY and told[1] >= start))
         while pushes[0][0] <= now - rules.push_window:
             pushes.popleft()
-        if self.scenario.pushed_over(len(pushes), self.kinds[server], capacity):
+        if self.scenario.overloads_cold_server(len(pushes), self.kinds[server], capacity):
             del self.cold[server]  # it has fallen: what comes later is no second fall
             if sum(told for _, told in pushes) > TOLD_PART * len(pushes):
                 self.breach(
--- a/bellrack/lab/scenario.py
+++ b/bellrack/lab/scenario.py
@@ -34,7 +34,7 @@
     """A scenario that cannot be played; the text names file, key and reason."""
 
 
-def most_requests(allowed: float) -> float:
+def max_cold_requests(allowed: float) -> float:
     """Requests of mean work that a cold server bears in a window in which the settings allow so many."""
     return allowed + 2 * math.sqrt(allowed) + 2
 
@@ -363,10 +363,10 @@
         so a cold server can take new connections no faster than fills it over its warm-up."""
         return kind.setup + self.load.mean * kind.warm_up
 
-    def pushed_over(self, requests: float, kind: Kind, capacity: float) -> bool:
+    def overloads_cold_server(self, requests: float, kind: Kind, capacity: float) -> bool:
         """Does a cold server of so many cores now fall, with so many requests within the window?"""
         able = capacity * self.rules.push_window / self.request_work(kind)
-        return requests > most_requests(self.rules.push_multiple * able)
+        return requests > max_cold_requests(self.rules.push_multiple * able)
 
 
 def read_tables(path: str | Path) -> dict[str, Any]:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,7 +10,7 @@
 
 from bellrack import choice
 from bellrack.lab import cold
-from bellrack.lab.scenario import most_requests
+from bellrack.lab.scenario import max_cold_requests
 from bellrack.model import Settings
 from bellrack.net import servers
 from bellrack.rng import Rng
@@ -139,14 +139,14 @@
                 clients.append(await world.call("c=chat,t=acme,d=50000"))
             await world.until(lambda calls=4 * number: world.node.counters["calls"] == calls)
         allowed = 4.0 * choice.ASSUMED_CONNECTIONS_PER_CAPACITY * (0.2 + 0.8 * 26 / RAMP) * 2.0 / RAMP
-        assert len(waiting) > most_requests(allowed)
+        assert len(waiting) > max_cold_requests(allowed)
         connect.set()
         sent = 0
         with contextlib.suppress(TimeoutError):
             while True:
                 await asyncio.wait_for(world.arrived.get(), 0.3)
                 sent += 1
-        assert 0 < world.node.counters["upstream_requests"] <= most_requests(allowed)
+        assert 0 < world.node.counters["upstream_requests"] <= max_cold_requests(allowed)
 
 
 @played
@@ -186,4 +186,4 @@
             await serving
     warm = 0.2 + 0.8 * (AGE / RAMP)
     allowed = FACTOR * choice.ASSUMED_CONNECTIONS_PER_CAPACITY * warm * WINDOW / RAMP
-    assert 0 < len(lines) <= most_requests(allowed), lines
+    assert 0 < len(lines) <= max_cold_requests(allowed), lines
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -11,7 +11,7 @@
 from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
 
 from bellrack import choice, model
-from bellrack.lab.scenario import most_requests
+from bellrack.lab.scenario import max_cold_requests
 from bellrack.net import hot_restart, limits, lines, node, shutdown, sibling
 from bellrack.net.config import parse_config
 
@@ -272,7 +272,7 @@
 def allowed():
     """Return how many connections a single balancer may send to the server in the window."""
     warm = 0.2 + 0.8 * (SERVER_AGE_SECONDS + 5.0) / RAMP_SECONDS
-    return most_requests(
+    return max_cold_requests(
         OVERLOAD_FACTOR * choice.ASSUMED_CONNECTIONS_PER_CAPACITY * warm * WINDOW_SECONDS / RAMP_SECONDS
     )
 
