--- a/bellrack/lab/experiment.py
+++ b/bellrack/lab/experiment.py
@@ -21,7 +21,7 @@
 from tqdm import tqdm
 
 from bellrack.lab import run as runs
-from bellrack.lab.scenario import ScenarioError, changed, parse_scenario
+from bellrack.lab.scenario import ScenarioError, parse_scenario, with_value
 
 SCENARIO = "scenario.toml"  # a folder's own copy of what was run
 RESAMPLES, LEVEL = 10_000, 0.95  # of the bootstrap
@@ -249,7 +249,7 @@
     variants = []
     for value in values:
         constants = {key.removeprefix("choice."): value} if key.startswith("choice.") else {}
-        variants.append((value, raw if constants else changed(raw, key, value), constants))
+        variants.append((value, raw if constants else with_value(raw, key, value), constants))
         parse_scenario(variants[-1][1])  # all of them, before any is played
     rows = []
     for value, variant, constants in variants:
--- a/bellrack/lab/scenario.py
+++ b/bellrack/lab/scenario.py
@@ -511,7 +511,7 @@
             yield from _numbers(part, f"{key}[{index}]")
 
 
-def changed(raw: dict[str, Any], key: str, value: Any) -> dict[str, Any]:
+def with_value(raw: dict[str, Any], key: str, value: Any) -> dict[str, Any]:
     """A copy of a file's tables with one value replaced; `key` as in messages (`clients.rate`,
     `kind[0].cores`).
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -18,7 +18,7 @@
 from bellrack.lab.event_queue import ARRIVAL, GUARD, NEWS, RESULT, START, TIMER, TROUBLE, EventQueue
 from bellrack.lab.mutants import MUTANTS, lists_all
 from bellrack.lab.rule_checker import RuleChecker
-from bellrack.lab.scenario import ScenarioError, changed, parse_scenario
+from bellrack.lab.scenario import ScenarioError, parse_scenario, with_value
 from bellrack.lab.world import World
 
 EXAMPLES = Path(__file__).parent.parent / "examples" / "lab"
@@ -248,7 +248,7 @@
 def test_what_is_amiss_in_a_file_is_told_with_file_key_and_reason(tmp_path, key, value, place, reason):
     path = tmp_path / "odd.toml"
     with pytest.raises(ScenarioError) as error:
-        parse_scenario(changed(raw(), key, value), str(path))
+        parse_scenario(with_value(raw(), key, value), str(path))
     assert str(error.value).startswith(f"{path}: {place}: ") and reason in str(error.value)
 
 
