--- a/bellrack/lab/report.py
+++ b/bellrack/lab/report.py
@@ -56,7 +56,7 @@
     return range(1, len(line) + 1)
 
 
-def drawn(figure: Any) -> str:
+def svg_element(figure: Any) -> str:
     """The drawing as an element of the page."""
     out = io.StringIO()
     figure.savefig(out, format="svg", metadata={"Date": None}, bbox_inches="tight")
@@ -86,7 +86,7 @@
         plot.plot(seconds(line), line, label=policy, lw=2.2 if policy == "bellrack" else 1.1)
     plot.set_ylim(bottom=0)
     plot.legend(loc="best", ncols=4, fontsize=7, frameon=False)
-    return drawn(figure)
+    return svg_element(figure)
 
 
 def open_plot(result: dict[str, Any]) -> str:
@@ -109,7 +109,7 @@
     plot.set_ylim(bottom=0)
     if columns:
         plot.legend(loc="upper left", ncols=4, fontsize=7, frameon=False)
-    return drawn(figure)
+    return svg_element(figure)
 
 
 def answers_plot(results: list[dict[str, Any]]) -> str:
@@ -120,7 +120,7 @@
     if lines[0]:
         plot.stackplot(seconds(lines[0]), *lines, labels=ANSWERS, colors=COLOURS, lw=0)
         plot.legend(loc="upper left", ncols=4, fontsize=7, frameon=False)
-    return drawn(figure)
+    return svg_element(figure)
 
 
 def table(rows: list[dict[str, Any]]) -> str:
--- a/bellrack/lab/scale/report.py
+++ b/bellrack/lab/scale/report.py
@@ -11,7 +11,7 @@
 
 from matplotlib import pyplot
 
-from bellrack.lab.report import STYLE, drawn
+from bellrack.lab.report import STYLE, svg_element
 from bellrack.lab.scale import run
 from bellrack.lab.scale.plan import TARGET
 
@@ -75,7 +75,7 @@
     axes.set_xlabel("balancers")
     axes.spines[["top", "right"]].set_visible(False)
     axes.legend(loc="best", ncols=2, fontsize=7, frameon=False)
-    return drawn(figure)
+    return svg_element(figure)
 
 
 def table(results: list[dict[str, Any]]) -> str:
