--- a/bellrack/lab/starts.py
+++ b/bellrack/lab/starts.py
@@ -161,7 +161,7 @@
     return len(os.sched_getaffinity(0))
 
 
-def told(starts: list[Start], lists: int, cores: str) -> str:
+def report_text(starts: list[Start], lists: int, cores: str) -> str:
     """The figures, a line each."""
 
     def spread(values: list[float]) -> str:
@@ -201,7 +201,7 @@
             float(asked["--seconds"]),
         )
     )
-    print(told(starts, lists, f"{before} at first, {cores()} at last"), end="")
+    print(report_text(starts, lists, f"{before} at first, {cores()} at last"), end="")
     return 0
 
 
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -422,7 +422,7 @@
     measured = asyncio.run(starts.measure(2, way, known, lists, 10.0, 2.0 if not ready else 30.0))
     assert measured[1] == (2 if way == "answers" else 0)
     assert [one.ready is not None for one in measured[0]] == [ready > 0] * 2
-    assert f"started 2, ready {ready}, lists told" in starts.told(*measured, "1")
+    assert f"started 2, ready {ready}, lists told" in starts.report_text(*measured, "1")
     assert len(created) == 2 and all(process.returncode is not None for process in created)
 
 
