--- a/bellrack/lab/experiment.py
+++ b/bellrack/lab/experiment.py
@@ -65,7 +65,7 @@
     return folder / f"{named(policy)}-{seed}.json"
 
 
-def work(raw: dict[str, Any], seed: int, policy: str, constants: dict[str, float]) -> bytes:
+def run_encoded(raw: dict[str, Any], seed: int, policy: str, constants: dict[str, float]) -> bytes:
     """One run, in a process of its own."""
     return encoded(runs.run(raw, seed, policy, constants) | {"digest": runs.digest(raw)})
 
@@ -117,11 +117,13 @@
     """Runs as they finish, on so many processes."""
     if jobs <= 1 or len(wanted) <= 1:
         for policy, seed in wanted:
-            yield (policy, seed), work(raw, seed, policy, constants)
+            yield (policy, seed), run_encoded(raw, seed, policy, constants)
         return
     pool = ProcessPoolExecutor(min(jobs, len(wanted)), multiprocessing.get_context("spawn"))
     try:
-        futures = {pool.submit(work, raw, seed, policy, constants): (policy, seed) for policy, seed in wanted}
+        futures = {
+            pool.submit(run_encoded, raw, seed, policy, constants): (policy, seed) for policy, seed in wanted
+        }
         for future in as_completed(futures):
             yield futures[future], future.result()
     finally:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -437,8 +437,10 @@
     results = experiment.batch(raw(), [1, 2, 3], ["bellrack"], tmp_path, 1, quiet=True)
     (tmp_path / "bellrack-2.json").unlink()
     played_again = []
-    honest = experiment.work
-    monkeypatch.setattr(experiment, "work", lambda *values: played_again.append(values[1]) or honest(*values))
+    honest = experiment.run_encoded
+    monkeypatch.setattr(
+        experiment, "run_encoded", lambda *values: played_again.append(values[1]) or honest(*values)
+    )
     assert experiment.batch(raw(), [1, 2, 3], ["bellrack"], tmp_path, 1, quiet=True) == results
     assert played_again == [2]
     with pytest.raises(ScenarioError, match="another scenario"):
