--- a/bellrack/lab/cli.py
+++ b/bellrack/lab/cli.py
@@ -354,7 +354,9 @@
         if len(both) != 2 or not all(part.isdigit() and int(part) >= 2 for part in both):
             raise ScenarioError(f"--size: {text!r} is not of the form 4x8, with 2 or more of each")
         sizes.append((int(both[0]), int(both[1])))
-    rows = speed.curve(tuple(sizes) or speed.SIZES, number(args, "--length", 1, float), args["--profile"])
+    rows = speed.measure_sizes(
+        tuple(sizes) or speed.SIZES, number(args, "--length", 1, float), args["--profile"]
+    )
     show(
         (
             ("balancers", "balancers", "{}"),
--- a/bellrack/lab/speed.py
+++ b/bellrack/lab/speed.py
@@ -107,7 +107,7 @@
     ]
 
 
-def curve(
+def measure_sizes(
     sizes: tuple[tuple[int, int], ...] = SIZES, seconds: float = SECONDS, profile: bool = False
 ) -> list[dict[str, Any]]:
     """A row a size, one after the other."""
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -653,7 +653,7 @@
 def test_speed_measures_each_size_in_a_process_of_its_own():
     from bellrack.lab import speed
 
-    rows = speed.curve(((2, 2), (2, 4)), 10.0, profile=True)
+    rows = speed.measure_sizes(((2, 2), (2, 4)), 10.0, profile=True)
     assert [(row["balancers"], row["servers"], row["kept"]) for row in rows] == [(2, 2, True), (2, 4, True)]
     assert all(row["calls"] > 100 and row["memory_mb"] > 0 for row in rows)
     assert sum(line["share"] for line in rows[0]["profile"][-3:]) == pytest.approx(1.0)
