--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -63,9 +63,9 @@
 class LiveEventQueue(EventQueue):
     """Real time, counted from when the run is set off. What is put down before waits for that."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, failed: Callable[[Exception], None]):
+    def __init__(self, loop: asyncio.AbstractEventLoop, on_error: Callable[[Exception], None]):
         super().__init__()
-        self.loop, self.failed = loop, failed
+        self.loop, self.on_error = loop, on_error
         self.begun: float | None = None
         self.before: list[tuple] = []
 
@@ -92,7 +92,7 @@
         try:
             what(*values)
         except Exception as error:
-            self.failed(error)
+            self.on_error(error)
 
 
 class LiveNode(BalancerRecord):
@@ -261,7 +261,7 @@
         )
         self.lines[attempt] = line
         world.by_mark[world.mark_of(attempt)] = attempt
-        world.task(self.dial(attempt, line))
+        world.start_task(self.dial(attempt, line))
 
     async def dial(self, attempt: Attempt, line: ClientConnection) -> None:
         try:
@@ -423,23 +423,23 @@
     """What runs beside a run on sockets. Whoever derives from it makes the three."""
 
     loop: asyncio.AbstractEventLoop
-    fault: asyncio.Future
+    failure: asyncio.Future
     tasks: set[asyncio.Task]
 
-    def failed(self, error: BaseException) -> None:
+    def fail(self, error: BaseException) -> None:
         """A fault of the lab's own ends the run."""
-        if not self.fault.done():
-            self.fault.set_exception(error)
+        if not self.failure.done():
+            self.failure.set_exception(error)
 
-    def task(self, work: Any) -> None:
+    def start_task(self, work: Any) -> None:
         task = self.loop.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self.task_over)
+        task.add_done_callback(self.task_done)
 
-    def task_over(self, task: asyncio.Task) -> None:
+    def task_done(self, task: asyncio.Task) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception():
-            self.failed(task.exception())
+            self.fail(task.exception())
 
 
 class LiveWorld(BackgroundTasks, World):
@@ -450,7 +450,7 @@
         self.loop, self.logs = loop, logs
         self.processes: set[asyncio.subprocess.Process] = set()
         self.tasks: set[asyncio.Task] = set()
-        self.fault: asyncio.Future = loop.create_future()
+        self.failure: asyncio.Future = loop.create_future()
         self.by_mark: dict[str, Attempt] = {}
         self.order: dict[Attempt, int] = {}
         self.standing_wanted = self.standing_up = 0
@@ -465,7 +465,7 @@
         self.lists: list[Port] = [Port() for _ in names]
         self.relays: dict[tuple[int, int], Relay] = {}
         self.peer_ports = free_ports(len(names)) if scenario.datagrams.allowed else []
-        super().__init__(scenario, seed, None, LiveEventQueue(loop, self.failed))
+        super().__init__(scenario, seed, None, LiveEventQueue(loop, self.fail))
         self.ports = {machine: Port() for machine in self.machines}
         self.server_lines: dict[Machine, dict[ServerConnection, None]] = {m: {} for m in self.machines}
 
@@ -476,7 +476,7 @@
     def came_back(self, word: str) -> None:
         """One that stood before the run is taken up, or is not."""
         if word != "UP":
-            self.failed(ScenarioError(f"a connection that stood before the run was answered {word}"))
+            self.fail(ScenarioError(f"a connection that stood before the run was answered {word}"))
         self.standing_up += 1
 
     # What processes are told.
@@ -540,7 +540,7 @@
         for line in list(self.server_lines[machine]):
             line.reset()  # what was open to a machine that vanished
         super().restart_machine(machine, told_older)
-        self.task(self.ports[machine].open(self.loop, lambda: ServerConnection(self, machine)))
+        self.start_task(self.ports[machine].open(self.loop, lambda: ServerConnection(self, machine)))
 
     def start_balancer(self, number: int, before: LiveNode | None = None) -> LiveNode:
         name, zone = forms.balancer_names(self.scenario)[number]
@@ -563,7 +563,7 @@
 
     def restart_balancer(self, node: LiveNode) -> None:
         self.front.remove(node)
-        self.task(self.comes_up(self.start_balancer(node.number, node)))
+        self.start_task(self.comes_up(self.start_balancer(node.number, node)))
 
     async def comes_up(self, node: LiveNode) -> None:
         await self.lists[node.number].open(self.loop, lambda: DiscoveryConnection(node))
@@ -620,7 +620,7 @@
             raise ScenarioError("a balancer ended at its start; --logs=DIR keeps what it said")
         self.create_standing_connections()
         deadline = self.loop.time() + UP_WITHIN
-        while self.standing_up < self.standing_wanted and not self.fault.done():
+        while self.standing_up < self.standing_wanted and not self.failure.done():
             if self.loop.time() > deadline:
                 raise ScenarioError(
                     f"{self.standing_wanted - self.standing_up} connections that stood "
@@ -632,8 +632,8 @@
         self.schedule_start()
         self.event_queue.schedule_at(START, LOOK, self.look_at_self, self.loop.time())
         end = self.event_queue.begun + self.scenario.length + self.scenario.tail
-        while self.loop.time() < end and not self.fault.done():
-            await asyncio.wait([self.fault], timeout=min(0.5, max(0.0, end - self.loop.time())))
+        while self.loop.time() < end and not self.failure.done():
+            await asyncio.wait([self.failure], timeout=min(0.5, max(0.0, end - self.loop.time())))
             tell(min(self.scenario.length + self.scenario.tail, self.now - START))
             crashed = [
                 node.name
@@ -645,8 +645,8 @@
             ]
             if crashed:
                 raise ScenarioError(f"{crashed[0]} ended by itself; --logs=DIR keeps what it said")
-        if self.fault.done():
-            self.fault.result()
+        if self.failure.done():
+            self.failure.result()
 
     def look_at_self(self, due: float) -> None:
         """How late is our own loop?"""
@@ -777,7 +777,7 @@
     loop = asyncio.get_running_loop()
     world = LiveWorld(scenario, seed, loop, logs)
     loop.set_exception_handler(
-        lambda _, said: world.failed(said.get("exception") or RuntimeError(said.get("message", "")))
+        lambda _, said: world.fail(said.get("exception") or RuntimeError(said.get("message", "")))
     )
     before = children_cpu()
     try:
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -145,8 +145,8 @@
     def __init__(self, plan: Plan, seed: int, guard: Guard, loop: asyncio.AbstractEventLoop):
         super().__init__(plan, seed, guard)
         self.loop = loop
-        self.fault: asyncio.Future = loop.create_future()
-        self.event_queue = LiveEventQueue(loop, self.failed)
+        self.failure: asyncio.Future = loop.create_future()
+        self.event_queue = LiveEventQueue(loop, self.fail)
         self.figures = [figures.Figures() for _ in range(plan.tier)]
         first = 0 if plan.real_first else plan.balancers
         self.real = list(range(first, first + plan.real))
@@ -288,7 +288,7 @@
             self.started[number] = 0
             process.kill()
             if lasts:
-                self.task(self.returns(process, lasts))
+                self.start_task(self.returns(process, lasts))
 
     async def returns(self, process: Process, lasts: float) -> None:
         await process.gone()
@@ -333,15 +333,15 @@
                 )
 
     async def run_to(self, end: float, tell: Callable[[float], None]) -> None:
-        while (left := START + end - self.now) > 0 and not self.fault.done():
+        while (left := START + end - self.now) > 0 and not self.failure.done():
             wait = min(LOOK, left)
             due = self.loop.time() + wait
-            await asyncio.wait([self.fault], timeout=wait)
+            await asyncio.wait([self.failure], timeout=wait)
             self.lag = max(self.lag, self.loop.time() - due)
             tell(min(end, self.now - START))
             self.look()
-        if self.fault.done():
-            self.fault.result()
+        if self.failure.done():
+            self.failure.result()
 
     async def play(self, tell: Callable[[float], None]) -> None:
         plan = self.plan
@@ -361,7 +361,7 @@
         self.event_queue.begin()
         for process in self.processes.values():
             for index in range(plan.clients.standing):
-                self.task(self.client(process, index))
+                self.start_task(self.client(process, index))
         await self.run_to(plan.warm_up, tell)
         self.clear()
         self.lag = 0.0
