--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -267,8 +267,8 @@
         try:
             await self.world.loop.create_connection(lambda: line, *self.world.listens[self.number])
         except OSError:
-            if not line.over:
-                line.over = True
+            if not line.closed:
+                line.closed = True
                 self.done_with(attempt)
                 attempt.on_answer("unreached", 0.0)
 
@@ -308,7 +308,7 @@
     def on_client_closed(self, attempt: Attempt, kind: str) -> None:
         """The client ends it."""
         line = self.lines.get(attempt)
-        if line and not line.over:
+        if line and not line.closed:
             if not line.answer:
                 self.world.trace.add(self.world.now, "gone", attempt.id)
             line.close()
@@ -574,14 +574,14 @@
     def do_stall(self, trouble: forms.Stall) -> None:
         stream = self.streams["stalls"]
         lines = [line for node in self.nodes for line in node.lines.values() if line.answer == "UP"]
-        stalled = [line for line in lines if not line.over and stream.bernoulli(trouble.share)]
+        stalled = [line for line in lines if not line.closed and stream.bernoulli(trouble.share)]
         for line in stalled:
             line.transport.pause_reading()
         self.schedule_trouble_step(trouble.lasts, self.stall_over, stalled)
 
     def stall_over(self, stalled: list[ClientConnection]) -> None:
         for line in stalled:
-            if not line.over:
+            if not line.closed:
                 line.transport.resume_reading()
 
     def on_hang(self, machine: Machine) -> None:
--- a/bellrack/lab/scale/desk.py
+++ b/bellrack/lab/scale/desk.py
@@ -29,7 +29,7 @@
         self.node.spent(begun)
 
     def send_chunk(self, body: bytes) -> None:
-        if not self.over:
+        if not self.closed:
             self.node.figures.bytes_out += len(body) + len(b"%x\r\n\r\n" % len(body))
         super().send_chunk(body)
 
--- a/bellrack/lab/sockets.py
+++ b/bellrack/lab/sockets.py
@@ -39,24 +39,24 @@
 
     def __init__(self) -> None:
         self.rest = b""
-        self.over = False
+        self.closed = False
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
-        if self.over:
+        if self.closed:
             transport.abort()  # guards against a line that was ended before it was up, and then stays
 
     def data_received(self, data: bytes) -> None:
         *whole, self.rest = (self.rest + data).split(b"\n")
         for line in whole:
-            if not self.over:
+            if not self.closed:
                 self.line_received(line.rstrip(b"\r").decode("ascii", "replace"))
         if len(self.rest) > LINE:
             self.reset()
 
     def connection_lost(self, error: Exception | None) -> None:
-        if not self.over:
-            self.over = True
+        if not self.closed:
+            self.closed = True
             self.peer_closed()
 
     def line_received(self, line: str) -> None: ...
@@ -64,20 +64,20 @@
     def peer_closed(self) -> None: ...
 
     def send_line(self, line: str) -> None:
-        if not self.over:
+        if not self.closed:
             self.transport.write(line.encode() + b"\r\n")
 
     def close(self) -> None:
         """End it as agreed; nothing is told to `peer_closed` any more."""
-        if not self.over:
-            self.over = True
+        if not self.closed:
+            self.closed = True
             if self.transport:
                 self.transport.close()
 
     def reset(self) -> None:
         """End it as the kernel does for a process that is gone."""
-        if not self.over:
-            self.over = True
+        if not self.closed:
+            self.closed = True
             if not self.transport:
                 return
             sock = self.transport.get_extra_info("socket")
@@ -98,7 +98,7 @@
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
-        if self.over:  # given up while it came up
+        if self.closed:  # given up while it came up
             transport.abort()
         else:
             self.send_line(self.first)
@@ -115,7 +115,7 @@
             self.moved = True
 
     def speak(self) -> None:
-        if not self.over:
+        if not self.closed:
             self.send_line("M")
             self.speaking = self.node.world.loop.call_later(SPEAKS, self.speak)
 
@@ -153,7 +153,7 @@
 
     def stream(self, bytes_a_second: int) -> None:
         """Send so much as long as the connection stands."""
-        if bytes_a_second and not self.over:
+        if bytes_a_second and not self.closed:
             if self.machine.hung_until <= self.world.now:
                 self.send_line("S" + "." * min(LONGEST, round(bytes_a_second * STREAM_EACH)))
             self.world.loop.call_later(STREAM_EACH, self.stream, bytes_a_second)
@@ -206,11 +206,11 @@
         self.close()
 
     def send_chunk(self, body: bytes) -> None:
-        if not self.over:
+        if not self.closed:
             self.transport.write(b"%x\r\n%b\r\n" % (len(body), body))
 
     def send_keep_alives(self) -> None:
-        if not self.over:
+        if not self.closed:
             self.send_chunk(b"\n")
             self.node.world.loop.call_later(EMPTY, self.send_keep_alives)
 
