--- a/bellrack/lab/scale/desk.py
+++ b/bellrack/lab/scale/discovery_stub.py
@@ -34,7 +34,7 @@
         super().send_chunk(body)
 
 
-class Desk:
+class DiscoveryStub:
     """Is its own `world` and `discovery` to the lines of discovery: there is one list for all."""
 
     down = False
@@ -44,7 +44,7 @@
         self.world = self.discovery = self
         self.discovery_conns: dict[Line, None] = {}
         self.watching: dict[Line, None] = {}
-        self.figures = figures.Desk()
+        self.figures = figures.DiscoveryMeasurements()
         self.version = 1
         self.states: dict[int, str] = dict.fromkeys(range(plan.servers), "in_service")  # by number
         self.next = plan.servers
--- a/bellrack/lab/scale/figures.py
+++ b/bellrack/lab/scale/figures.py
@@ -77,7 +77,7 @@
     return (len(data) - 1) // 4 if form in (aggregation.GROUPS, aggregation.PLACEMENTS) else 0
 
 
-class Desk:
+class DiscoveryMeasurements:
     """Figures of the stand-in for discovery."""
 
     def __init__(self) -> None:
--- a/bellrack/lab/scale/run.py
+++ b/bellrack/lab/scale/run.py
@@ -37,13 +37,17 @@
     """Of a world that was played; the two faces have the same form."""
     members = figures.roles(world.figures)
     counts = {name: figures.role(some, plan.duration) for name, some in members.items()}
-    desk = world.desk.figures
+    discovery_stub = world.discovery_stub.figures
     counts["discovery"] = {
-        name: getattr(desk, name) for name in ("watches", "fetches", "lines", "bytes_in", "bytes_out")
+        name: getattr(discovery_stub, name)
+        for name in ("watches", "fetches", "lines", "bytes_in", "bytes_out")
     }
     counts["tier"] = {"faults": world.faults, "restarts": world.restarts, "lost_datagrams": world.lost}
     times = {name: figures.measured(some, plan.duration) for name, some in members.items()}
-    times["discovery"] = {"core": desk.cpu / plan.duration / 1e9, "longest_turn": desk.longest / 1e9}
+    times["discovery"] = {
+        "core": discovery_stub.cpu / plan.duration / 1e9,
+        "longest_turn": discovery_stub.longest / 1e9,
+    }
     return {
         "version": VERSION,
         "name": plan.name,
@@ -184,15 +188,15 @@
                 ],
             }
         )
-    desk = result["counts"]["discovery"]
+    discovery_stub = result["counts"]["discovery"]
     told.append(
         {key: None for key, _, _ in TABLE}
         | {
             "balancers": result["balancers"],
             "servers": result["servers"],
             "role": "discovery",
-            "in": desk["bytes_in"] / result["seconds"],
-            "out": desk["bytes_out"] / result["seconds"],
+            "in": discovery_stub["bytes_in"] / result["seconds"],
+            "out": discovery_stub["bytes_out"] / result["seconds"],
             "core": result["measured"]["discovery"]["core"],
             "longest": result["measured"]["discovery"]["longest_turn"],
             "over": [],
--- a/bellrack/lab/scale/tier.py
+++ b/bellrack/lab/scale/tier.py
@@ -11,7 +11,7 @@
 
 from bellrack.lab.event_queue import TROUBLE
 from bellrack.lab.scale import figures
-from bellrack.lab.scale.desk import DRAINS, Desk
+from bellrack.lab.scale.discovery_stub import DRAINS, DiscoveryStub
 from bellrack.lab.scale.guard import Guard
 from bellrack.lab.scale.hollow import Hollow
 from bellrack.lab.scale.plan import TARGET, AggregatorLost, Plan, RackLost, RegionCut, region_of
@@ -26,7 +26,7 @@
     ones."""
 
     event_queue: Any
-    desk: Desk
+    discovery_stub: DiscoveryStub
 
     def __init__(self, plan: Plan, seed: int, guard: Guard):
         self.plan, self.guard, self.streams = plan, guard, RandomStreams(seed)
@@ -72,7 +72,7 @@
 
     def clear(self) -> None:
         """From here on it counts."""
-        for one in [*self.figures, self.desk.figures]:
+        for one in [*self.figures, self.discovery_stub.figures]:
             one.clear()
         self.lost = self.restarts = 0
 
@@ -97,9 +97,9 @@
         node, connections, draw = self.nodes[number], self.plan.connections, self.connections
         if not node.alive:
             return
-        ready = self.desk.ready(self.zone(number))
+        ready = self.discovery_stub.ready(self.zone(number))
         chosen = draw.sample(ready, min(connections.servers, len(ready)))
-        node.own = [lines.id_hash(self.desk.name(n)) for n in chosen]
+        node.own = [lines.id_hash(self.discovery_stub.name(n)) for n in chosen]
         node.queue(node.will_hold, node.own)
         for mark in node.own:
             for _ in range(max(1, round(connections.each * draw.log_normal(0.5)))):
@@ -133,14 +133,14 @@
 
     def list_changes(self) -> None:
         """A server drains, ends, and another takes its place: three changes."""
-        old, new = self.desk.replace(self.streams["list"].uniform())
+        old, new = self.discovery_stub.replace(self.streams["list"].uniform())
         self.tell_change(old, "terminating")
         self.event_queue.schedule_after(DRAINS, TROUBLE, self.tell_change, old, "terminated")
         self.event_queue.schedule_after(DRAINS, TROUBLE, self.tell_change, new, "in_service")
         self.later("list", 3 * 60.0 / self.plan.list_changes, self.list_changes)
 
     def tell_change(self, number: int, state: str) -> None:
-        self.desk.change(number, state)
+        self.discovery_stub.change(number, state)
 
     def kill(self, number: int, lasts: float) -> None:
         node = self.nodes[number]
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -12,7 +12,7 @@
 
 from bellrack.lab.event_queue import NEWS, RESULT, START, TIMER, EventQueue
 from bellrack.lab.scale import figures
-from bellrack.lab.scale.desk import Desk, Line
+from bellrack.lab.scale.discovery_stub import DiscoveryStub, Line
 from bellrack.lab.scale.guard import Guard
 from bellrack.lab.scale.hollow import DiscoveryRequest, Hollow, Lean, configurations, questions
 from bellrack.lab.scale.plan import Plan
@@ -167,13 +167,13 @@
         self.event_queue = self.loop = VirtualLoop(self.connect)
         self.played = 0.0
         self.configuration = configurations(plan, PLACE)
-        self.desk = Desk(plan, self.loop, lambda number: PLACE)
+        self.discovery_stub = DiscoveryStub(plan, self.loop, lambda number: PLACE)
         self.shared: dict[int, Server] = {}
         self.watching: dict[Lean, None] = {}
         if plan.lean:
             self.keeper = VirtualHollow(self.configuration(0, 0, 0), self.loop, figures.Figures(), self.post)
             self.keeper.alive = False  # it keeps the list, and does nothing of its own
-            self.keeper.server_list.on_list(lines.parse_list(lines.parse_json(self.desk.whole())))
+            self.keeper.server_list.on_list(lines.parse_list(lines.parse_json(self.discovery_stub.whole())))
             self.shared = self.keeper.servers
         for number in range(played or plan.balancers):
             self.figures.append(figures.Figures())
@@ -237,7 +237,7 @@
         if isinstance(question, Lean):
             self.loop.schedule_after(2 * self.delay(zone, 0), NEWS, self.lean_watch, question)
             return
-        ours, theirs = Stream(self, question, zone), Stream(self, Line(self.desk), 0)
+        ours, theirs = Stream(self, question, zone), Stream(self, Line(self.discovery_stub), 0)
         ours.other, theirs.other = theirs, ours
         self.carry(theirs, self.comes_up, ours, theirs)
 
@@ -258,17 +258,17 @@
     def lean_watch(self, node: Lean) -> None:
         if node.alive and node is self.nodes[node.number]:
             self.watching[node] = None
-            self.lean_told(node, self.desk.whole())
-            self.desk.figures.watches += 1
+            self.lean_told(node, self.discovery_stub.whole())
+            self.discovery_stub.figures.watches += 1
 
     def lean_told(self, node: Lean, line: bytes) -> None:
         count = len(line) + len(b"%x\r\n\r\n" % len(line))
-        self.desk.figures.bytes_out += count
-        self.desk.figures.lines += 1
+        self.discovery_stub.figures.bytes_out += count
+        self.discovery_stub.figures.lines += 1
         self.loop.schedule_after(self.delay(0, self.zone(node.number)), NEWS, node.queue, node.takes, count)
 
     def tell_change(self, number: int, state: str) -> None:
-        line = self.desk.change(number, state)
+        line = self.discovery_stub.change(number, state)
         if self.plan.lean:
             self.keeper.server_list.on_list(lines.parse_list(lines.parse_json(line)))
             for node in list(self.watching):
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -151,7 +151,7 @@
 def test_a_lost_rack_comes_back_and_is_told_the_whole_list():
     rack = {"kind": "rack-lost", "at": 5.0, "share": 0.25, "lasts": 2.0}
     world = played(trouble=[rack], list_changes=0.0, restarts=0.0)
-    assert world.restarts == 3 and world.desk.figures.watches == 3
+    assert world.restarts == 3 and world.discovery_stub.figures.watches == 3
     assert all(len(node.balancer.listing.ready) == 18 and node.alive for node in world.nodes.values())
 
 
