--- a/bellrack/lab/scale/discovery_stub.py
+++ b/bellrack/lab/scale/discovery_stub.py
@@ -19,7 +19,7 @@
 KEPT = 512  # changes that a renewed watch may ask for; of older versions it gets the whole list
 
 
-class Line(sockets.DiscoveryConnection):
+class CountedWatch(sockets.DiscoveryConnection):
     """A balancer's connection to discovery, whose bytes are counted."""
 
     def data_received(self, data: bytes) -> None:
@@ -42,8 +42,8 @@
     def __init__(self, plan: Plan, loop: Any, place: Callable[[int], str]):
         self.plan, self.loop, self.place = plan, loop, place
         self.world = self.discovery = self
-        self.discovery_conns: dict[Line, None] = {}
-        self.watching: dict[Line, None] = {}
+        self.discovery_conns: dict[CountedWatch, None] = {}
+        self.watching: dict[CountedWatch, None] = {}
         self.figures = figures.DiscoveryMeasurements()
         self.version = 1
         self.states: dict[int, str] = dict.fromkeys(range(plan.servers), "in_service")  # by number
@@ -107,7 +107,7 @@
 
     # What the lines ask of it.
 
-    def watch_opened(self, line: Line) -> None:
+    def watch_opened(self, line: CountedWatch) -> None:
         self.watching[line] = None
         self.figures.watches += 1
         after = int(line.target.partition("after=")[2] or 0)
@@ -118,11 +118,11 @@
             for told in missed:
                 self.tell(line, told)
 
-    def tell(self, line: Line, told: bytes) -> None:
+    def tell(self, line: CountedWatch, told: bytes) -> None:
         self.figures.lines += 1
         line.send_chunk(told)
 
-    def watch_closed(self, line: Line) -> None:
+    def watch_closed(self, line: CountedWatch) -> None:
         self.watching.pop(line, None)
 
     def request_refused(self) -> None: ...
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -25,7 +25,7 @@
 from bellrack.lab.event_queue import START
 from bellrack.lab.live import MAX_LOOP_LAG_SECONDS, BackgroundTasks, LiveEventQueue
 from bellrack.lab.scale import figures
-from bellrack.lab.scale.discovery_stub import DiscoveryStub, Line
+from bellrack.lab.scale.discovery_stub import CountedWatch, DiscoveryStub
 from bellrack.lab.scale.guard import Guard, used_mb
 from bellrack.lab.scale.hollow import DiscoveryRequest, Hollow, configurations, questions
 from bellrack.lab.scale.plan import Plan, settings_of
@@ -170,7 +170,7 @@
         return ear
 
     async def open(self) -> None:
-        for factory in (ServerLine, lambda: Line(self.discovery_stub)):
+        for factory in (ServerLine, lambda: CountedWatch(self.discovery_stub)):
             self.listeners.append(await self.loop.create_server(factory, HOST, 0, backlog=4096))
         self.server_port, self.list_port = (one.sockets[0].getsockname()[1] for one in self.listeners)
         self.relay = await self.ear(self.relayed)
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -12,7 +12,7 @@
 
 from bellrack.lab.event_queue import NEWS, RESULT, START, TIMER, EventQueue
 from bellrack.lab.scale import figures
-from bellrack.lab.scale.discovery_stub import DiscoveryStub, Line
+from bellrack.lab.scale.discovery_stub import CountedWatch, DiscoveryStub
 from bellrack.lab.scale.guard import Guard
 from bellrack.lab.scale.hollow import DiscoveryRequest, Hollow, Lean, configurations, questions
 from bellrack.lab.scale.plan import Plan
@@ -237,7 +237,7 @@
         if isinstance(question, Lean):
             self.loop.schedule_after(2 * self.delay(zone, 0), NEWS, self.lean_watch, question)
             return
-        ours, theirs = Stream(self, question, zone), Stream(self, Line(self.discovery_stub), 0)
+        ours, theirs = Stream(self, question, zone), Stream(self, CountedWatch(self.discovery_stub), 0)
         ours.other, theirs.other = theirs, ours
         self.carry(theirs, self.comes_up, ours, theirs)
 
