--- a/bellrack/lab/scale/discovery_stub.py
+++ b/bellrack/lab/scale/discovery_stub.py
@@ -24,13 +24,13 @@
 
     def data_received(self, data: bytes) -> None:
         begun = process_time_ns()
-        self.node.figures.bytes_in += len(data)
+        self.node.measurements.bytes_in += len(data)
         super().data_received(data)
         self.node.spent(begun)
 
     def send_chunk(self, body: bytes) -> None:
         if not self.closed:
-            self.node.figures.bytes_out += len(body) + len(b"%x\r\n\r\n" % len(body))
+            self.node.measurements.bytes_out += len(body) + len(b"%x\r\n\r\n" % len(body))
         super().send_chunk(body)
 
 
@@ -44,7 +44,7 @@
         self.world = self.discovery = self
         self.discovery_conns: dict[CountedWatch, None] = {}
         self.watching: dict[CountedWatch, None] = {}
-        self.figures = figures.DiscoveryMeasurements()
+        self.measurements = figures.DiscoveryMeasurements()
         self.version = 1
         self.states: dict[int, str] = dict.fromkeys(range(plan.servers), "in_service")  # by number
         self.next = plan.servers
@@ -109,7 +109,7 @@
 
     def watch_opened(self, line: CountedWatch) -> None:
         self.watching[line] = None
-        self.figures.watches += 1
+        self.measurements.watches += 1
         after = int(line.target.partition("after=")[2] or 0)
         missed = [told for version, told in self.changes if version > after]
         if after < self.version - len(missed) or not after:
@@ -119,7 +119,7 @@
                 self.tell(line, told)
 
     def tell(self, line: CountedWatch, told: bytes) -> None:
-        self.figures.lines += 1
+        self.measurements.lines += 1
         line.send_chunk(told)
 
     def watch_closed(self, line: CountedWatch) -> None:
@@ -128,7 +128,7 @@
     def request_refused(self) -> None: ...
 
     def rows(self) -> list[tuple[int, str]]:
-        self.figures.fetches += 1
+        self.measurements.fetches += 1
         return list(self.states.items())
 
     def list_message(self, rows: list[tuple[int, str]], whole: bool) -> dict[str, Any]:
@@ -140,5 +140,5 @@
 
     def spent(self, begun: int) -> None:
         spent = process_time_ns() - begun
-        self.figures.cpu += spent
-        self.figures.longest = max(self.figures.longest, spent)
+        self.measurements.cpu += spent
+        self.measurements.longest = max(self.measurements.longest, spent)
--- a/bellrack/lab/scale/figures.py
+++ b/bellrack/lab/scale/figures.py
@@ -32,7 +32,7 @@
 )
 
 
-class Figures:
+class Measurements:
     """Of one balancer. `out` is what it hands to the network; `fan` the same once for each receiver, as a
     broadcast has many; `list` are bytes of its calls of discovery, HTTP included."""
 
@@ -88,7 +88,7 @@
         self.cpu = self.longest = 0
 
 
-def role(members: Iterable[Figures], seconds: float) -> dict[str, Any]:
+def role(members: Iterable[Measurements], seconds: float) -> dict[str, Any]:
     """Counts of one role: in all, by balancer and second on the mean, and the most of one balancer."""
     members = list(members)
     told: dict[str, Any] = {"balancers": len(members)}
@@ -114,14 +114,14 @@
     return payload + HEAD * datagrams + lists
 
 
-def both_ways(figures: Figures) -> int:
+def both_ways(figures: Measurements) -> int:
     """Bytes in and out with heads; a broadcast counts once for each receiver, as somebody sends them all."""
     return wire(figures.in_bytes, figures.in_datagrams, figures.list_in) + wire(
         figures.fan_bytes, figures.fan_datagrams, figures.list_out
     )
 
 
-def measured(members: Iterable[Figures], seconds: float) -> dict[str, float | None]:
+def measured(members: Iterable[Measurements], seconds: float) -> dict[str, float | None]:
     """Processor time of one role: the share of a core by balancer, the most of one, the longest turn; none
     where nobody timed turns."""
     members = list(members)
@@ -134,7 +134,7 @@
     }
 
 
-def roles(every: list[Figures]) -> dict[str, list[Figures]]:
+def roles(every: list[Measurements]) -> dict[str, list[Measurements]]:
     """By what they did: who broadcast while it was counted speaks for others; the busiest is whoever had most
     bytes in and out, whatever the mechanism."""
     return {
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from bellrack import model
-from bellrack.lab.scale.figures import Figures
+from bellrack.lab.scale.figures import Measurements
 from bellrack.lab.scale.plan import Plan, settings_of, zone_name
 from bellrack.model import Leg, Result, Server
 from bellrack.net import discovery, lines
@@ -54,7 +54,7 @@
     """Counts the lines of discovery that came."""
 
     def on_list(self, news: lines.Listing, fetched: bool = False, at_current_address: bool = True) -> None:
-        self.node.figures.list_lines += 1
+        self.node.measurements.list_lines += 1
         super().on_list(news, fetched, at_current_address)
 
 
@@ -62,9 +62,13 @@
     """One of them. `moved()` is called when the decisions move a connection, to open another."""
 
     def __init__(
-        self, config: Config, loop: Any, figures: Figures, post: Callable[[Hollow, int | None, bytes], None]
+        self,
+        config: Config,
+        loop: Any,
+        measurements: Measurements,
+        post: Callable[[Hollow, int | None, bytes], None],
     ):
-        self.alive, self.figures = True, figures
+        self.alive, self.measurements = True, measurements
         self.held: list[Held] = []
         self.own: list[int] = []  # servers, by mark, at which it holds connections
         self.moved: Callable[[], None] = lambda: None
@@ -99,16 +103,16 @@
         if self.alive:
             begun = process_time_ns()
             super().turn()
-            self.figures.turned(process_time_ns() - begun)
+            self.measurements.turned(process_time_ns() - begun)
 
     def run_guarded(self, what: Callable, values: tuple) -> None:
-        self.figures.steps += 1
+        self.measurements.steps += 1
         super().run_guarded(what, values)
 
     def heard_from(self, peer: int, data: bytes) -> None:
         """A datagram has come in."""
         if self.alive:
-            self.figures.got(data)
+            self.measurements.got(data)
             self.queue(self.balancer.on_datagram, peer, data)
 
     # Connections, each change within a turn of the node.
@@ -152,9 +156,11 @@
     parsed once for all; its bytes are counted for each. The look at connections that cross zones, which sends
     nothing, is left out."""
 
-    def __init__(self, config: Config, loop: Any, figures: Figures, post: Any, shared: dict[int, Server]):
+    def __init__(
+        self, config: Config, loop: Any, measurements: Measurements, post: Any, shared: dict[int, Server]
+    ):
         self.shared = shared
-        super().__init__(config, loop, figures, post)
+        super().__init__(config, loop, measurements, post)
 
     def start(self) -> None: ...
 
@@ -164,8 +170,8 @@
 
     def takes(self, count: int) -> None:
         """The list or its change has come, `count` bytes of it, and `shared` holds it already."""
-        self.figures.list_in += count
-        self.figures.list_lines += 1
+        self.measurements.list_in += count
+        self.measurements.list_lines += 1
         self.heard = True
         for mark, server in self.servers.items():
             server.state = self.shared[mark].state
@@ -240,9 +246,9 @@
     """A call of discovery whose bytes are counted."""
 
     def buffer_updated(self, count: int) -> None:
-        self.node.figures.list_in += count
+        self.node.measurements.list_in += count
         super().buffer_updated(count)
 
     def write(self, data: bytes) -> None:
-        self.node.figures.list_out += len(data)
+        self.node.measurements.list_out += len(data)
         super().write(data)
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -147,7 +147,7 @@
         self.loop = loop
         self.failure: asyncio.Future = loop.create_future()
         self.event_queue = LiveEventQueue(loop, self.fail)
-        self.figures = [figures.Figures() for _ in range(plan.tier)]
+        self.measurements = [figures.Measurements() for _ in range(plan.tier)]
         first = 0 if plan.real_first else plan.balancers
         self.real = list(range(first, first + plan.real))
         self.hollow = [number for number in range(plan.tier) if number not in self.real]
@@ -202,7 +202,7 @@
         if not sender.alive:
             return
         number = sender.number
-        sender.figures.sent(data, self.plan.tier - 1 if peer is None else 1, peer is None)
+        sender.measurements.sent(data, self.plan.tier - 1 if peer is None else 1, peer is None)
         if peer is None:
             self.ears[number].send(data, self.relay.address)
         elif 0 <= peer < self.plan.tier:
@@ -212,7 +212,7 @@
         """From the sender's socket or front to where the receiver hears."""
         if not self.falls_out(sender, receiver):
             if receiver in self.processes:
-                self.figures[receiver].got(data)
+                self.measurements[receiver].got(data)
             self.ears[sender].send(data, self.address(receiver))
 
     def relayed(self, address: tuple[str, int], data: bytes) -> None:
@@ -222,7 +222,7 @@
             return
         self.last_broadcast = sender
         if sender in self.processes:
-            self.figures[sender].sent(data, self.plan.tier - 1, True)
+            self.measurements[sender].sent(data, self.plan.tier - 1, True)
         for number in range(self.plan.tier):
             if number != sender:
                 self.carry(sender, number, data)
@@ -231,7 +231,7 @@
         """From one real balancer to another."""
         sender = self.senders.get(address)
         if sender is not None:
-            self.figures[sender].sent(data, 1, False)
+            self.measurements[sender].sent(data, 1, False)
             self.carry(sender, receiver, data)
 
     def direct(self, receiver: int, address: tuple[str, int], data: bytes) -> None:
@@ -240,7 +240,7 @@
         if sender is None:
             return
         if sender in self.processes and address == self.processes[sender].peer_listen:
-            self.figures[sender].sent(data, 1, False)
+            self.measurements[sender].sent(data, 1, False)
             if self.falls_out(sender, receiver):
                 return
         self.nodes[receiver].heard_from(sender, data)
@@ -249,7 +249,7 @@
 
     def made(self, number: int) -> Hollow:
         config = self.configuration(number, self.zone(number), self.seeds.draw_seed())
-        node = Hollow(config, self.loop, self.figures[number], self.post)
+        node = Hollow(config, self.loop, self.measurements[number], self.post)
         node.moved = lambda: self.loop.call_soon(self.replaced, node)
         node.start()
         return node
@@ -371,7 +371,7 @@
         await self.run_to(plan.warm_up + plan.duration, tell)
         for number, process in self.processes.items():
             ticks = process.ticks_before + process.ticks() - self.started[number]
-            self.figures[number].cpu = ticks * 1_000_000_000 // TICKS
+            self.measurements[number].cpu = ticks * 1_000_000_000 // TICKS
             if process.alive:
                 self.real_memory[number] = used_mb([process.process.pid])
         self.faults += sum(node.counters["faults"] for node in self.nodes.values() if node.alive)
@@ -393,7 +393,7 @@
 
     def told_of_real(self) -> dict[str, Any]:
         """What this machine did; processor time of real ones has the kernel's part in it."""
-        of_real = figures.measured([self.figures[number] for number in self.real], self.plan.duration)
+        of_real = figures.measured([self.measurements[number] for number in self.real], self.plan.duration)
         return {
             "lag": round(self.lag, 4),
             "doubtful": self.lag > MAX_LOOP_LAG_SECONDS,
--- a/bellrack/lab/scale/run.py
+++ b/bellrack/lab/scale/run.py
@@ -35,9 +35,9 @@
 
 def result_of(plan: Plan, seed: int, world: Any, guard: Guard, memory_mb: float | None) -> dict[str, Any]:
     """Of a world that was played; the two faces have the same form."""
-    members = figures.roles(world.figures)
+    members = figures.roles(world.measurements)
     counts = {name: figures.role(some, plan.duration) for name, some in members.items()}
-    discovery_stub = world.discovery_stub.figures
+    discovery_stub = world.discovery_stub.measurements
     counts["discovery"] = {
         name: getattr(discovery_stub, name)
         for name in ("watches", "fetches", "lines", "bytes_in", "bytes_out")
--- a/bellrack/lab/scale/tier.py
+++ b/bellrack/lab/scale/tier.py
@@ -32,7 +32,7 @@
         self.plan, self.guard, self.streams = plan, guard, RandomStreams(seed)
         self.connections, self.seeds = self.streams["connections"], self.streams["balancers"]
         self.network = self.streams["network"]
-        self.figures: list[figures.Figures] = []  # by number
+        self.measurements: list[figures.Measurements] = []  # by number
         self.nodes: dict[int, Hollow] = {}
         self.hollow: list[int] = []  # their numbers
         self.cut: set[int] = set()  # regions that are cut off
@@ -72,7 +72,7 @@
 
     def clear(self) -> None:
         """From here on it counts."""
-        for one in [*self.figures, self.discovery_stub.figures]:
+        for one in [*self.measurements, self.discovery_stub.measurements]:
             one.clear()
         self.lost = self.restarts = 0
 
@@ -161,8 +161,8 @@
 
     def strike(self, trouble: Any) -> None:
         if isinstance(trouble, RackLost):
-            count = max(1, round(trouble.share * len(self.figures)))
-            first = int(self.streams["racks"].uniform() * (len(self.figures) - count + 1))
+            count = max(1, round(trouble.share * len(self.measurements)))
+            first = int(self.streams["racks"].uniform() * (len(self.measurements) - count + 1))
             for number in range(first, first + count):
                 self.kill(number, trouble.lasts)
         elif isinstance(trouble, AggregatorLost):
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -171,12 +171,14 @@
         self.shared: dict[int, Server] = {}
         self.watching: dict[Lean, None] = {}
         if plan.lean:
-            self.keeper = VirtualHollow(self.configuration(0, 0, 0), self.loop, figures.Figures(), self.post)
+            self.keeper = VirtualHollow(
+                self.configuration(0, 0, 0), self.loop, figures.Measurements(), self.post
+            )
             self.keeper.alive = False  # it keeps the list, and does nothing of its own
             self.keeper.server_list.on_list(lines.parse_list(lines.parse_json(self.discovery_stub.whole())))
             self.shared = self.keeper.servers
         for number in range(played or plan.balancers):
-            self.figures.append(figures.Figures())
+            self.measurements.append(figures.Measurements())
             self.hollow.append(number)
             self.nodes[number] = self.made(number)
             if number % BUILT == 0:
@@ -184,7 +186,7 @@
 
     def made(self, number: int) -> Hollow:
         config = self.configuration(number, self.zone(number), self.seeds.draw_seed())
-        form = self.figures[number]
+        form = self.measurements[number]
         if self.plan.lean:
             node = VirtualLean(config, self.loop, form, self.post, self.shared)
         else:
@@ -210,7 +212,7 @@
         """A datagram goes out; to all others if there is no peer."""
         if not sender.alive:
             return
-        number, count = sender.number, len(self.figures)
+        number, count = sender.number, len(self.measurements)
         receivers = (
             [other for other in range(count) if other != number]
             if peer is None
@@ -218,7 +220,7 @@
             if 0 <= peer < count
             else []
         )
-        sender.figures.sent(data, len(receivers), peer is None)
+        sender.measurements.sent(data, len(receivers), peer is None)
         if peer is None:
             self.last_broadcast = number
         here, draw = self.zone(number), self.network.uniform
@@ -259,12 +261,12 @@
         if node.alive and node is self.nodes[node.number]:
             self.watching[node] = None
             self.lean_told(node, self.discovery_stub.whole())
-            self.discovery_stub.figures.watches += 1
+            self.discovery_stub.measurements.watches += 1
 
     def lean_told(self, node: Lean, line: bytes) -> None:
         count = len(line) + len(b"%x\r\n\r\n" % len(line))
-        self.discovery_stub.figures.bytes_out += count
-        self.discovery_stub.figures.lines += 1
+        self.discovery_stub.measurements.bytes_out += count
+        self.discovery_stub.measurements.lines += 1
         self.loop.schedule_after(self.delay(0, self.zone(node.number)), NEWS, node.queue, node.takes, count)
 
     def tell_change(self, number: int, state: str) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -127,7 +127,7 @@
     """No datagram is lost on this network: bytes to each receiver, sent and come in, differ by what is still
     on its way at either end of the counting."""
     world = played(list_changes=0.0, latency={"zone": 0.0, "region": 0.0, "far": 0.0})
-    sent, got = (sum(getattr(one, name) for one in world.figures) for name in ("fan_bytes", "in_bytes"))
+    sent, got = (sum(getattr(one, name) for one in world.measurements) for name in ("fan_bytes", "in_bytes"))
     assert sent == got > 0
 
 
@@ -151,7 +151,7 @@
 def test_a_lost_rack_comes_back_and_is_told_the_whole_list():
     rack = {"kind": "rack-lost", "at": 5.0, "share": 0.25, "lasts": 2.0}
     world = played(trouble=[rack], list_changes=0.0, restarts=0.0)
-    assert world.restarts == 3 and world.discovery_stub.figures.watches == 3
+    assert world.restarts == 3 and world.discovery_stub.measurements.watches == 3
     assert all(len(node.balancer.listing.ready) == 18 and node.alive for node in world.nodes.values())
 
 
@@ -264,7 +264,7 @@
 
 
 def test_roles_go_by_what_was_done_and_heads_count_with_each_datagram():
-    plain, aggregator = figures.Figures(), figures.Figures()
+    plain, aggregator = figures.Measurements(), figures.Measurements()
     plain.sent(b"\x02" + bytes(6), 1, False)  # two records, to one
     aggregator.got(b"\x02" + bytes(6))
     aggregator.sent(b"\x03" + bytes(3), 9, True)
@@ -357,13 +357,13 @@
     class Enough(Exception): ...
 
     def look(at):
-        broadcast = any(tier.figures[number].broadcasts for number in tier.real)
+        broadcast = any(tier.measurements[number].broadcasts for number in tier.real)
         told = all(sum(node.balancer.fleet_load().values()) for node in tier.nodes.values())  # what all hold
         if (
             broadcast
             and told
             and tier.answers["up"]
-            and all(one.in_datagrams and one.out_datagrams for one in tier.figures)
+            and all(one.in_datagrams and one.out_datagrams for one in tier.measurements)
         ):
             raise Enough
 
