--- a/bellrack/lab/scale/figures.py
+++ b/bellrack/lab/scale/figures.py
@@ -48,7 +48,7 @@
         self.broadcasts = 0
         self.forms: Counter = Counter()  # datagrams handed over, by first byte
 
-    def sent(self, data: bytes, receivers: int, broadcast: bool) -> None:
+    def count_sent(self, data: bytes, receivers: int, broadcast: bool) -> None:
         self.out_datagrams += 1
         self.out_bytes += len(data)
         self.fan_datagrams += receivers
@@ -57,12 +57,12 @@
         self.broadcasts += broadcast
         self.forms[data[0] if data else -1] += 1
 
-    def got(self, data: bytes) -> None:
+    def count_received(self, data: bytes) -> None:
         self.in_datagrams += 1
         self.in_bytes += len(data)
         self.records_in += records(data)
 
-    def turned(self, spent: int) -> None:
+    def count_turn(self, spent: int) -> None:
         """A turn took so many nanoseconds of processor time."""
         self.cpu += spent
         if spent > self.longest:
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -103,7 +103,7 @@
         if self.alive:
             begun = process_time_ns()
             super().turn()
-            self.measurements.turned(process_time_ns() - begun)
+            self.measurements.count_turn(process_time_ns() - begun)
 
     def run_guarded(self, what: Callable, values: tuple) -> None:
         self.measurements.steps += 1
@@ -112,7 +112,7 @@
     def heard_from(self, peer: int, data: bytes) -> None:
         """A datagram has come in."""
         if self.alive:
-            self.measurements.got(data)
+            self.measurements.count_received(data)
             self.queue(self.balancer.on_datagram, peer, data)
 
     # Connections, each change within a turn of the node.
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -202,7 +202,7 @@
         if not sender.alive:
             return
         number = sender.number
-        sender.measurements.sent(data, self.plan.tier - 1 if peer is None else 1, peer is None)
+        sender.measurements.count_sent(data, self.plan.tier - 1 if peer is None else 1, peer is None)
         if peer is None:
             self.ears[number].send(data, self.relay.address)
         elif 0 <= peer < self.plan.tier:
@@ -212,7 +212,7 @@
         """From the sender's socket or front to where the receiver hears."""
         if not self.falls_out(sender, receiver):
             if receiver in self.processes:
-                self.measurements[receiver].got(data)
+                self.measurements[receiver].count_received(data)
             self.ears[sender].send(data, self.address(receiver))
 
     def relayed(self, address: tuple[str, int], data: bytes) -> None:
@@ -222,7 +222,7 @@
             return
         self.last_broadcast = sender
         if sender in self.processes:
-            self.measurements[sender].sent(data, self.plan.tier - 1, True)
+            self.measurements[sender].count_sent(data, self.plan.tier - 1, True)
         for number in range(self.plan.tier):
             if number != sender:
                 self.carry(sender, number, data)
@@ -231,7 +231,7 @@
         """From one real balancer to another."""
         sender = self.senders.get(address)
         if sender is not None:
-            self.measurements[sender].sent(data, 1, False)
+            self.measurements[sender].count_sent(data, 1, False)
             self.carry(sender, receiver, data)
 
     def direct(self, receiver: int, address: tuple[str, int], data: bytes) -> None:
@@ -240,7 +240,7 @@
         if sender is None:
             return
         if sender in self.processes and address == self.processes[sender].peer_listen:
-            self.measurements[sender].sent(data, 1, False)
+            self.measurements[sender].count_sent(data, 1, False)
             if self.falls_out(sender, receiver):
                 return
         self.nodes[receiver].heard_from(sender, data)
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -220,7 +220,7 @@
             if 0 <= peer < count
             else []
         )
-        sender.measurements.sent(data, len(receivers), peer is None)
+        sender.measurements.count_sent(data, len(receivers), peer is None)
         if peer is None:
             self.last_broadcast = number
         here, draw = self.zone(number), self.network.uniform
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -265,10 +265,10 @@
 
 def test_roles_go_by_what_was_done_and_heads_count_with_each_datagram():
     plain, aggregator = figures.Measurements(), figures.Measurements()
-    plain.sent(b"\x02" + bytes(6), 1, False)  # two records, to one
-    aggregator.got(b"\x02" + bytes(6))
-    aggregator.sent(b"\x03" + bytes(3), 9, True)
-    plain.got(b"\x03" + bytes(3))
+    plain.count_sent(b"\x02" + bytes(6), 1, False)  # two records, to one
+    aggregator.count_received(b"\x02" + bytes(6))
+    aggregator.count_sent(b"\x03" + bytes(3), 9, True)
+    plain.count_received(b"\x03" + bytes(3))
     plain.list_in = 100
     told = {name: figures.role(some, 2.0) for name, some in figures.roles([plain, aggregator]).items()}
     assert {name: one["balancers"] for name, one in told.items()} == {
