--- a/bellrack/lab/scale/figures.py
+++ b/bellrack/lab/scale/figures.py
@@ -88,7 +88,7 @@
         self.cpu = self.longest = 0
 
 
-def role(members: Iterable[Measurements], seconds: float) -> dict[str, Any]:
+def role_counts(members: Iterable[Measurements], seconds: float) -> dict[str, Any]:
     """Counts of one role: in all, by balancer and second on the mean, and the most of one balancer."""
     members = list(members)
     told: dict[str, Any] = {"balancers": len(members)}
@@ -121,7 +121,7 @@
     )
 
 
-def measured(members: Iterable[Measurements], seconds: float) -> dict[str, float | None]:
+def processor_times(members: Iterable[Measurements], seconds: float) -> dict[str, float | None]:
     """Processor time of one role: the share of a core by balancer, the most of one, the longest turn; none
     where nobody timed turns."""
     members = list(members)
@@ -134,7 +134,7 @@
     }
 
 
-def roles(every: list[Measurements]) -> dict[str, list[Measurements]]:
+def by_role(every: list[Measurements]) -> dict[str, list[Measurements]]:
     """By what they did: who broadcast while it was counted speaks for others; the busiest is whoever had most
     bytes in and out, whatever the mechanism."""
     return {
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -393,7 +393,9 @@
 
     def told_of_real(self) -> dict[str, Any]:
         """What this machine did; processor time of real ones has the kernel's part in it."""
-        of_real = figures.measured([self.measurements[number] for number in self.real], self.plan.duration)
+        of_real = figures.processor_times(
+            [self.measurements[number] for number in self.real], self.plan.duration
+        )
         return {
             "lag": round(self.lag, 4),
             "doubtful": self.lag > MAX_LOOP_LAG_SECONDS,
--- a/bellrack/lab/scale/run.py
+++ b/bellrack/lab/scale/run.py
@@ -35,15 +35,15 @@
 
 def result_of(plan: Plan, seed: int, world: Any, guard: Guard, memory_mb: float | None) -> dict[str, Any]:
     """Of a world that was played; the two faces have the same form."""
-    members = figures.roles(world.measurements)
-    counts = {name: figures.role(some, plan.duration) for name, some in members.items()}
+    members = figures.by_role(world.measurements)
+    counts = {name: figures.role_counts(some, plan.duration) for name, some in members.items()}
     discovery_stub = world.discovery_stub.measurements
     counts["discovery"] = {
         name: getattr(discovery_stub, name)
         for name in ("watches", "fetches", "lines", "bytes_in", "bytes_out")
     }
     counts["tier"] = {"faults": world.faults, "restarts": world.restarts, "lost_datagrams": world.lost}
-    times = {name: figures.measured(some, plan.duration) for name, some in members.items()}
+    times = {name: figures.processor_times(some, plan.duration) for name, some in members.items()}
     times["discovery"] = {
         "core": discovery_stub.cpu / plan.duration / 1e9,
         "longest_turn": discovery_stub.longest / 1e9,
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -270,7 +270,9 @@
     aggregator.count_sent(b"\x03" + bytes(3), 9, True)
     plain.count_received(b"\x03" + bytes(3))
     plain.list_in = 100
-    told = {name: figures.role(some, 2.0) for name, some in figures.roles([plain, aggregator]).items()}
+    told = {
+        name: figures.role_counts(some, 2.0) for name, some in figures.by_role([plain, aggregator]).items()
+    }
     assert {name: one["balancers"] for name, one in told.items()} == {
         "plain": 1,
         "aggregator": 1,
