--- a/bellrack/lab/scale/figures.py
+++ b/bellrack/lab/scale/figures.py
@@ -12,10 +12,10 @@
 
 from bellrack.peers import aggregation
 
-HEAD = 28  # bytes of IP and UDP before a datagram's payload
-BUDGET_BYTES = 3000.0  # a second: 3 KB, in and out together, datagrams with their heads, and lists
-BUDGET_CORE = 0.037
-BUDGET_MEMORY = 64.0  # MB
+HEADER_BYTES = 28  # bytes of IP and UDP before a datagram's payload
+BUDGET_BYTES_PER_SECOND = 3000.0  # a second: 3 KB, in and out together, datagrams with their heads, and lists
+BUDGET_CORE_SHARE = 0.037
+BUDGET_MEMORY_MB = 64.0  # MB
 COUNTS = (
     "in_datagrams",
     "in_bytes",
@@ -111,7 +111,7 @@
 
 
 def wire(payload: int, datagrams: int, lists: int) -> int:
-    return payload + HEAD * datagrams + lists
+    return payload + HEADER_BYTES * datagrams + lists
 
 
 def both_ways(figures: Measurements) -> int:
@@ -154,14 +154,14 @@
                     "role": name,
                     "what": "bytes a second",
                     "value": counts[name]["wire"]["most"],
-                    "budget": BUDGET_BYTES,
+                    "budget": BUDGET_BYTES_PER_SECOND,
                 }
             )
             rows.append(
-                {"role": name, "what": "core", "value": times[name]["core_most"], "budget": BUDGET_CORE}
+                {"role": name, "what": "core", "value": times[name]["core_most"], "budget": BUDGET_CORE_SHARE}
             )
     if memory_mb is not None:
-        rows.append({"role": "plain", "what": "memory MB", "value": memory_mb, "budget": BUDGET_MEMORY})
+        rows.append({"role": "plain", "what": "memory MB", "value": memory_mb, "budget": BUDGET_MEMORY_MB})
     for row in rows:
         row["ratio"] = row["value"] / row["budget"]
         row["over"] = row["value"] > row["budget"]
--- a/bellrack/lab/scale/guard.py
+++ b/bellrack/lab/scale/guard.py
@@ -17,7 +17,7 @@
     return _field(Path("/proc/meminfo"), "MemTotal:") / 1024
 
 
-def used_mb(processes: Iterable[int | str] = ("self",)) -> float:
+def resident_mb(processes: Iterable[int | str] = ("self",)) -> float:
     """Resident memory of these processes; of one that is gone, none."""
     return sum(_field(Path(f"/proc/{process}/status"), "VmRSS:") for process in processes) / 1024
 
@@ -29,18 +29,18 @@
     return 0
 
 
-class Guard:
-    """Raises ScenarioError once more than the limit is in use; `most` is what it saw."""
+class MemoryGuard:
+    """Raises ScenarioError once more than the limit is in use; `peak_mb` is what it saw."""
 
     def __init__(self, limit_mb: float = 0.0):
         half = machine_mb() / 2
-        self.limit = min(limit_mb or half, half)
-        self.most = 0.0
+        self.limit_mb = min(limit_mb or half, half)
+        self.peak_mb = 0.0
 
-    def look(self, when: str, children: Iterable[int] = ()) -> None:
-        used = used_mb(["self", *children])
-        self.most = max(self.most, used)
-        if used > self.limit:
+    def check(self, when: str, children: Iterable[int] = ()) -> None:
+        used = resident_mb(["self", *children])
+        self.peak_mb = max(self.peak_mb, used)
+        if used > self.limit_mb:
             raise ScenarioError(
-                f"scale: {used:.0f} MB in use {when}, over the limit of {self.limit:.0f} MB: stopped"
+                f"scale: {used:.0f} MB in use {when}, over the limit of {self.limit_mb:.0f} MB: stopped"
             )
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -31,23 +31,25 @@
 
     __slots__ = ("node", "leg")
 
-    def __init__(self, node: Hollow):
+    def __init__(self, node: HollowBalancer):
         self.node = node
 
     def move(self, reason: str, kind: str = model.CANCELLED) -> None:
         """The decisions want it elsewhere."""
-        self.node.ends(self, kind)
-        self.node.moved()
+        self.node.end_connection(self, kind)
+        self.node.on_connection_moved()
 
 
-class Way:
+class DatagramSender:
     """Where a node's datagrams go: the run's network. `post(node, peer, data)` carries them."""
 
-    def __init__(self, node: Hollow, post: Callable[[Hollow, int | None, bytes], None]):
-        self.node, self.post = node, post
+    def __init__(
+        self, node: HollowBalancer, send_datagram: Callable[[HollowBalancer, int | None, bytes], None]
+    ):
+        self.node, self.send_datagram = node, send_datagram
 
     def send(self, peer: int | None, data: bytes) -> None:
-        self.post(self.node, peer, data)
+        self.send_datagram(self.node, peer, data)
 
 
 class CountedList(ServerList):
@@ -58,23 +60,23 @@
         super().on_list(news, fetched, at_current_address)
 
 
-class Hollow(Node):
-    """One of them. `moved()` is called when the decisions move a connection, to open another."""
+class HollowBalancer(Node):
+    """One of them. `on_connection_moved()` is called when the decisions move a connection, to open another."""
 
     def __init__(
         self,
         config: Config,
         loop: Any,
         measurements: Measurements,
-        post: Callable[[Hollow, int | None, bytes], None],
+        send_datagram: Callable[[HollowBalancer, int | None, bytes], None],
     ):
         self.alive, self.measurements = True, measurements
         self.held: list[Held] = []
-        self.own: list[int] = []  # servers, by mark, at which it holds connections
-        self.moved: Callable[[], None] = lambda: None
+        self.own_servers: list[int] = []  # servers, by mark, at which it holds connections
+        self.on_connection_moved: Callable[[], None] = lambda: None
         super().__init__(config, loop)
         self.server_list = CountedList(self)
-        self.peers = Way(self, post)
+        self.peers = DatagramSender(self, send_datagram)
 
     @property
     def number(self) -> int:
@@ -109,7 +111,7 @@
         self.measurements.steps += 1
         super().run_guarded(what, values)
 
-    def heard_from(self, peer: int, data: bytes) -> None:
+    def receive_datagram(self, peer: int, data: bytes) -> None:
         """A datagram has come in."""
         if self.alive:
             self.measurements.count_received(data)
@@ -117,10 +119,10 @@
 
     # Connections, each change within a turn of the node.
 
-    def will_hold(self, marks: list[int]) -> None:
+    def prepare_servers(self, marks: list[int]) -> None:
         """At these servers, before any stands."""
 
-    def opens(self, server: Server, group: int, took: float = 0.0) -> None:
+    def open_connection(self, server: Server, group: int, took: float = 0.0) -> None:
         """One stands now; with `took` it was set up just now and took so many seconds."""
         call = self.new_call(0, HELD, group=group)
         leg = Leg(call, server, self.now - took)
@@ -132,35 +134,40 @@
         if took:
             self.leg_established(leg)
 
-    def ends(self, held: Held, kind: str = model.COMPLETED) -> None:
+    def end_connection(self, held: Held, kind: str = model.COMPLETED) -> None:
         if not held.leg.result:
             self.held.remove(held)
             self.leg_ended(held.leg, Result(kind, self.now - held.leg.sent), True)
 
-    def changes(self, which: float, where: float, group: int, took: float) -> None:
+    def replace_connection(self, which: float, where: float, group: int, took: float) -> None:
         """One ends and another is set up; which, and where, by lots of 0 to 1."""
         if self.held:
-            self.ends(self.held[int(which * len(self.held))])
-        ready = self.ready_of(self.own)
+            self.end_connection(self.held[int(which * len(self.held))])
+        ready = self.ready_of(self.own_servers)
         if ready:
-            self.opens(ready[int(where * len(ready))], group, took)
+            self.open_connection(ready[int(where * len(ready))], group, took)
 
     def ready_of(self, marks: list[int]) -> list[Server]:
         """Those of these that are listed as ready."""
         return [server for server in map(self.servers.get, marks) if server and server.state == model.READY]
 
 
-class Lean(Hollow):
+class LeanBalancer(HollowBalancer):
     """One that shares the records of servers with all others of its kind, but for those where it holds
     connections: thousands of balancers by thousands of servers find no room in memory otherwise. The list is
     parsed once for all; its bytes are counted for each. The look at connections that cross zones, which sends
     nothing, is left out."""
 
     def __init__(
-        self, config: Config, loop: Any, measurements: Measurements, post: Any, shared: dict[int, Server]
+        self,
+        config: Config,
+        loop: Any,
+        measurements: Measurements,
+        send_datagram: Any,
+        shared: dict[int, Server],
     ):
         self.shared = shared
-        super().__init__(config, loop, measurements, post)
+        super().__init__(config, loop, measurements, send_datagram)
 
     def start(self) -> None: ...
 
@@ -182,7 +189,7 @@
         self.balancer.fleet = [self.servers.get(mark, server) for mark, server in self.shared.items()]
         self.balancer.on_servers_listed([])
 
-    def will_hold(self, marks: list[int]) -> None:
+    def prepare_servers(self, marks: list[int]) -> None:
         """Own records of these servers, for what the decisions keep of own connections."""
         own = [
             Server(
--- a/bellrack/lab/scale/plan.py
+++ b/bellrack/lab/scale/plan.py
@@ -25,10 +25,10 @@
     read_tables,
 )
 
-TARGET = 4800  # balancers, for which restarts are stated
-RESTARTS = 54.0  # an hour there: 1,300 of a day
-MOST_REAL = 20
-A_BALANCER = 1.25  # servers, in a sweep: 6,000 to 4,800
+TARGET_BALANCERS = 4800  # balancers, for which restarts are stated
+RESTARTS_PER_HOUR = 54.0  # an hour there: 1,300 of a day
+MAX_REAL_BALANCERS = 20
+SERVERS_PER_BALANCER = 1.25  # servers, in a sweep: 6,000 to 4,800
 
 
 class Latency(StrictTable):
@@ -86,8 +86,8 @@
     about: str = ""
     time: Literal["virtual", "real"] = "virtual"
     seed: Annotated[int, Meta(ge=0)] = 1
-    balancers: Annotated[int, Meta(ge=3, le=TARGET)] = 50  # hollow ones
-    real: Annotated[int, Meta(ge=0, le=MOST_REAL)] = 0  # beside them, each a process
+    balancers: Annotated[int, Meta(ge=3, le=TARGET_BALANCERS)] = 50  # hollow ones
+    real: Annotated[int, Meta(ge=0, le=MAX_REAL_BALANCERS)] = 0  # beside them, each a process
     real_first: bool = True  # they have the lowest numbers, so that one of them may speak for others
     servers: Annotated[int, Meta(ge=1, le=6000)] = 60
     regions: Annotated[int, Meta(ge=1, le=16)] = 3
@@ -95,7 +95,9 @@
     warm_up: Annotated[float, Meta(ge=0, le=3600)] = 12.0  # played before anything is counted
     duration: Annotated[float, Meta(ge=1, le=3600)] = 30.0  # counted
     list_changes: Annotated[float, Meta(ge=0, le=600)] = 6.0  # a minute
-    restarts: Annotated[float, Meta(ge=0, le=1e7)] = RESTARTS  # an hour in a tier of 4,800; less by size
+    restarts: Annotated[float, Meta(ge=0, le=1e7)] = (
+        RESTARTS_PER_HOUR  # an hour in a tier of 4,800; less by size
+    )
     down: Seconds = 2.0  # a restarted one is gone for
     loss: Share = 0.0  # of datagrams
     lean: bool = False  # one list, parsed once, is shared by all hollow balancers
@@ -109,7 +111,7 @@
     )
 
     @property
-    def tier(self) -> int:
+    def total_balancers(self) -> int:
         return self.balancers + self.real
 
 
@@ -133,7 +135,7 @@
         yield "real", "3 or more, or none"
     if plan.lean and plan.time == "real":
         yield "lean", 'needs time = "virtual"'
-    if plan.tier > TARGET + MOST_REAL:
+    if plan.total_balancers > TARGET_BALANCERS + MAX_REAL_BALANCERS:
         yield "balancers", "too many"
     if (
         len(plan.memory_sizes) == 1
@@ -164,7 +166,7 @@
         "areas": [zone_name(plan, index) for index in range(plan.zones)],
         "az": zone,
         "slotNo": number,
-        "peersTotal": plan.tier,
+        "peersTotal": plan.total_balancers,
         "discovery": "ask",
         "tickUs": 4000,
         "trafficTypes": [
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -26,8 +26,8 @@
 from bellrack.lab.live import MAX_LOOP_LAG_SECONDS, BackgroundTasks, LiveEventQueue
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.discovery_stub import CountedWatch, DiscoveryStub
-from bellrack.lab.scale.guard import Guard, used_mb
-from bellrack.lab.scale.hollow import DiscoveryRequest, Hollow, configurations, questions
+from bellrack.lab.scale.guard import MemoryGuard, resident_mb
+from bellrack.lab.scale.hollow import DiscoveryRequest, HollowBalancer, configurations, questions
 from bellrack.lab.scale.plan import Plan, settings_of
 from bellrack.lab.scale.run import with_parent
 from bellrack.lab.scale.tier import Tier
@@ -142,15 +142,15 @@
 
 
 class RealTier(BackgroundTasks, Tier):
-    def __init__(self, plan: Plan, seed: int, guard: Guard, loop: asyncio.AbstractEventLoop):
+    def __init__(self, plan: Plan, seed: int, guard: MemoryGuard, loop: asyncio.AbstractEventLoop):
         super().__init__(plan, seed, guard)
         self.loop = loop
         self.failure: asyncio.Future = loop.create_future()
         self.event_queue = LiveEventQueue(loop, self.fail)
-        self.measurements = [figures.Measurements() for _ in range(plan.tier)]
+        self.measurements = [figures.Measurements() for _ in range(plan.total_balancers)]
         first = 0 if plan.real_first else plan.balancers
         self.real = list(range(first, first + plan.real))
-        self.hollow = [number for number in range(plan.tier) if number not in self.real]
+        self.hollow = [number for number in range(plan.total_balancers) if number not in self.real]
         self.processes: dict[int, Process] = {}
         self.ears: dict[int, Ear] = {}  # of hollow balancers; of real ones their fronts
         self.senders: dict[tuple[str, int], int] = {}  # numbers, by each address under which one sends
@@ -174,7 +174,7 @@
             self.listeners.append(await self.loop.create_server(factory, HOST, 0, backlog=4096))
         self.server_port, self.list_port = (one.sockets[0].getsockname()[1] for one in self.listeners)
         self.relay = await self.ear(self.relayed)
-        for number in range(self.plan.tier):
+        for number in range(self.plan.total_balancers):
             heard = self.fronted if number in self.real else self.direct
             self.ears[number] = ear = await self.ear(
                 lambda sender, data, number=number, heard=heard: heard(number, sender, data)
@@ -184,7 +184,7 @@
         for number, port in zip(self.real, ports):
             self.processes[number] = Process(number, (HOST, self.a_port()), (HOST, port))
             self.senders[HOST, port] = number
-        peers = [self.address(number) for number in range(self.plan.tier)]
+        peers = [self.address(number) for number in range(self.plan.total_balancers)]
         self.configuration = configurations(self.plan, f"{HOST}:{self.list_port}", peers, self.relay.address)
 
     @staticmethod
@@ -197,15 +197,17 @@
         """Where it hears."""
         return self.processes[number].peer_listen if number in self.processes else self.ears[number].address
 
-    def post(self, sender: Hollow, peer: int | None, data: bytes) -> None:
+    def send_datagram(self, sender: HollowBalancer, peer: int | None, data: bytes) -> None:
         """A hollow one's datagram goes out."""
         if not sender.alive:
             return
         number = sender.number
-        sender.measurements.count_sent(data, self.plan.tier - 1 if peer is None else 1, peer is None)
+        sender.measurements.count_sent(
+            data, self.plan.total_balancers - 1 if peer is None else 1, peer is None
+        )
         if peer is None:
             self.ears[number].send(data, self.relay.address)
-        elif 0 <= peer < self.plan.tier:
+        elif 0 <= peer < self.plan.total_balancers:
             self.carry(number, peer, data)
 
     def carry(self, sender: int, receiver: int, data: bytes) -> None:
@@ -222,8 +224,8 @@
             return
         self.last_broadcast = sender
         if sender in self.processes:
-            self.measurements[sender].count_sent(data, self.plan.tier - 1, True)
-        for number in range(self.plan.tier):
+            self.measurements[sender].count_sent(data, self.plan.total_balancers - 1, True)
+        for number in range(self.plan.total_balancers):
             if number != sender:
                 self.carry(sender, number, data)
 
@@ -243,14 +245,14 @@
             self.measurements[sender].count_sent(data, 1, False)
             if self.falls_out(sender, receiver):
                 return
-        self.nodes[receiver].heard_from(sender, data)
+        self.nodes[receiver].receive_datagram(sender, data)
 
     # Balancers.
 
-    def made(self, number: int) -> Hollow:
+    def made(self, number: int) -> HollowBalancer:
         config = self.configuration(number, self.zone(number), self.seeds.draw_seed())
-        node = Hollow(config, self.loop, self.measurements[number], self.post)
-        node.moved = lambda: self.loop.call_soon(self.replaced, node)
+        node = HollowBalancer(config, self.loop, self.measurements[number], self.send_datagram)
+        node.on_connection_moved = lambda: self.loop.call_soon(self.replaced, node)
         node.start()
         return node
 
@@ -270,7 +272,7 @@
             "seed": f"{self.seeds.draw_seed():x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
             "peer_listen": "{}:{}".format(*process.peer_listen),
-            "peers": [known(other) for other in range(self.plan.tier)],
+            "peers": [known(other) for other in range(self.plan.total_balancers)],
             "peers_all": "{}:{}".format(*self.relay.address),
             "settings": settings_of(self.plan, self.zone(number), number),
         }
@@ -324,7 +326,7 @@
 
     def look(self) -> None:
         processes = [one.process.pid for one in self.processes.values() if one.alive]
-        self.guard.look(f"at {self.now - START:.1f} s", processes)
+        self.guard.check(f"at {self.now - START:.1f} s", processes)
         for process in self.processes.values():
             if process.alive and process.process.returncode is not None:
                 raise ScenarioError(
@@ -373,7 +375,7 @@
             ticks = process.ticks_before + process.ticks() - self.started[number]
             self.measurements[number].cpu = ticks * 1_000_000_000 // TICKS
             if process.alive:
-                self.real_memory[number] = used_mb([process.process.pid])
+                self.real_memory[number] = resident_mb([process.process.pid])
         self.faults += sum(node.counters["faults"] for node in self.nodes.values() if node.alive)
 
     async def finish(self) -> None:
@@ -416,7 +418,7 @@
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
 
 
-def play(plan: Plan, seed: int, guard: Guard, tell: Callable[[float], None]) -> RealTier:
+def play(plan: Plan, seed: int, guard: MemoryGuard, tell: Callable[[float], None]) -> RealTier:
     """Raises ScenarioError for what cannot be played, KeyboardInterrupt on Ctrl-C; nothing is left behind."""
     refuse_if_too_large(plan)
 
--- a/bellrack/lab/scale/report.py
+++ b/bellrack/lab/scale/report.py
@@ -13,7 +13,7 @@
 
 from bellrack.lab.report import STYLE, svg_element
 from bellrack.lab.scale import run
-from bellrack.lab.scale.plan import TARGET
+from bellrack.lab.scale.plan import TARGET_BALANCERS
 
 ROLES = (("plain", "#3a7d44"), ("aggregator", "#a63d40"), ("busiest", "#555555"))
 
@@ -37,7 +37,7 @@
     return (
         f"<!doctype html><html lang=en><meta charset=utf-8><title>{name}</title><style>{STYLE}</style>"
         f"<h1>{name}</h1><p>Scale runs {face}, {first['seconds']:g} s counted, seed {first['seed']}{lean}. "
-        f"Bytes are payload but where heads are named ({run.figures.HEAD} a datagram). Counts repeat with "
+        f"Bytes are payload but where heads are named ({run.figures.HEADER_BYTES} a datagram). Counts repeat with "
         f"the seed; shares of a core, turns and memory are this machine's.</p>{table(results)}{plots}"
         f"<h2>Fits</h2>{f'<ul>{fitted}</ul>' if fitted else '<p>None: fewer than three sizes.</p>'}</html>\n"
     )
@@ -59,7 +59,7 @@
         axes.plot(*zip(*points), "o", color=colour, label=role, ms=5)
         for fit in fits:
             if fit["role"] == role and fit["key"] == key:
-                ends = min(size for size, _ in points), max(TARGET, *(size for size, _ in points))
+                ends = min(size for size, _ in points), max(TARGET_BALANCERS, *(size for size, _ in points))
                 axes.plot(
                     ends,
                     [fit["factor"] * size ** fit["slope"] for size in ends],
--- a/bellrack/lab/scale/run.py
+++ b/bellrack/lab/scale/run.py
@@ -21,8 +21,8 @@
 from tqdm import tqdm
 
 from bellrack.lab.scale import figures
-from bellrack.lab.scale.guard import Guard
-from bellrack.lab.scale.plan import TARGET, Plan, parse_plan, sized
+from bellrack.lab.scale.guard import MemoryGuard
+from bellrack.lab.scale.plan import TARGET_BALANCERS, Plan, parse_plan, sized
 from bellrack.lab.scenario import ScenarioError
 
 VERSION = 1
@@ -33,7 +33,9 @@
 WEIGHED_FOR = 20.0  # virtual seconds after which memory is taken: all that stands a while has been said once
 
 
-def result_of(plan: Plan, seed: int, world: Any, guard: Guard, memory_mb: float | None) -> dict[str, Any]:
+def result_of(
+    plan: Plan, seed: int, world: Any, guard: MemoryGuard, memory_mb: float | None
+) -> dict[str, Any]:
     """Of a world that was played; the two faces have the same form."""
     members = figures.by_role(world.measurements)
     counts = {name: figures.role_counts(some, plan.duration) for name, some in members.items()}
@@ -60,19 +62,19 @@
         "seconds": plan.duration,
         "plan": msgspec.to_builtins(plan),
         "counts": counts,
-        "measured": times | {"memory_mb": memory_mb, "run_memory_mb": round(guard.most, 1)},
+        "measured": times | {"memory_mb": memory_mb, "run_memory_mb": round(guard.peak_mb, 1)},
         "budgets": figures.budgets(counts, times, memory_mb),
     }
 
 
 def play(plan: Plan, seed: int, quiet: bool = False) -> dict[str, Any]:
     """In this process, but for the weighing. Raises ScenarioError for what cannot be played or must stop."""
-    guard = Guard(plan.limits.memory_mb)
+    guard = MemoryGuard(plan.limits.memory_mb)
     memory = weighed(plan, seed) if plan.memory_sizes else None
     length = plan.warm_up + plan.duration
     with tqdm(
         total=length,
-        desc=f"{plan.name} {plan.tier}x{plan.servers}",
+        desc=f"{plan.name} {plan.total_balancers}x{plan.servers}",
         unit="s",
         disable=quiet or None,
         bar_format="{l_bar}{bar}| {n:.1f}/{total:.0f} s [{elapsed}]",
@@ -116,12 +118,12 @@
     """In a child: resident memory with so many balancers of the tier."""
     import gc
 
-    from bellrack.lab.scale.guard import used_mb
+    from bellrack.lab.scale.guard import resident_mb
     from bellrack.lab.scale.virtual import World
 
-    world = World(plan, seed, Guard(plan.limits.memory_mb), played=size).play()
+    world = World(plan, seed, MemoryGuard(plan.limits.memory_mb), played=size).play()
     gc.collect()
-    return {"rss_mb": used_mb(), "balancers": len(world.nodes)}
+    return {"rss_mb": resident_mb(), "balancers": len(world.nodes)}
 
 
 def sweep(plan: Plan, sizes: Iterable[int], seed: int, quiet: bool = False) -> Iterator[dict[str, Any]]:
@@ -154,9 +156,9 @@
 FITTED = (
     ("payload bytes in a second", "in", None),
     ("payload bytes out a second, once for each receiver", "fan", None),
-    ("bytes a second, both ways, with heads, the most of one", "wire", figures.BUDGET_BYTES),
-    ("share of a core, the most of one", "core", figures.BUDGET_CORE),
-    ("memory of one balancer, MB", "memory", figures.BUDGET_MEMORY),
+    ("bytes a second, both ways, with heads, the most of one", "wire", figures.BUDGET_BYTES_PER_SECOND),
+    ("share of a core, the most of one", "core", figures.BUDGET_CORE_SHARE),
+    ("memory of one balancer, MB", "memory", figures.BUDGET_MEMORY_MB),
 )
 
 
@@ -221,7 +223,7 @@
                 continue
             fit = fit_power(*zip(*points))
             breaks = (budget / fit.factor) ** (1 / fit.slope) if budget and fit.slope > GROWS else None
-            breaks = breaks if breaks and breaks <= FAR * TARGET else None
+            breaks = breaks if breaks and breaks <= FAR * TARGET_BALANCERS else None
             told.append(
                 {
                     "role": role,
@@ -233,7 +235,7 @@
                     "factor": fit.factor,
                     "residual": fit.residual,
                     "error": fit.error,
-                    "at_target": fit.at(TARGET),
+                    "at_target": fit.at(TARGET_BALANCERS),
                     "breaks_at": breaks,
                 }
             )
@@ -247,7 +249,7 @@
         line = (
             f"{row['role']}: {row['what']} = {row['factor']:.4g} * balancers ** {row['slope']:.3f}"
             f" +- {row['error']:.3f}, residual at most {row['residual']:.1%}; "
-            f"at {TARGET} extrapolated {row['at_target']:.4g}"
+            f"at {TARGET_BALANCERS} extrapolated {row['at_target']:.4g}"
         )
         line += f", budget {row['budget']:g}" if row["budget"] else ""
         told.append(line + (f", reached at {row['breaks_at']:.0f}" if row["breaks_at"] else ""))
--- a/bellrack/lab/scale/tier.py
+++ b/bellrack/lab/scale/tier.py
@@ -12,9 +12,9 @@
 from bellrack.lab.event_queue import TROUBLE
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.discovery_stub import DRAINS, DiscoveryStub
-from bellrack.lab.scale.guard import Guard
-from bellrack.lab.scale.hollow import Hollow
-from bellrack.lab.scale.plan import TARGET, AggregatorLost, Plan, RackLost, RegionCut, region_of
+from bellrack.lab.scale.guard import MemoryGuard
+from bellrack.lab.scale.hollow import HollowBalancer
+from bellrack.lab.scale.plan import TARGET_BALANCERS, AggregatorLost, Plan, RackLost, RegionCut, region_of
 from bellrack.lab.streams import RandomStreams
 from bellrack.net import lines
 
@@ -28,12 +28,12 @@
     event_queue: Any
     discovery_stub: DiscoveryStub
 
-    def __init__(self, plan: Plan, seed: int, guard: Guard):
+    def __init__(self, plan: Plan, seed: int, guard: MemoryGuard):
         self.plan, self.guard, self.streams = plan, guard, RandomStreams(seed)
         self.connections, self.seeds = self.streams["connections"], self.streams["balancers"]
         self.network = self.streams["network"]
         self.measurements: list[figures.Measurements] = []  # by number
-        self.nodes: dict[int, Hollow] = {}
+        self.nodes: dict[int, HollowBalancer] = {}
         self.hollow: list[int] = []  # their numbers
         self.cut: set[int] = set()  # regions that are cut off
         self.cut_until: dict[int, float] = {}
@@ -44,7 +44,7 @@
     def now(self) -> float:
         return self.event_queue.now
 
-    def made(self, number: int) -> Hollow:
+    def made(self, number: int) -> HollowBalancer:
         """A hollow balancer at its start."""
         raise NotImplementedError
 
@@ -84,7 +84,7 @@
             self.next_change()
         if plan.list_changes:
             self.later("list", 60.0 / plan.list_changes, self.list_changes)
-        if rate := plan.restarts * len(self.hollow) / TARGET / 3600:
+        if rate := plan.restarts * len(self.hollow) / TARGET_BALANCERS / 3600:
             self.later("restarts", 1 / rate, self.restart_one)
         for trouble in plan.trouble:
             self.event_queue.schedule_after(trouble.at, TROUBLE, self.strike, trouble)
@@ -99,9 +99,9 @@
             return
         ready = self.discovery_stub.ready(self.zone(number))
         chosen = draw.sample(ready, min(connections.servers, len(ready)))
-        node.own = [lines.id_hash(self.discovery_stub.name(n)) for n in chosen]
-        node.queue(node.will_hold, node.own)
-        for mark in node.own:
+        node.own_servers = [lines.id_hash(self.discovery_stub.name(n)) for n in chosen]
+        node.queue(node.prepare_servers, node.own_servers)
+        for mark in node.own_servers:
             for _ in range(max(1, round(connections.each * draw.log_normal(0.5)))):
                 node.queue(self.opened, node, mark)
 
@@ -110,16 +110,16 @@
         groups = self.plan.connections.groups
         return 1 + int(groups * self.connections.uniform() ** 3) if groups else 0
 
-    def opened(self, node: Hollow, mark: int) -> None:
+    def opened(self, node: HollowBalancer, mark: int) -> None:
         """If the list names it, now that the node's turn has come."""
         for server in node.ready_of([mark]):
-            node.opens(server, self.group())
+            node.open_connection(server, self.group())
 
-    def replaced(self, node: Hollow) -> None:
+    def replaced(self, node: HollowBalancer) -> None:
         """The decisions moved one: it stands elsewhere now."""
         draw = self.connections.uniform
-        if node.alive and node.own:
-            node.queue(self.opened, node, node.own[int(draw() * len(node.own))])
+        if node.alive and node.own_servers:
+            node.queue(self.opened, node, node.own_servers[int(draw() * len(node.own_servers))])
 
     def next_change(self) -> None:
         mean = 1 / (self.plan.connections.changes * len(self.hollow))
@@ -128,7 +128,7 @@
     def connection_changes(self) -> None:
         draw = self.connections.uniform
         node = self.nodes[self.hollow[int(draw() * len(self.hollow))]]
-        node.queue(node.changes, draw(), draw(), self.group(), self.plan.connections.setup)
+        node.queue(node.replace_connection, draw(), draw(), self.group(), self.plan.connections.setup)
         self.next_change()
 
     def list_changes(self) -> None:
@@ -157,7 +157,9 @@
 
     def restart_one(self) -> None:
         self.kill(self.hollow[int(self.streams["restarts"].uniform() * len(self.hollow))], self.plan.down)
-        self.later("restarts", 3600 * TARGET / (self.plan.restarts * len(self.hollow)), self.restart_one)
+        self.later(
+            "restarts", 3600 * TARGET_BALANCERS / (self.plan.restarts * len(self.hollow)), self.restart_one
+        )
 
     def strike(self, trouble: Any) -> None:
         if isinstance(trouble, RackLost):
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -13,8 +13,14 @@
 from bellrack.lab.event_queue import NEWS, RESULT, START, TIMER, EventQueue
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.discovery_stub import CountedWatch, DiscoveryStub
-from bellrack.lab.scale.guard import Guard
-from bellrack.lab.scale.hollow import DiscoveryRequest, Hollow, Lean, configurations, questions
+from bellrack.lab.scale.guard import MemoryGuard
+from bellrack.lab.scale.hollow import (
+    DiscoveryRequest,
+    HollowBalancer,
+    LeanBalancer,
+    configurations,
+    questions,
+)
 from bellrack.lab.scale.plan import Plan
 from bellrack.lab.scale.tier import Tier
 from bellrack.model import Server
@@ -149,10 +155,10 @@
         return self.loop.now
 
 
-class VirtualHollow(OnVirtualTime, Hollow): ...
+class VirtualHollowBalancer(OnVirtualTime, HollowBalancer): ...
 
 
-class VirtualLean(OnVirtualTime, Lean):
+class VirtualLeanBalancer(OnVirtualTime, LeanBalancer):
     def watch(self, on: bool = True) -> None:
         if on:
             self.loop.connect(self)
@@ -161,7 +167,7 @@
 class World(Tier):
     """The tier, discovery and the network between them."""
 
-    def __init__(self, plan: Plan, seed: int, guard: Guard, played: int = 0):
+    def __init__(self, plan: Plan, seed: int, guard: MemoryGuard, played: int = 0):
         """`played`: so many balancers of the tier alone are there, for a measurement of memory."""
         super().__init__(plan, seed, guard)
         self.event_queue = self.loop = VirtualLoop(self.connect)
@@ -169,10 +175,10 @@
         self.configuration = configurations(plan, PLACE)
         self.discovery_stub = DiscoveryStub(plan, self.loop, lambda number: PLACE)
         self.shared: dict[int, Server] = {}
-        self.watching: dict[Lean, None] = {}
+        self.watching: dict[LeanBalancer, None] = {}
         if plan.lean:
-            self.keeper = VirtualHollow(
-                self.configuration(0, 0, 0), self.loop, figures.Measurements(), self.post
+            self.keeper = VirtualHollowBalancer(
+                self.configuration(0, 0, 0), self.loop, figures.Measurements(), self.send_datagram
             )
             self.keeper.alive = False  # it keeps the list, and does nothing of its own
             self.keeper.server_list.on_list(lines.parse_list(lines.parse_json(self.discovery_stub.whole())))
@@ -182,16 +188,16 @@
             self.hollow.append(number)
             self.nodes[number] = self.made(number)
             if number % BUILT == 0:
-                guard.look(f"with {number} balancers made")
+                guard.check(f"with {number} balancers made")
 
-    def made(self, number: int) -> Hollow:
+    def made(self, number: int) -> HollowBalancer:
         config = self.configuration(number, self.zone(number), self.seeds.draw_seed())
         form = self.measurements[number]
         if self.plan.lean:
-            node = VirtualLean(config, self.loop, form, self.post, self.shared)
+            node = VirtualLeanBalancer(config, self.loop, form, self.send_datagram, self.shared)
         else:
-            node = VirtualHollow(config, self.loop, form, self.post)
-        node.moved = lambda: self.loop.call_soon(self.replaced, node)
+            node = VirtualHollowBalancer(config, self.loop, form, self.send_datagram)
+        node.on_connection_moved = lambda: self.loop.call_soon(self.replaced, node)
         node.start()
         return node
 
@@ -208,7 +214,7 @@
         )
         return way * (1 + latency.jitter * jitter)
 
-    def post(self, sender: Hollow, peer: int | None, data: bytes) -> None:
+    def send_datagram(self, sender: HollowBalancer, peer: int | None, data: bytes) -> None:
         """A datagram goes out; to all others if there is no peer."""
         if not sender.alive:
             return
@@ -230,13 +236,13 @@
                 self.loop.schedule_after(wait, RESULT, self.arrive, other, number, data)
 
     def arrive(self, receiver: int, sender: int, data: bytes) -> None:
-        self.nodes[receiver].heard_from(sender, data)
+        self.nodes[receiver].receive_datagram(sender, data)
 
     def connect(self, question: Any) -> None:
         """A call of discovery, which stands in zone 0."""
         node = getattr(question, "node", question)
         zone = self.zone(node.number)
-        if isinstance(question, Lean):
+        if isinstance(question, LeanBalancer):
             self.loop.schedule_after(2 * self.delay(zone, 0), NEWS, self.lean_watch, question)
             return
         ours, theirs = Stream(self, question, zone), Stream(self, CountedWatch(self.discovery_stub), 0)
@@ -257,13 +263,13 @@
             when += max(self.cut_until.get(self.region(zone), 0.0) for zone in (one, other)) - self.now
         self.loop.schedule_at(when, NEWS, what, *values)
 
-    def lean_watch(self, node: Lean) -> None:
+    def lean_watch(self, node: LeanBalancer) -> None:
         if node.alive and node is self.nodes[node.number]:
             self.watching[node] = None
             self.lean_told(node, self.discovery_stub.whole())
             self.discovery_stub.measurements.watches += 1
 
-    def lean_told(self, node: Lean, line: bytes) -> None:
+    def lean_told(self, node: LeanBalancer, line: bytes) -> None:
         count = len(line) + len(b"%x\r\n\r\n" % len(line))
         self.discovery_stub.measurements.bytes_out += count
         self.discovery_stub.measurements.lines += 1
@@ -306,4 +312,4 @@
             self.loop.run(START + self.played)
             gc.collect(1)  # between turns, in no turn's time
             tell(self.played)
-            self.guard.look(f"at {self.played:g} s of {length:g}")
+            self.guard.check(f"at {self.played:g} s of {length:g}")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -15,7 +15,7 @@
 
 from bellrack.lab import cli
 from bellrack.lab.scale import figures, real, run
-from bellrack.lab.scale.guard import Guard, machine_mb
+from bellrack.lab.scale.guard import MemoryGuard, machine_mb
 from bellrack.lab.scale.hollow import DiscoveryRequest, questions
 from bellrack.lab.scale.plan import parse_plan, read_plan, sized
 from bellrack.lab.scale.virtual import VirtualDiscoveryRequest, World
@@ -54,7 +54,7 @@
 
 
 def played(seed=1, **changes):
-    world = World(plan(**changes), seed, Guard()).play()
+    world = World(plan(**changes), seed, MemoryGuard()).play()
     assert not world.faults
     return world
 
@@ -118,9 +118,9 @@
     3 KB a second; that is no term that holds, so the test holds the figure and not the budget."""
     told = counts(played(balancers=50, servers=60, list_changes=0.0, restarts=0.0))
     assert told["plain"]["balancers"] == 49 and told["aggregator"]["balancers"] == 1
-    assert told["plain"]["wire"]["most"] < figures.BUDGET_BYTES
+    assert told["plain"]["wire"]["most"] < figures.BUDGET_BYTES_PER_SECOND
     assert told["aggregator"]["total"] == AGGREGATOR_AT_50
-    assert told["aggregator"]["wire"]["most"] > figures.BUDGET_BYTES
+    assert told["aggregator"]["wire"]["most"] > figures.BUDGET_BYTES_PER_SECOND
 
 
 def test_what_one_sends_is_what_others_get():
@@ -133,7 +133,7 @@
 
 def test_a_cut_region_hears_nothing_and_is_told_all_that_it_missed_afterwards():
     cut = {"kind": "region-cut", "at": 5.0, "region": 1, "lasts": 12.0}
-    world = World(plan(trouble=[cut], list_changes=60.0, duration=22.0), 1, Guard())
+    world = World(plan(trouble=[cut], list_changes=60.0, duration=22.0), 1, MemoryGuard())
     with questions(VirtualDiscoveryRequest):
         world.set_off()
         world.run_to(16.0, lambda at: None)
@@ -192,7 +192,7 @@
 
 def test_the_examples_can_be_played():
     plans = [read_plan(path) for path in sorted(EXAMPLES.glob("*.toml"))]
-    assert {one.tier for one in plans} >= {50, 200, 4800}
+    assert {one.total_balancers for one in plans} >= {50, 200, 4800}
     assert sized(read_plan(EXAMPLES / "target.toml"), 800).servers == 1000
 
 
@@ -205,8 +205,8 @@
 
 
 def test_the_limit_of_memory_is_half_of_the_machine_at_most():
-    assert Guard(1e9).limit == Guard().limit == pytest.approx(machine_mb() / 2)
-    assert Guard(5).limit == 5
+    assert MemoryGuard(1e9).limit_mb == MemoryGuard().limit_mb == pytest.approx(machine_mb() / 2)
+    assert MemoryGuard(5).limit_mb == 5
 
 
 def test_a_sweep_fits_its_sizes_and_makes_a_page(tmp_path):
@@ -256,7 +256,7 @@
     """Before the same servers, whatever else a process takes."""
 
     def child(kind, asked, seed, quiet, size):
-        assert kind == "weigh" and (asked.servers, asked.lean, asked.tier) == (18, False, 12)
+        assert kind == "weigh" and (asked.servers, asked.lean, asked.total_balancers) == (18, False, 12)
         return {"rss_mb": 100.0 + 0.25 * size}
 
     with mock.patch.object(run, "child", child):
@@ -371,7 +371,9 @@
 
     async def played():
         nonlocal tier
-        tier = real.RealTier(real_plan(warm_up=0.0, duration=60.0), 1, Guard(), asyncio.get_running_loop())
+        tier = real.RealTier(
+            real_plan(warm_up=0.0, duration=60.0), 1, MemoryGuard(), asyncio.get_running_loop()
+        )
         try:
             await tier.play(look)
         finally:
@@ -387,11 +389,11 @@
 
 
 def test_a_real_run_stops_with_its_processes_when_memory_runs_out():
-    class Mean(Guard):
-        def look(self, when, children=()):
-            super().look(when, children)
+    class Mean(MemoryGuard):
+        def check(self, when, children=()):
+            super().check(when, children)
             if children:
-                self.limit = 0.0  # from the second look on
+                self.limit_mb = 0.0  # from the second look on
 
     seen = []
     with mock.patch.object(real.Process, "kill", autospec=True, side_effect=real.Process.kill) as kill:
