--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -210,7 +210,7 @@
         self.know()
 
 
-def configurations(
+def configuration_factory(
     plan: Plan, place: str, peers: list[Any] | None = None, peers_all: Any = None
 ) -> Callable[[int, int, int], Config]:
     """Makes the configuration of a balancer from its number, zone and seed. Parsed once a zone, then copied:
@@ -240,7 +240,7 @@
 
 
 @contextmanager
-def questions(form: type) -> Iterator[None]:
+def use_discovery_request(form: type) -> Iterator[None]:
     """While this lasts the client of discovery makes its calls by that form of them, which counts bytes."""
     before, discovery.DiscoveryRequest = discovery.DiscoveryRequest, form
     try:
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -27,7 +27,12 @@
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.discovery_stub import CountedWatch, DiscoveryStub
 from bellrack.lab.scale.guard import MemoryGuard, resident_mb
-from bellrack.lab.scale.hollow import DiscoveryRequest, HollowBalancer, configurations, questions
+from bellrack.lab.scale.hollow import (
+    DiscoveryRequest,
+    HollowBalancer,
+    configuration_factory,
+    use_discovery_request,
+)
 from bellrack.lab.scale.plan import Plan, settings_of
 from bellrack.lab.scale.run import with_parent
 from bellrack.lab.scale.tier import Tier
@@ -185,7 +190,9 @@
             self.processes[number] = Process(number, (HOST, self.a_port()), (HOST, port))
             self.senders[HOST, port] = number
         peers = [self.address(number) for number in range(self.plan.total_balancers)]
-        self.configuration = configurations(self.plan, f"{HOST}:{self.list_port}", peers, self.relay.address)
+        self.configuration = configuration_factory(
+            self.plan, f"{HOST}:{self.list_port}", peers, self.relay.address
+        )
 
     @staticmethod
     def a_port() -> int:
@@ -430,5 +437,5 @@
             await tier.finish()
         return tier
 
-    with questions(DiscoveryRequest):
+    with use_discovery_request(DiscoveryRequest):
         return asyncio.run(played())
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -18,8 +18,8 @@
     DiscoveryRequest,
     HollowBalancer,
     LeanBalancer,
-    configurations,
-    questions,
+    configuration_factory,
+    use_discovery_request,
 )
 from bellrack.lab.scale.plan import Plan
 from bellrack.lab.scale.tier import Tier
@@ -172,7 +172,7 @@
         super().__init__(plan, seed, guard)
         self.event_queue = self.loop = VirtualLoop(self.connect)
         self.played = 0.0
-        self.configuration = configurations(plan, PLACE)
+        self.configuration = configuration_factory(plan, PLACE)
         self.discovery_stub = DiscoveryStub(plan, self.loop, lambda number: PLACE)
         self.shared: dict[int, Server] = {}
         self.watching: dict[LeanBalancer, None] = {}
@@ -293,7 +293,7 @@
         self.set_off()
         gc.disable()  # guards against time of the collector that grows with all balancers of the process
         try:
-            with questions(VirtualDiscoveryRequest):
+            with use_discovery_request(VirtualDiscoveryRequest):
                 self.run_through(plan, tell)
         finally:
             gc.enable()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -16,7 +16,7 @@
 from bellrack.lab import cli
 from bellrack.lab.scale import figures, real, run
 from bellrack.lab.scale.guard import MemoryGuard, machine_mb
-from bellrack.lab.scale.hollow import DiscoveryRequest, questions
+from bellrack.lab.scale.hollow import DiscoveryRequest, use_discovery_request
 from bellrack.lab.scale.plan import parse_plan, read_plan, sized
 from bellrack.lab.scale.virtual import VirtualDiscoveryRequest, World
 from bellrack.lab.scenario import ScenarioError
@@ -134,7 +134,7 @@
 def test_a_cut_region_hears_nothing_and_is_told_all_that_it_missed_afterwards():
     cut = {"kind": "region-cut", "at": 5.0, "region": 1, "lasts": 12.0}
     world = World(plan(trouble=[cut], list_changes=60.0, duration=22.0), 1, MemoryGuard())
-    with questions(VirtualDiscoveryRequest):
+    with use_discovery_request(VirtualDiscoveryRequest):
         world.set_off()
         world.run_to(16.0, lambda at: None)
         behind = [node.server_list.version for node in world.nodes.values()]
@@ -380,7 +380,7 @@
             await tier.finish()
 
     tier = None
-    with questions(DiscoveryRequest), pytest.raises(Enough):
+    with use_discovery_request(DiscoveryRequest), pytest.raises(Enough):
         asyncio.run(played())
     assert not any(node.counters["faults"] for node in tier.nodes.values())
     assert all(len(node.balancer.listing.ready) == 9 for node in tier.nodes.values())
