--- a/bellrack/lab/scale/figures.py
+++ b/bellrack/lab/scale/figures.py
@@ -39,9 +39,9 @@
     __slots__ = (*COUNTS, "cpu", "longest", "broadcasts", "forms")
 
     def __init__(self) -> None:
-        self.clear()
+        self.reset()
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         for name in COUNTS:
             setattr(self, name, 0)
         self.cpu = self.longest = 0  # nanoseconds of processor time
@@ -81,9 +81,9 @@
     """Figures of the stand-in for discovery."""
 
     def __init__(self) -> None:
-        self.clear()
+        self.reset()
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         self.watches = self.fetches = self.lines = self.bytes_in = self.bytes_out = 0
         self.cpu = self.longest = 0
 
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -219,7 +219,7 @@
 
     def carry(self, sender: int, receiver: int, data: bytes) -> None:
         """From the sender's socket or front to where the receiver hears."""
-        if not self.falls_out(sender, receiver):
+        if not self.drops_datagram(sender, receiver):
             if receiver in self.processes:
                 self.measurements[receiver].count_received(data)
             self.ears[sender].send(data, self.address(receiver))
@@ -229,7 +229,7 @@
         sender = self.senders.get(address)
         if sender is None:
             return
-        self.last_broadcast = sender
+        self.last_broadcaster = sender
         if sender in self.processes:
             self.measurements[sender].count_sent(data, self.plan.total_balancers - 1, True)
         for number in range(self.plan.total_balancers):
@@ -250,16 +250,16 @@
             return
         if sender in self.processes and address == self.processes[sender].peer_listen:
             self.measurements[sender].count_sent(data, 1, False)
-            if self.falls_out(sender, receiver):
+            if self.drops_datagram(sender, receiver):
                 return
         self.nodes[receiver].receive_datagram(sender, data)
 
     # Balancers.
 
-    def made(self, number: int) -> HollowBalancer:
-        config = self.configuration(number, self.zone(number), self.seeds.draw_seed())
+    def make_balancer(self, number: int) -> HollowBalancer:
+        config = self.configuration(number, self.zone(number), self.balancer_seeds.draw_seed())
         node = HollowBalancer(config, self.loop, self.measurements[number], self.send_datagram)
-        node.on_connection_moved = lambda: self.loop.call_soon(self.replaced, node)
+        node.on_connection_moved = lambda: self.loop.call_soon(self.open_elsewhere, node)
         node.start()
         return node
 
@@ -276,7 +276,7 @@
             "name": f"b{number}",
             "listen": "{}:{}".format(*process.listen),
             "discovery": f"{HOST}:{self.list_port}",
-            "seed": f"{self.seeds.draw_seed():x}",
+            "seed": f"{self.balancer_seeds.draw_seed():x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
             "peer_listen": "{}:{}".format(*process.peer_listen),
             "peers": [known(other) for other in range(self.plan.total_balancers)],
@@ -362,17 +362,17 @@
             raise ScenarioError(f"scale: real balancers were not ready within {READY_WITHIN:g} s") from None
         self.look()
         for number in self.hollow:
-            self.nodes[number] = self.made(number)
+            self.nodes[number] = self.make_balancer(number)
             if number % 50 == 0:
                 await asyncio.sleep(0)
                 self.look()
-        self.set_off()
+        self.schedule_events()
         self.event_queue.begin()
         for process in self.processes.values():
             for index in range(plan.clients.standing):
                 self.start_task(self.client(process, index))
         await self.run_to(plan.warm_up, tell)
-        self.clear()
+        self.reset_counts()
         self.lag = 0.0
         self.answers = dict.fromkeys(self.answers, 0)
         for number, process in self.processes.items():
--- a/bellrack/lab/scale/run.py
+++ b/bellrack/lab/scale/run.py
@@ -44,7 +44,11 @@
         name: getattr(discovery_stub, name)
         for name in ("watches", "fetches", "lines", "bytes_in", "bytes_out")
     }
-    counts["tier"] = {"faults": world.faults, "restarts": world.restarts, "lost_datagrams": world.lost}
+    counts["tier"] = {
+        "faults": world.faults,
+        "restarts": world.restarts,
+        "lost_datagrams": world.lost_datagrams,
+    }
     times = {name: figures.processor_times(some, plan.duration) for name, some in members.items()}
     times["discovery"] = {
         "core": discovery_stub.cpu / plan.duration / 1e9,
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -186,18 +186,18 @@
         for number in range(played or plan.balancers):
             self.measurements.append(figures.Measurements())
             self.hollow.append(number)
-            self.nodes[number] = self.made(number)
+            self.nodes[number] = self.make_balancer(number)
             if number % BUILT == 0:
                 guard.check(f"with {number} balancers made")
 
-    def made(self, number: int) -> HollowBalancer:
-        config = self.configuration(number, self.zone(number), self.seeds.draw_seed())
+    def make_balancer(self, number: int) -> HollowBalancer:
+        config = self.configuration(number, self.zone(number), self.balancer_seeds.draw_seed())
         form = self.measurements[number]
         if self.plan.lean:
             node = VirtualLeanBalancer(config, self.loop, form, self.send_datagram, self.shared)
         else:
             node = VirtualHollowBalancer(config, self.loop, form, self.send_datagram)
-        node.on_connection_moved = lambda: self.loop.call_soon(self.replaced, node)
+        node.on_connection_moved = lambda: self.loop.call_soon(self.open_elsewhere, node)
         node.start()
         return node
 
@@ -228,10 +228,10 @@
         )
         sender.measurements.count_sent(data, len(receivers), peer is None)
         if peer is None:
-            self.last_broadcast = number
-        here, draw = self.zone(number), self.network.uniform
+            self.last_broadcaster = number
+        here, draw = self.zone(number), self.network_draws.uniform
         for other in receivers:
-            if not self.falls_out(number, other):
+            if not self.drops_datagram(number, other):
                 wait = self.delay(here, self.zone(other), draw())
                 self.loop.schedule_after(wait, RESULT, self.arrive, other, number, data)
 
@@ -259,7 +259,7 @@
         """To a stream's other end, in order; a cut holds it up, as what is sent again comes through then."""
         one, other = stream.zone, stream.other.zone
         when = self.now + self.delay(one, other)
-        if self.apart(one, other):
+        if self.partitioned(one, other):
             when += max(self.cut_until.get(self.region(zone), 0.0) for zone in (one, other)) - self.now
         self.loop.schedule_at(when, NEWS, what, *values)
 
@@ -282,7 +282,7 @@
             for node in list(self.watching):
                 if not node.alive:
                     del self.watching[node]
-                elif not self.apart(0, self.zone(node.number)):
+                elif not self.partitioned(0, self.zone(node.number)):
                     self.lean_told(node, line)
 
     # The run.
@@ -290,7 +290,7 @@
     def play(self, tell: Callable[[float], None] = lambda at: None) -> World:
         """Raises ScenarioError when memory runs out."""
         plan = self.plan
-        self.set_off()
+        self.schedule_events()
         gc.disable()  # guards against time of the collector that grows with all balancers of the process
         try:
             with use_discovery_request(VirtualDiscoveryRequest):
@@ -302,7 +302,7 @@
 
     def run_through(self, plan: Plan, tell: Callable[[float], None]) -> None:
         self.run_to(plan.warm_up, tell)
-        self.clear()
+        self.reset_counts()
         self.run_to(plan.warm_up + plan.duration, tell)
 
     def run_to(self, end: float, tell: Callable[[float], None]) -> None:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -135,14 +135,14 @@
     cut = {"kind": "region-cut", "at": 5.0, "region": 1, "lasts": 12.0}
     world = World(plan(trouble=[cut], list_changes=60.0, duration=22.0), 1, MemoryGuard())
     with use_discovery_request(VirtualDiscoveryRequest):
-        world.set_off()
+        world.schedule_events()
         world.run_to(16.0, lambda at: None)
         behind = [node.server_list.version for node in world.nodes.values()]
         there = [node.number for node in world.nodes.values() if world.region(node.number % 3) == 1]
         assert max(behind[number] for number in there) < min(
             version for number, version in enumerate(behind) if number not in there
         )
-        assert world.lost
+        assert world.lost_datagrams
         world.run_to(26.0, lambda at: None)
     told = {node.server_list.version for node in world.nodes.values()}
     assert max(told) > max(behind) and max(told) - min(told) <= 1  # a change may be on its way
