--- a/bellrack/lab/scale/run.py
+++ b/bellrack/lab/scale/run.py
@@ -92,9 +92,9 @@
 
             world = real.play(plan, seed, guard, tell)
         else:
-            from bellrack.lab.scale.virtual import World
+            from bellrack.lab.scale.virtual import VirtualTier
 
-            world = World(plan, seed, guard).play(tell)
+            world = VirtualTier(plan, seed, guard).play(tell)
     result = result_of(plan, seed, world, guard, memory)
     if plan.time == "real":
         result["measured"]["real"] = world.told_of_real()
@@ -123,9 +123,9 @@
     import gc
 
     from bellrack.lab.scale.guard import resident_mb
-    from bellrack.lab.scale.virtual import World
+    from bellrack.lab.scale.virtual import VirtualTier
 
-    world = World(plan, seed, MemoryGuard(plan.limits.memory_mb), played=size).play()
+    world = VirtualTier(plan, seed, MemoryGuard(plan.limits.memory_mb), played=size).play()
     gc.collect()
     return {"rss_mb": resident_mb(), "balancers": len(world.nodes)}
 
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -72,7 +72,7 @@
 class Stream:
     """One end of a virtual connection, as a transport."""
 
-    def __init__(self, world: World, protocol: Any, zone: int):
+    def __init__(self, world: VirtualTier, protocol: Any, zone: int):
         self.world, self.protocol, self.zone = world, protocol, zone
         self.other: Stream | None = None
         self.closing = self.lost = self.held = False
@@ -164,7 +164,7 @@
             self.loop.connect(self)
 
 
-class World(Tier):
+class VirtualTier(Tier):
     """The tier, discovery and the network between them."""
 
     def __init__(self, plan: Plan, seed: int, guard: MemoryGuard, played: int = 0):
@@ -287,7 +287,7 @@
 
     # The run.
 
-    def play(self, tell: Callable[[float], None] = lambda at: None) -> World:
+    def play(self, tell: Callable[[float], None] = lambda at: None) -> VirtualTier:
         """Raises ScenarioError when memory runs out."""
         plan = self.plan
         self.schedule_events()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -18,7 +18,7 @@
 from bellrack.lab.scale.guard import MemoryGuard, machine_mb
 from bellrack.lab.scale.hollow import DiscoveryRequest, use_discovery_request
 from bellrack.lab.scale.plan import parse_plan, read_plan, sized
-from bellrack.lab.scale.virtual import VirtualDiscoveryRequest, World
+from bellrack.lab.scale.virtual import VirtualDiscoveryRequest, VirtualTier
 from bellrack.lab.scenario import ScenarioError
 
 ROOT = Path(__file__).parent.parent
@@ -54,7 +54,7 @@
 
 
 def played(seed=1, **changes):
-    world = World(plan(**changes), seed, MemoryGuard()).play()
+    world = VirtualTier(plan(**changes), seed, MemoryGuard()).play()
     assert not world.faults
     return world
 
@@ -133,7 +133,7 @@
 
 def test_a_cut_region_hears_nothing_and_is_told_all_that_it_missed_afterwards():
     cut = {"kind": "region-cut", "at": 5.0, "region": 1, "lasts": 12.0}
-    world = World(plan(trouble=[cut], list_changes=60.0, duration=22.0), 1, MemoryGuard())
+    world = VirtualTier(plan(trouble=[cut], list_changes=60.0, duration=22.0), 1, MemoryGuard())
     with use_discovery_request(VirtualDiscoveryRequest):
         world.schedule_events()
         world.run_to(16.0, lambda at: None)
