--- a/bellrack/lab/scale/fit.py
+++ b/bellrack/lab/scale/fit.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True)
-class Fit:
+class PowerFit:
     """value = factor x size ** slope."""
 
     slope: float
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Line:
+class LineFit:
     """value = base + per_unit x size."""
 
     per_unit: float
@@ -70,7 +70,7 @@
     )
 
 
-def fit_power(sizes: Sequence[float], values: Sequence[float]) -> Fit:
+def fit_power(sizes: Sequence[float], values: Sequence[float]) -> PowerFit:
     """Least squares on logarithms. Raises ValueError for fewer than three sizes, or what is not over 0."""
     checked(sizes, values)
     if min(*sizes, *values) <= 0:
@@ -79,10 +79,10 @@
     slope, factor = float(found.slope), math.exp(found.intercept)
     residual = largest([factor * size**slope for size in sizes], values)
     error = float(found.stderr) if len(set(values)) > 1 else 0.0  # where all are the same scipy has none
-    return Fit(slope, factor, error, residual)
+    return PowerFit(slope, factor, error, residual)
 
 
-def fit_line(sizes: Sequence[float], values: Sequence[float]) -> Line:
+def fit_line(sizes: Sequence[float], values: Sequence[float]) -> LineFit:
     """Least squares of relative residuals, so that small sizes count as much as large ones; of plain ones
     where a value is nought. Raises ValueError for fewer than three sizes."""
     checked(sizes, values)
@@ -98,4 +98,4 @@
     left = float(((table @ [base, per_unit] - wanted) ** 2).sum()) / max(1, len(sizes) - 2)
     spread = linalg.inv((table / scale).T @ (table / scale))[1, 1] / scale[1] ** 2
     fitted = [base + per_unit * size for size in sizes]
-    return Line(per_unit, base, math.sqrt(left * spread), largest(fitted, values))
+    return LineFit(per_unit, base, math.sqrt(left * spread), largest(fitted, values))
--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -39,7 +39,7 @@
 from bellrack import model
 from bellrack.choice import Balancer
 from bellrack.lab.scale import standins
-from bellrack.lab.scale.fit import Fit, Line, fit_line, fit_power
+from bellrack.lab.scale.fit import LineFit, PowerFit, fit_line, fit_power
 from bellrack.model import Call, Leg, Result, Server, Settings
 from bellrack.net import lines
 from bellrack.net.config import parse_config, read_config, reread
@@ -74,7 +74,7 @@
     sizes: list[int]
     values: list[float]
     counted: bool  # bytes and records: the same to the digit at each run
-    fit: Fit | Line | None = None
+    fit: PowerFit | LineFit | None = None
 
     def fitted(self) -> Figure:
         """With a line, unless a power's largest residual is clearly less."""
