--- a/bellrack/lab/cli.py
+++ b/bellrack/lab/cli.py
@@ -408,9 +408,9 @@
     from bellrack.lab.scale import run as scale
 
     fits = scale.fits(results)
-    show(scale.TABLE, [row for result in results for row in scale.rows(result)], args)
+    show(scale.TABLE, [row for result in results for row in scale.table_rows(result)], args)
     if args["--json"] != "-":
-        for line in scale.lines_of(fits):
+        for line in scale.fit_lines(fits):
             print(line)
     if args["--report"]:
         from bellrack.lab.scale import report
--- a/bellrack/lab/scale/__main__.py
+++ b/bellrack/lab/scale/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from bellrack.lab.scale.run import answer
+from bellrack.lab.scale.run import run_child_task
 
 if __name__ == "__main__":
-    sys.exit(answer())
+    sys.exit(run_child_task())
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -16,7 +16,7 @@
 
 from bellrack import model
 from bellrack.lab.scale.figures import Measurements
-from bellrack.lab.scale.plan import Plan, settings_of, zone_name
+from bellrack.lab.scale.plan import Plan, balancer_settings, zone_name
 from bellrack.model import Leg, Result, Server
 from bellrack.net import discovery, lines
 from bellrack.net.config import Config, parse_config
@@ -225,7 +225,7 @@
                     "listen": "127.0.0.1:0",
                     "discovery": place,
                     "limits": {"sockets": 1 << 20},
-                    "settings": settings_of(plan, zone, 0),
+                    "settings": balancer_settings(plan, zone, 0),
                 }
             )
             parsed[zone].peers, parsed[zone].peers_all = peers or [], peers_all
--- a/bellrack/lab/scale/plan.py
+++ b/bellrack/lab/scale/plan.py
@@ -153,14 +153,14 @@
             yield key, "not a finite number"
 
 
-def sized(plan: Plan, balancers: int) -> Plan:
+def resize_plan(plan: Plan, balancers: int) -> Plan:
     """The same at another size, servers in proportion. Raises ScenarioError."""
     servers = max(1, round(plan.servers * balancers / plan.balancers))
     changed = msgspec.structs.replace(plan, balancers=balancers, servers=servers)
     return parse_plan(msgspec.to_builtins(changed), plan.name)
 
 
-def settings_of(plan: Plan, zone: int, number: int) -> dict[str, Any]:
+def balancer_settings(plan: Plan, zone: int, number: int) -> dict[str, Any]:
     """The settings object of a balancer's configuration."""
     return {
         "areas": [zone_name(plan, index) for index in range(plan.zones)],
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -33,8 +33,8 @@
     configuration_factory,
     use_discovery_request,
 )
-from bellrack.lab.scale.plan import Plan, settings_of
-from bellrack.lab.scale.run import with_parent
+from bellrack.lab.scale.plan import Plan, balancer_settings
+from bellrack.lab.scale.run import die_with_parent
 from bellrack.lab.scale.tier import Tier
 from bellrack.lab.scenario import ScenarioError
 from bellrack.lab.sockets import HOST, LineProtocol, free_ports
@@ -106,7 +106,7 @@
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.DEVNULL,
                 stderr=asyncio.subprocess.DEVNULL,
-                preexec_fn=with_parent,
+                preexec_fn=die_with_parent,
                 env=os.environ | {"PYTHONPATH": os.pathsep.join(filter(None, sys.path))},
             )
         finally:
@@ -281,7 +281,7 @@
             "peer_listen": "{}:{}".format(*process.peer_listen),
             "peers": [known(other) for other in range(self.plan.total_balancers)],
             "peers_all": "{}:{}".format(*self.relay.address),
-            "settings": settings_of(self.plan, self.zone(number), number),
+            "settings": balancer_settings(self.plan, self.zone(number), number),
         }
 
     async def starts(self, process: Process) -> None:
--- a/bellrack/lab/scale/report.py
+++ b/bellrack/lab/scale/report.py
@@ -33,7 +33,7 @@
         for what, key, budget in run.FITTED
         if any(rows_with(results, key))
     )
-    fitted = "".join(f"<li>{html.escape(line)}</li>" for line in run.lines_of(fits))
+    fitted = "".join(f"<li>{html.escape(line)}</li>" for line in run.fit_lines(fits))
     return (
         f"<!doctype html><html lang=en><meta charset=utf-8><title>{name}</title><style>{STYLE}</style>"
         f"<h1>{name}</h1><p>Scale runs {face}, {first['seconds']:g} s counted, seed {first['seed']}{lean}. "
@@ -44,7 +44,9 @@
 
 
 def rows_with(results: list[dict[str, Any]], key: str) -> list[dict[str, Any]]:
-    return [row for result in results for row in run.rows(result) if row[key] and row["role"] != "discovery"]
+    return [
+        row for result in results for row in run.table_rows(result) if row[key] and row["role"] != "discovery"
+    ]
 
 
 def plot(
@@ -80,7 +82,7 @@
 
 def table(results: list[dict[str, Any]]) -> str:
     lines = ["<tr>" + "".join(f"<th>{head}</th>" for _, head, _ in run.TABLE) + "</tr>"]
-    for row in (row for result in results for row in run.rows(result)):
+    for row in (row for result in results for row in run.table_rows(result)):
         cells = []
         for key, _, form in run.TABLE:
             value = row[key]
--- a/bellrack/lab/scale/run.py
+++ b/bellrack/lab/scale/run.py
@@ -22,7 +22,7 @@
 
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.guard import MemoryGuard
-from bellrack.lab.scale.plan import TARGET_BALANCERS, Plan, parse_plan, sized
+from bellrack.lab.scale.plan import TARGET_BALANCERS, Plan, parse_plan, resize_plan
 from bellrack.lab.scenario import ScenarioError
 
 VERSION = 1
@@ -30,7 +30,9 @@
 GROWS, FAR = 0.05, 10  # slope, and times the target, from which on no size is named that reaches a budget
 DIE_WITH_PARENT = 1  # PR_SET_PDEATHSIG
 LAST_WORD = 5.0  # seconds that a child gets to end
-WEIGHED_FOR = 20.0  # virtual seconds after which memory is taken: all that stands a while has been said once
+MEMORY_WARM_UP_SECONDS = (
+    20.0  # virtual seconds after which memory is taken: all that stands a while has been said once
+)
 
 
 def result_of(
@@ -74,7 +76,7 @@
 def play(plan: Plan, seed: int, quiet: bool = False) -> dict[str, Any]:
     """In this process, but for the weighing. Raises ScenarioError for what cannot be played or must stop."""
     guard = MemoryGuard(plan.limits.memory_mb)
-    memory = weighed(plan, seed) if plan.memory_sizes else None
+    memory = memory_per_balancer(plan, seed) if plan.memory_sizes else None
     length = plan.warm_up + plan.duration
     with tqdm(
         total=length,
@@ -101,7 +103,7 @@
     return result
 
 
-def weighed(plan: Plan, seed: int) -> float:
+def memory_per_balancer(plan: Plan, seed: int) -> float:
     """Memory of one balancer in MB: two sizes before the same servers, the difference over that of sizes."""
     small, large = plan.memory_sizes
     bare = msgspec.structs.replace(
@@ -109,16 +111,16 @@
         lean=False,
         time="virtual",
         real=0,
-        warm_up=WEIGHED_FOR,
+        warm_up=MEMORY_WARM_UP_SECONDS,
         duration=1.0,
         trouble=[],
         memory_sizes=[],
     )
-    least, most = (child("weigh", bare, seed, True, size) for size in (small, large))
+    least, most = (run_child("weigh", bare, seed, True, size) for size in (small, large))
     return (most["rss_mb"] - least["rss_mb"]) / (large - small)
 
 
-def weigh(plan: Plan, seed: int, size: int) -> dict[str, Any]:
+def measure_memory(plan: Plan, seed: int, size: int) -> dict[str, Any]:
     """In a child: resident memory with so many balancers of the tier."""
     import gc
 
@@ -133,9 +135,9 @@
 def sweep(plan: Plan, sizes: Iterable[int], seed: int, quiet: bool = False) -> Iterator[dict[str, Any]]:
     """A result a size, smallest first; servers in proportion. Raises ScenarioError, for a size that cannot be
     played before anything is."""
-    plans = [sized(plan, size) for size in sorted(set(sizes))]
+    plans = [resize_plan(plan, size) for size in sorted(set(sizes))]
     for one in plans:
-        yield child("run", one, seed, quiet)
+        yield run_child("run", one, seed, quiet)
 
 
 # What is printed.
@@ -166,7 +168,7 @@
 )
 
 
-def rows(result: dict[str, Any]) -> list[dict[str, Any]]:
+def table_rows(result: dict[str, Any]) -> list[dict[str, Any]]:
     """A row a role. Bytes are payload but for `wire`; `fan` counts a broadcast once for each receiver."""
     told = []
     for role in ("plain", "aggregator", "busiest"):
@@ -220,7 +222,7 @@
 
     told = []
     for role in ("plain", "aggregator", "busiest"):
-        of_role = [row for result in results for row in rows(result) if row["role"] == role]
+        of_role = [row for result in results for row in table_rows(result) if row["role"] == role]
         for what, key, budget in FITTED:
             points = [(row["balancers"], row[key]) for row in of_role if row[key]]
             if len(points) < LEAST:
@@ -246,7 +248,7 @@
     return told
 
 
-def lines_of(fitted: list[dict[str, Any]]) -> list[str]:
+def fit_lines(fitted: list[dict[str, Any]]) -> list[str]:
     """Plain text of them."""
     told = []
     for row in fitted:
@@ -263,13 +265,13 @@
 # Processes of our own.
 
 
-def with_parent() -> None:
+def die_with_parent() -> None:
     """In the child, before it is anything else: it dies with us, and an interrupt at the terminal is ours."""
     ctypes.CDLL(None).prctl(DIE_WITH_PARENT, signal.SIGKILL)
     os.setsid()
 
 
-def child(kind: str, plan: Plan, seed: int, quiet: bool, size: int = 0) -> dict[str, Any]:
+def run_child(kind: str, plan: Plan, seed: int, quiet: bool, size: int = 0) -> dict[str, Any]:
     """What a process of its own found. Raises ScenarioError with its last line if it could not."""
     asked = json.dumps(
         {"kind": kind, "plan": msgspec.to_builtins(plan), "seed": seed, "quiet": quiet, "size": size}
@@ -279,20 +281,20 @@
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE if quiet else None,
-        preexec_fn=with_parent,
+        preexec_fn=die_with_parent,
         env=os.environ | {"PYTHONPATH": os.pathsep.join(filter(None, sys.path))},
     )
     try:
         told, said = process.communicate(asked)
     finally:
-        end(process)
+        end_process(process)
     if process.returncode:
         last = (said or b"").decode(errors="replace").strip().splitlines()[-1:] or ["see above"]
         raise ScenarioError(last[0].removeprefix("bellrack lab: "))
     return json.loads(told)
 
 
-def end(process: subprocess.Popen) -> None:
+def end_process(process: subprocess.Popen) -> None:
     """By its id, if it still runs."""
     if process.poll() is None:
         process.kill()
@@ -300,13 +302,13 @@
             process.wait(LAST_WORD)
 
 
-def answer() -> int:
+def run_child_task() -> int:
     """In the child: what is asked comes on standard input, the answer goes to standard output."""
     asked = json.loads(sys.stdin.buffer.read())
     plan = parse_plan(asked["plan"], asked["plan"]["name"])
     try:
         if asked["kind"] == "weigh":
-            told = weigh(plan, asked["seed"], asked["size"])
+            told = measure_memory(plan, asked["seed"], asked["size"])
         else:
             told = play(plan, asked["seed"], asked["quiet"])
     except ScenarioError as error:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,7 +17,7 @@
 from bellrack.lab.scale import figures, real, run
 from bellrack.lab.scale.guard import MemoryGuard, machine_mb
 from bellrack.lab.scale.hollow import DiscoveryRequest, use_discovery_request
-from bellrack.lab.scale.plan import parse_plan, read_plan, sized
+from bellrack.lab.scale.plan import parse_plan, read_plan, resize_plan
 from bellrack.lab.scale.virtual import VirtualDiscoveryRequest, VirtualTier
 from bellrack.lab.scenario import ScenarioError
 
@@ -193,7 +193,7 @@
 def test_the_examples_can_be_played():
     plans = [read_plan(path) for path in sorted(EXAMPLES.glob("*.toml"))]
     assert {one.total_balancers for one in plans} >= {50, 200, 4800}
-    assert sized(read_plan(EXAMPLES / "target.toml"), 800).servers == 1000
+    assert resize_plan(read_plan(EXAMPLES / "target.toml"), 800).servers == 1000
 
 
 def test_a_run_stops_with_one_line_when_memory_runs_out(tmp_path, capsys):
@@ -243,13 +243,13 @@
         raise KeyboardInterrupt
 
     with mock.patch.object(subprocess.Popen, "communicate", interrupted), pytest.raises(KeyboardInterrupt):
-        run.child("run", plan(duration=3600.0), 1, True)
+        run.run_child("run", plan(duration=3600.0), 1, True)
     assert len(seen) == 1 and gone(seen)  # and not by our own end
 
 
 def test_a_process_that_cannot_do_it_says_why():
     with pytest.raises(ScenarioError, match="over the limit of 5 MB: stopped$"):
-        run.child("run", plan(limits={"memory_mb": 5}), 1, True)
+        run.run_child("run", plan(limits={"memory_mb": 5}), 1, True)
 
 
 def test_memory_of_a_balancer_is_the_difference_of_two_sizes():
@@ -259,8 +259,8 @@
         assert kind == "weigh" and (asked.servers, asked.lean, asked.total_balancers) == (18, False, 12)
         return {"rss_mb": 100.0 + 0.25 * size}
 
-    with mock.patch.object(run, "child", child):
-        assert run.weighed(plan(memory_sizes=[8, 40], lean=True), 1) == 0.25
+    with mock.patch.object(run, "run_child", child):
+        assert run.memory_per_balancer(plan(memory_sizes=[8, 40], lean=True), 1) == 0.25
 
 
 def test_roles_go_by_what_was_done_and_heads_count_with_each_datagram():
@@ -310,7 +310,7 @@
             raise ScenarioError("scale: stopped")
         return run.play(asked, seed, quiet)
 
-    with mock.patch.object(run, "child", child):
+    with mock.patch.object(run, "run_child", child):
         assert cli.main(["scale", "sweep", str(file), "--sizes=6,12", "--quiet", f"--json={out}"]) == 2
     assert [result["balancers"] for result in json.loads(out.read_text())["results"]] == [6]
     assert capsys.readouterr().err == "bellrack lab: scale: stopped\n"
