--- a/bellrack/lab/scale/discovery_stub.py
+++ b/bellrack/lab/scale/discovery_stub.py
@@ -140,5 +140,5 @@
 
     def spent(self, begun: int) -> None:
         spent = process_time_ns() - begun
-        self.measurements.cpu += spent
-        self.measurements.longest = max(self.measurements.longest, spent)
+        self.measurements.cpu_ns += spent
+        self.measurements.longest_turn_ns = max(self.measurements.longest_turn_ns, spent)
--- a/bellrack/lab/scale/figures.py
+++ b/bellrack/lab/scale/figures.py
@@ -36,7 +36,7 @@
     """Of one balancer. `out` is what it hands to the network; `fan` the same once for each receiver, as a
     broadcast has many; `list` are bytes of its calls of discovery, HTTP included."""
 
-    __slots__ = (*COUNTS, "cpu", "longest", "broadcasts", "forms")
+    __slots__ = (*COUNTS, "cpu_ns", "longest_turn_ns", "broadcasts", "forms")
 
     def __init__(self) -> None:
         self.reset()
@@ -44,7 +44,7 @@
     def reset(self) -> None:
         for name in COUNTS:
             setattr(self, name, 0)
-        self.cpu = self.longest = 0  # nanoseconds of processor time
+        self.cpu_ns = self.longest_turn_ns = 0  # nanoseconds of processor time
         self.broadcasts = 0
         self.forms: Counter = Counter()  # datagrams handed over, by first byte
 
@@ -64,9 +64,9 @@
 
     def count_turn(self, spent: int) -> None:
         """A turn took so many nanoseconds of processor time."""
-        self.cpu += spent
-        if spent > self.longest:
-            self.longest = spent
+        self.cpu_ns += spent
+        if spent > self.longest_turn_ns:
+            self.longest_turn_ns = spent
 
 
 def records(data: bytes) -> int:
@@ -85,7 +85,7 @@
 
     def reset(self) -> None:
         self.watches = self.fetches = self.lines = self.bytes_in = self.bytes_out = 0
-        self.cpu = self.longest = 0
+        self.cpu_ns = self.longest_turn_ns = 0
 
 
 def role_counts(members: Iterable[Measurements], seconds: float) -> dict[str, Any]:
@@ -128,9 +128,9 @@
     if not members:
         return {}
     return {
-        "core": sum(figures.cpu for figures in members) / len(members) / seconds / 1e9,
-        "core_most": max(figures.cpu for figures in members) / seconds / 1e9,
-        "longest_turn": max(figures.longest for figures in members) / 1e9 or None,
+        "core": sum(figures.cpu_ns for figures in members) / len(members) / seconds / 1e9,
+        "core_most": max(figures.cpu_ns for figures in members) / seconds / 1e9,
+        "longest_turn": max(figures.longest_turn_ns for figures in members) / 1e9 or None,
     }
 
 
--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -380,7 +380,7 @@
         await self.run_to(plan.warm_up + plan.duration, tell)
         for number, process in self.processes.items():
             ticks = process.ticks_before + process.ticks() - self.started[number]
-            self.measurements[number].cpu = ticks * 1_000_000_000 // TICKS
+            self.measurements[number].cpu_ns = ticks * 1_000_000_000 // TICKS
             if process.alive:
                 self.real_memory[number] = resident_mb([process.process.pid])
         self.faults += sum(node.counters["faults"] for node in self.nodes.values() if node.alive)
--- a/bellrack/lab/scale/run.py
+++ b/bellrack/lab/scale/run.py
@@ -53,8 +53,8 @@
     }
     times = {name: figures.processor_times(some, plan.duration) for name, some in members.items()}
     times["discovery"] = {
-        "core": discovery_stub.cpu / plan.duration / 1e9,
-        "longest_turn": discovery_stub.longest / 1e9,
+        "core": discovery_stub.cpu_ns / plan.duration / 1e9,
+        "longest_turn": discovery_stub.longest_turn_ns / 1e9,
     }
     return {
         "version": VERSION,
