--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -38,7 +38,7 @@
 
 from bellrack import model
 from bellrack.choice import Balancer
-from bellrack.lab.scale import standins
+from bellrack.lab.scale import stubs
 from bellrack.lab.scale.fit import LineFit, PowerFit, fit_line, fit_power
 from bellrack.model import Call, Leg, Result, Server, Settings
 from bellrack.net import lines
@@ -291,11 +291,11 @@
     counts = [200, 400, 600, 800] if quick else [4000, 8000, 16000, 32000]
 
     async def play() -> tuple[list[int], dict[int, list[int]]]:
-        around = standins.StandIns(deployment(), rows)
+        around = stubs.StandIns(deployment(), rows)
         async with around:
-            memory = await standins.idle_pairs(around, sizes)
+            memory = await stubs.idle_pairs(around, sizes)
             child = around.children[0]
-            return memory, {size: await standins.relayed(around, child, counts, size) for size in (100, 1000)}
+            return memory, {size: await stubs.relayed(around, child, counts, size) for size in (100, 1000)}
 
     memory, spent = asyncio.run(play())
     yield figure("data-path", "resident memory", "B", "standing connections", sizes, memory)
@@ -324,7 +324,7 @@
             with Alone() as node:
                 watching(node).feed(chunk(text))
                 if not node.servers:
-                    raise standins.ScaleError("a list was not taken in")
+                    raise stubs.ScaleError("a list was not taken in")
                 return node
 
         with Alone() as node:  # what it costs to be there at all
@@ -395,7 +395,7 @@
         call = host.ask(group)
         spent += (time.process_time_ns() - begun) if number >= 10 else 0
         if not call.legs:
-            raise standins.ScaleError(f"a call found no room among {count} servers")
+            raise stubs.ScaleError(f"a call found no room among {count} servers")
         leg = call.legs[0]
         leg.established = True
         host.balancer.on_established(leg)
@@ -793,8 +793,8 @@
     pairs = (20, 40, 60, 80) if quick else (200, 800, 1400, 2000)
 
     async def play(count: int) -> tuple[int, int, int]:
-        async with standins.StandIns(deployment(), rows) as around:
-            return await standins.handed_over(around, count)
+        async with stubs.StandIns(deployment(), rows) as around:
+            return await stubs.handed_over(around, count)
 
     over = [asyncio.run(play(count)) for count in pairs]
     yield figure(
@@ -824,8 +824,8 @@
     tries, sizes = (1, (2, 4, 8, 16)) if quick else (TRIES, (2, 100, 600, 1000, 3000))
 
     async def play(count: int) -> bool:
-        async with standins.StandIns(deployment(), rows, servers=count) as around:
-            return await standins.met(around)
+        async with stubs.StandIns(deployment(), rows, servers=count) as around:
+            return await stubs.met(around)
 
     yield Figure(
         "shutdown",
@@ -842,8 +842,8 @@
     sizes = QUICK_SERVERS if quick else SERVER_SIZES
 
     async def play(count: int) -> tuple[int, int]:
-        async with standins.StandIns(deployment(), rows, servers=count) as around:
-            return await standins.started(around)
+        async with stubs.StandIns(deployment(), rows, servers=count) as around:
+            return await stubs.started(around)
 
     found = [min(asyncio.run(play(count)) for _ in range(1 if quick else 3)) for count in sizes]
     yield figure(
@@ -929,7 +929,7 @@
                 report["figures"].append(plain(one))
                 if args["--json"] != "-":
                     print(shown(one), flush=True)
-        except (standins.ScaleError, OSError) as error:
+        except (stubs.ScaleError, OSError) as error:
             report["not measured"].append({"role": name, "why": str(error)})
             print(f"{name}: not measured: {error}", file=sys.stderr)
     text = json.dumps(report, indent=1)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from bellrack.lab.scale import roles, standins
+from bellrack.lab.scale import roles, stubs
 from bellrack.lab.scale.fit import fit_line, fit_power
 from bellrack.net import lines
 from bellrack.net.node import Node
@@ -126,7 +126,7 @@
 
 def test_no_room_among_servers_is_said_and_not_measured(monkeypatch):
     monkeypatch.setattr(roles.Host, "send", lambda *_: None)
-    with pytest.raises(standins.ScaleError):
+    with pytest.raises(stubs.ScaleError):
         roles.decision_time(12, 1, 5)
 
 
@@ -171,7 +171,7 @@
     assert "no role 'nonsense'" in capsys.readouterr().err
 
     def fails(quick):
-        raise standins.ScaleError("no luck")
+        raise stubs.ScaleError("no luck")
         yield
 
     monkeypatch.setitem(roles.ROLES, "start", fails)
@@ -183,8 +183,8 @@
 
 def test_a_child_that_cannot_serve_is_named_and_nothing_is_left(tmp_path):
     async def play():
-        async with standins.StandIns(roles.deployment(trafficTypes=[]), roles.rows) as around:
-            with pytest.raises(standins.ScaleError, match="ended"):
+        async with stubs.StandIns(roles.deployment(trafficTypes=[]), roles.rows) as around:
+            with pytest.raises(stubs.ScaleError, match="ended"):
                 await around.start()
             return around.folder.name, around.children[0]
 
@@ -193,28 +193,28 @@
 
 
 def test_a_process_that_is_met_and_one_that_is_not_are_told_apart(monkeypatch):
-    monkeypatch.setattr(standins, "SETTLE", 0.0)
+    monkeypatch.setattr(stubs, "SETTLE", 0.0)
 
     async def play(name, after):
         monkeypatch.setattr(
-            standins.Child,
+            stubs.Child,
             "text",
             lambda self: f"event=serving name=b0 listen={name} after={self is children[-1] and after}",
         )
-        async with standins.StandIns(roles.deployment(), roles.rows) as around:
+        async with stubs.StandIns(roles.deployment(), roles.rows) as around:
             children = around.children
-            return await standins.met(around)
+            return await stubs.met(around)
 
     assert asyncio.run(play("127.0.0.1:1", True)) and not asyncio.run(play("127.0.0.1:1", False))
 
 
 def test_connections_that_stand_are_counted_and_lines_come_through(monkeypatch):
-    monkeypatch.setattr(standins, "SETTLE", 0.0)
+    monkeypatch.setattr(stubs, "SETTLE", 0.0)
 
     async def play():
-        async with standins.StandIns(roles.deployment(), roles.rows) as around:
-            memory = await standins.idle_pairs(around, [3, 6])
-            spent = await standins.relayed(around, around.children[0], [5], 100)
+        async with stubs.StandIns(roles.deployment(), roles.rows) as around:
+            memory = await stubs.idle_pairs(around, [3, 6])
+            spent = await stubs.relayed(around, around.children[0], [5], 100)
             return memory, spent, len(around.upstream), len(around.clients), around.children
 
     memory, spent, upstream, clients, children = asyncio.run(play())
