--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -400,7 +400,7 @@
         for ear in [*self.ears.values(), *([self.relay] if self.relay else [])]:
             ear.transport.close()
 
-    def told_of_real(self) -> dict[str, Any]:
+    def real_measurements(self) -> dict[str, Any]:
         """What this machine did; processor time of real ones has the kernel's part in it."""
         of_real = figures.processor_times(
             [self.measurements[number] for number in self.real], self.plan.duration
--- a/bellrack/lab/scale/run.py
+++ b/bellrack/lab/scale/run.py
@@ -99,7 +99,7 @@
             world = VirtualTier(plan, seed, guard).play(tell)
     result = result_of(plan, seed, world, guard, memory)
     if plan.time == "real":
-        result["measured"]["real"] = world.told_of_real()
+        result["measured"]["real"] = world.real_measurements()
     return result
 
 
