--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -164,7 +164,7 @@
         self.listeners: list[asyncio.Server] = []
         self.server_port = self.list_port = 0
         self.discovery_stub = DiscoveryStub(plan, loop, lambda number: f"{HOST}:{self.server_port}")
-        self.lag, self.answers = 0.0, {"up": 0, "turned_away": 0, "no_answer": 0}
+        self.lag, self.client_outcomes = 0.0, {"up": 0, "turned_away": 0, "no_answer": 0}
         self.started: dict[int, int] = {}  # ticks when counting began
         self.real_memory: dict[int, float] = {}
 
@@ -325,7 +325,7 @@
                                 await reader.read()  # until it is moved, or its life ends
                 finally:
                     writer.close()
-            self.answers[how] += 1
+            self.client_outcomes[how] += 1
             if how != "up":
                 await asyncio.sleep(AGAIN)
 
@@ -374,7 +374,7 @@
         await self.run_to(plan.warm_up, tell)
         self.reset_counts()
         self.lag = 0.0
-        self.answers = dict.fromkeys(self.answers, 0)
+        self.client_outcomes = dict.fromkeys(self.client_outcomes, 0)
         for number, process in self.processes.items():
             self.started[number], process.ticks_before = process.ticks(), 0
         await self.run_to(plan.warm_up + plan.duration, tell)
@@ -408,7 +408,7 @@
         return {
             "lag": round(self.lag, 4),
             "doubtful": self.lag > MAX_LOOP_LAG_SECONDS,
-            "clients": self.answers,
+            "clients": self.client_outcomes,
             "memory_mb": {str(number): round(value, 1) for number, value in self.real_memory.items()},
             "core": of_real.get("core"),
             "core_most": of_real.get("core_most"),
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -364,7 +364,7 @@
         if (
             broadcast
             and told
-            and tier.answers["up"]
+            and tier.client_outcomes["up"]
             and all(one.in_datagrams and one.out_datagrams for one in tier.measurements)
         ):
             raise Enough
