--- a/bellrack/lab/scale/discovery_stub.py
+++ b/bellrack/lab/scale/discovery_stub.py
@@ -1,7 +1,7 @@
-"""The stand-in for discovery: the list of servers, its changes, and who watches it.
+"""A stub of the discovery service: the list of servers, its changes, and the balancers that watch it.
 
-Owns the list of a run and what is said of it on the lines of the lab's discovery. It knows no balancer and
-no loop but the one it is given; who hears of a change late or not at all is the run's.
+Keeps the list of a run and builds the messages that are sent on the connections of the lab's discovery.
+Whether a balancer gets a change late, or not at all, is decided by the run.
 """
 
 from __future__ import annotations
@@ -15,18 +15,18 @@
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.plan import Plan, zone_name
 
-DRAINS = 10.0  # seconds from a server's drain to its end
-KEPT = 512  # changes that a renewed watch may ask for; of older versions it gets the whole list
+DRAIN_SECONDS = 10.0  # from the begin of a server's drain to its end
+KEPT_CHANGES = 512  # a renewed watch that missed more gets the whole list
 
 
 class CountedWatch(sockets.DiscoveryConnection):
-    """A balancer's connection to discovery, whose bytes are counted."""
+    """A balancer's connection to discovery, with its bytes counted."""
 
     def data_received(self, data: bytes) -> None:
-        begun = process_time_ns()
+        start_ns = process_time_ns()
         self.node.measurements.bytes_in += len(data)
         super().data_received(data)
-        self.node.spent(begun)
+        self.node.count_processor_time(start_ns)
 
     def send_chunk(self, body: bytes) -> None:
         if not self.closed:
@@ -35,29 +35,32 @@
 
 
 class DiscoveryStub:
-    """Is its own `world` and `discovery` to the lines of discovery: there is one list for all."""
+    """The discovery service. As all balancers get the same list, this one object stands for the `node`, its
+    `world` and the world's `discovery` that a `sockets.DiscoveryConnection` uses."""
 
     down = False
 
-    def __init__(self, plan: Plan, loop: Any, place: Callable[[int], str]):
-        self.plan, self.loop, self.place = plan, loop, place
+    def __init__(self, plan: Plan, loop: Any, server_address: Callable[[int], str]):
+        """`server_address(number)` gives the address, as host:port, under which a server is listed."""
+        self.plan, self.loop, self.server_address = plan, loop, server_address
         self.world = self.discovery = self
         self.discovery_conns: dict[CountedWatch, None] = {}
         self.watching: dict[CountedWatch, None] = {}
         self.measurements = figures.DiscoveryMeasurements()
         self.version = 1
         self.states: dict[int, str] = dict.fromkeys(range(plan.servers), "in_service")  # by number
-        self.next = plan.servers
+        self.next_number = plan.servers
         self.changes: list[tuple[int, bytes]] = []  # version and line
-        self.whole_at: tuple[int, bytes] = (0, b"")
+        self.cached_full_list: tuple[int, bytes] = (0, b"")  # version and line
 
     # The list.
 
-    def item(self, number: int, state: str) -> dict[str, Any]:
+    def entry(self, number: int, state: str) -> dict[str, Any]:
+        """A server's entry of the list."""
         zone = number % self.plan.zones
         return {
             "instanceId": f"{zone_name(self.plan, zone)}-s{number}",
-            "hostPort": self.place(number),
+            "hostPort": self.server_address(number),
             "zone": zone_name(self.plan, zone),
             "machineType": "std",
             "cell": 0,
@@ -67,67 +70,75 @@
         }
 
     def name(self, number: int) -> str:
+        """A server's name."""
         return f"{zone_name(self.plan, number % self.plan.zones)}-s{number}"
 
-    def line(self, items: list[dict[str, Any]], whole: bool) -> bytes:
-        return json.dumps({"generation": self.version, "reset": whole, "instances": items}).encode() + b"\n"
+    def line(self, entries: list[dict[str, Any]], whole: bool) -> bytes:
+        """A message to a watch: the whole list, or changed entries."""
+        return json.dumps({"generation": self.version, "reset": whole, "instances": entries}).encode() + b"\n"
 
-    def whole(self) -> bytes:
-        if self.whole_at[0] != self.version:
-            items = [self.item(number, state) for number, state in self.states.items()]
-            self.whole_at = self.version, self.line(items, True)
-        return self.whole_at[1]
+    def full_list(self) -> bytes:
+        """The message with the whole list, built once for each version."""
+        if self.cached_full_list[0] != self.version:
+            entries = [self.entry(number, state) for number, state in self.states.items()]
+            self.cached_full_list = self.version, self.line(entries, True)
+        return self.cached_full_list[1]
 
-    def change(self, number: int, state: str) -> bytes:
-        """A server's entry is another now; all who watch are told."""
-        begun = process_time_ns()
+    def change_server(self, number: int, state: str) -> bytes:
+        """Changes a server's state, sends the change to all watches, and returns the message."""
+        start_ns = process_time_ns()
         self.version += 1
         if state == "terminated":
             self.states.pop(number, None)
         else:
             self.states[number] = state
-        line = self.line([self.item(number, state)], False)
-        self.changes = [*self.changes[-KEPT + 1 :], (self.version, line)]
-        for watcher in list(self.watching):
-            self.tell(watcher, line)
-        self.spent(begun)
+        line = self.line([self.entry(number, state)], False)
+        self.changes = [*self.changes[-KEPT_CHANGES + 1 :], (self.version, line)]
+        for watch in list(self.watching):
+            self.send(watch, line)
+        self.count_processor_time(start_ns)
         return line
 
-    def ready(self, zone: int) -> list[int]:
-        """Servers of a zone that may be sent to, or of all zones if it has none: as the spillover ratio has
-        it, and connections that cross zones would be called home all the time."""
+    def ready_servers(self, zone: int) -> list[int]:
+        """Numbers of the ready servers of a zone, or of all zones if this one has none.
+
+        This agrees with the spillover ratio: balancers would keep moving connections that cross zones back.
+        """
         ready = [number for number, state in self.states.items() if state == "in_service"]
         return [number for number in ready if number % self.plan.zones == zone] or ready
 
-    def replace(self, lot: float) -> tuple[int, int]:
-        """A server, by a lot of 0 to 1, that is to go, and the number of the one that takes its place."""
+    def choose_replacement(self, draw: float) -> tuple[int, int]:
+        """Numbers of a ready server, selected by a random number from 0 to 1, and of its replacement."""
         ready = [number for number, state in self.states.items() if state == "in_service"]
-        self.next += 1
-        return ready[int(lot * len(ready))], self.next - 1
+        self.next_number += 1
+        return ready[int(draw * len(ready))], self.next_number - 1
 
-    # What the lines ask of it.
+    # Called by the connections of watches.
 
-    def watch_opened(self, line: CountedWatch) -> None:
-        self.watching[line] = None
+    def watch_opened(self, watch: CountedWatch) -> None:
+        """Begins a watch: sends the changes that it missed, or the whole list."""
+        self.watching[watch] = None
         self.measurements.watches += 1
-        after = int(line.target.partition("after=")[2] or 0)
-        missed = [told for version, told in self.changes if version > after]
+        after = int(watch.target.partition("after=")[2] or 0)
+        missed = [line for version, line in self.changes if version > after]
         if after < self.version - len(missed) or not after:
-            self.tell(line, self.whole())
+            self.send(watch, self.full_list())
         else:
-            for told in missed:
-                self.tell(line, told)
+            for line in missed:
+                self.send(watch, line)
 
-    def tell(self, line: CountedWatch, told: bytes) -> None:
+    def send(self, watch: CountedWatch, line: bytes) -> None:
         self.measurements.lines += 1
-        line.send_chunk(told)
+        watch.send_chunk(line)
 
-    def watch_closed(self, line: CountedWatch) -> None:
-        self.watching.pop(line, None)
+    def watch_closed(self, watch: CountedWatch) -> None:
+        """Ends a watch."""
+        self.watching.pop(watch, None)
 
     def request_refused(self) -> None: ...
 
     def rows(self) -> list[tuple[int, str]]:
+        """All servers with their states, as the response to a request for a single list."""
         self.measurements.fetches += 1
         return list(self.states.items())
 
@@ -135,10 +146,11 @@
         return {
             "generation": self.version,
             "reset": whole,
-            "instances": [self.item(number, state) for number, state in rows],
+            "instances": [self.entry(number, state) for number, state in rows],
         }
 
-    def spent(self, begun: int) -> None:
-        spent = process_time_ns() - begun
-        self.measurements.cpu_ns += spent
-        self.measurements.longest_turn_ns = max(self.measurements.longest_turn_ns, spent)
+    def count_processor_time(self, start_ns: int) -> None:
+        """Adds the processor time since `start_ns`, which is a value of `process_time_ns`."""
+        spent_ns = process_time_ns() - start_ns
+        self.measurements.cpu_ns += spent_ns
+        self.measurements.longest_turn_ns = max(self.measurements.longest_turn_ns, spent_ns)
--- a/bellrack/lab/scale/hollow.py
+++ b/bellrack/lab/scale/hollow.py
@@ -1,9 +1,9 @@
-"""A hollow balancer: the program's own node, without a door for clients and without servers' connections.
+"""A hollow balancer: the product's own node, without listening sockets and without connections to servers.
 
-Owns the stand-ins for what a node has open: connections that are records alone, and a way for its datagrams
-that the run gives. All else is the program's: the client of discovery with its parser, the books, the
-decisions on what is listed, what balancers tell one another, timers. It never opens a socket itself; the loop
-it is given decides whether time and bytes are virtual or real.
+Provides stubs for what a node has open: connections that exist only as records, and a sender of datagrams
+that the run passes in. All else is the product's code: the discovery client with its parser, the accounting,
+the decisions, the exchange between balancers, the timers. Nothing here opens a socket; the event loop that a
+balancer is given decides whether time and bytes are virtual or real.
 """
 
 from __future__ import annotations
@@ -23,11 +23,12 @@
 from bellrack.net.node import Node
 from bellrack.net.server_list import ServerList
 
-HELD = 3600.0  # seconds for which a stand-in connection's client would wait: longer than any run
+CALL_TTL_SECONDS = 3600.0  # for which the client of a stub connection would wait: longer than any run
 
 
-class Held:
-    """A connection that stands, as the decisions know it. `host` of its call, as a client's connection is."""
+class StubConnection:
+    """An established connection, as the decisions know it: the `host_record` of its call, in the place of a
+    `ClientConnection`."""
 
     __slots__ = ("node", "leg")
 
@@ -35,13 +36,16 @@
         self.node = node
 
     def move(self, reason: str, kind: str = model.CANCELLED) -> None:
-        """The decisions want it elsewhere."""
+        """Ends the connection, which the decisions move to another server, and reports the move."""
         self.node.end_connection(self, kind)
         self.node.on_connection_moved()
 
 
 class DatagramSender:
-    """Where a node's datagrams go: the run's network. `post(node, peer, data)` carries them."""
+    """Sends a node's datagrams through the run's network, in the place of the node's `PeerSocket`.
+
+    `send_datagram(node, peer, data)` is provided by the run.
+    """
 
     def __init__(
         self, node: HollowBalancer, send_datagram: Callable[[HollowBalancer, int | None, bytes], None]
@@ -49,19 +53,23 @@
         self.node, self.send_datagram = node, send_datagram
 
     def send(self, peer: int | None, data: bytes) -> None:
+        """Sends `data` to one peer, or to all others if `peer` is None."""
         self.send_datagram(self.node, peer, data)
 
 
-class CountedList(ServerList):
-    """Counts the lines of discovery that came."""
+class CountedServerList(ServerList):
+    """A list of servers that counts the lines received from discovery."""
 
-    def on_list(self, news: lines.Listing, fetched: bool = False, at_current_address: bool = True) -> None:
+    def on_list(self, listing: lines.Listing, fetched: bool = False, at_current_address: bool = True) -> None:
         self.node.measurements.list_lines += 1
-        super().on_list(news, fetched, at_current_address)
+        super().on_list(listing, fetched, at_current_address)
 
 
 class HollowBalancer(Node):
-    """One of them. `on_connection_moved()` is called when the decisions move a connection, to open another."""
+    """A balancer that holds stub connections.
+
+    `on_connection_moved()` is called when the decisions have moved a connection; the run then opens another.
+    """
 
     def __init__(
         self,
@@ -71,92 +79,102 @@
         send_datagram: Callable[[HollowBalancer, int | None, bytes], None],
     ):
         self.alive, self.measurements = True, measurements
-        self.held: list[Held] = []
-        self.own_servers: list[int] = []  # servers, by mark, at which it holds connections
+        self.stub_connections: list[StubConnection] = []
+        self.own_servers: list[int] = []  # id hashes of the servers at which it holds connections
         self.on_connection_moved: Callable[[], None] = lambda: None
         super().__init__(config, loop)
-        self.server_list = CountedList(self)
+        self.server_list = CountedServerList(self)
         self.peers = DatagramSender(self, send_datagram)
 
     @property
     def number(self) -> int:
+        """Its number in the tier."""
         return self.settings.number
 
     def start(self) -> None:
-        """What a node does at its start, but for doors and sockets."""
-        self.resumed.window.on_request()  # nothing is resumed here: the run has begun
+        """Does what a node does at its start, except for opening sockets."""
+        self.resumed.window.on_request()  # no connection is resumed, so the window for resuming ends at once
         self.queue(self.server_watch.check)
         self.queue(self.discovery.check_watch)
 
     def stop(self) -> None:
-        """It is killed: whatever timers still bring, nothing is done any more."""
+        """Kills the balancer: what timers still call has no effect, and discovery requests are aborted."""
         self.alive = False
-        for question in (self.discovery.current, self.discovery.hedged, self.discovery.previous):
-            if question and question.transport:
-                question.transport.abort()
-            elif question:
-                question.cancel_connect()
+        for request in (self.discovery.current, self.discovery.hedged, self.discovery.previous):
+            if request and request.transport:
+                request.transport.abort()
+            elif request:
+                request.cancel_connect()
 
-    def queue(self, what: Callable, *values: Any, first: bool = False) -> None:
+    def queue(self, callback: Callable, *args: Any, first: bool = False) -> None:
         if self.alive:
-            super().queue(what, *values, first=first)
+            super().queue(callback, *args, first=first)
 
     def turn(self) -> None:
         if self.alive:
-            begun = process_time_ns()
+            start_ns = process_time_ns()
             super().turn()
-            self.measurements.count_turn(process_time_ns() - begun)
+            self.measurements.count_turn(process_time_ns() - start_ns)
 
-    def run_guarded(self, what: Callable, values: tuple) -> None:
+    def run_guarded(self, callback: Callable, args: tuple) -> None:
         self.measurements.steps += 1
-        super().run_guarded(what, values)
+        super().run_guarded(callback, args)
 
     def receive_datagram(self, peer: int, data: bytes) -> None:
-        """A datagram has come in."""
+        """Handles a datagram from the balancer `peer`."""
         if self.alive:
             self.measurements.count_received(data)
             self.queue(self.balancer.on_datagram, peer, data)
 
-    # Connections, each change within a turn of the node.
+    # Stub connections. These methods run within a turn of the node.
 
-    def prepare_servers(self, marks: list[int]) -> None:
-        """At these servers, before any stands."""
+    def prepare_servers(self, id_hashes: list[int]) -> None:
+        """Prepares for connections at these servers; called before the first one opens."""
 
-    def open_connection(self, server: Server, group: int, took: float = 0.0) -> None:
-        """One stands now; with `took` it was set up just now and took so many seconds."""
-        call = self.new_call(0, HELD, group=group)
-        leg = Leg(call, server, self.now - took)
+    def open_connection(self, server: Server, group: int, setup_seconds: float = 0.0) -> None:
+        """Adds an established connection of a group; with `setup_seconds`, one whose set-up took so long and
+        has just ended."""
+        call = self.new_call(0, CALL_TTL_SECONDS, group=group)
+        leg = Leg(call, server, self.now - setup_seconds)
         call.legs.append(leg)
-        call.host_record = held = Held(self)
-        held.leg = leg
-        self.held.append(held)
+        call.host_record = connection = StubConnection(self)
+        connection.leg = leg
+        self.stub_connections.append(connection)
         self.resume_leg(leg)
-        if took:
+        if setup_seconds:
             self.leg_established(leg)
 
-    def end_connection(self, held: Held, kind: str = model.COMPLETED) -> None:
-        if not held.leg.result:
-            self.held.remove(held)
-            self.leg_ended(held.leg, Result(kind, self.now - held.leg.sent), True)
-
-    def replace_connection(self, which: float, where: float, group: int, took: float) -> None:
-        """One ends and another is set up; which, and where, by lots of 0 to 1."""
-        if self.held:
-            self.end_connection(self.held[int(which * len(self.held))])
-        ready = self.ready_of(self.own_servers)
+    def end_connection(self, connection: StubConnection, kind: str = model.COMPLETED) -> None:
+        """Ends a connection with a result of this kind, unless it has ended already."""
+        if not connection.leg.result:
+            self.stub_connections.remove(connection)
+            self.leg_ended(connection.leg, Result(kind, self.now - connection.leg.sent), True)
+
+    def replace_connection(
+        self, end_draw: float, server_draw: float, group: int, setup_seconds: float
+    ) -> None:
+        """Ends one connection and opens another one.
+
+        `end_draw` and `server_draw`, random numbers from 0 to 1, select the connection and the new server.
+        """
+        if self.stub_connections:
+            self.end_connection(self.stub_connections[int(end_draw * len(self.stub_connections))])
+        ready = self.ready_servers(self.own_servers)
         if ready:
-            self.open_connection(ready[int(where * len(ready))], group, took)
+            self.open_connection(ready[int(server_draw * len(ready))], group, setup_seconds)
 
-    def ready_of(self, marks: list[int]) -> list[Server]:
-        """Those of these that are listed as ready."""
-        return [server for server in map(self.servers.get, marks) if server and server.state == model.READY]
+    def ready_servers(self, id_hashes: list[int]) -> list[Server]:
+        """Those of these servers that are listed as ready."""
+        return [
+            server for server in map(self.servers.get, id_hashes) if server and server.state == model.READY
+        ]
 
 
 class LeanBalancer(HollowBalancer):
-    """One that shares the records of servers with all others of its kind, but for those where it holds
-    connections: thousands of balancers by thousands of servers find no room in memory otherwise. The list is
-    parsed once for all; its bytes are counted for each. The look at connections that cross zones, which sends
-    nothing, is left out."""
+    """A hollow balancer that shares the records of servers with all others of its kind, except for servers at
+    which it holds connections: thousands of balancers, each with records of thousands of servers, do not fit
+    into memory. The list is parsed once for all; its bytes are counted for each. The regular check of
+    connections that cross zones, which sends nothing, is left out."""
 
     def __init__(
         self,
@@ -164,66 +182,73 @@
         loop: Any,
         measurements: Measurements,
         send_datagram: Any,
-        shared: dict[int, Server],
+        shared_servers: dict[int, Server],
     ):
-        self.shared = shared
+        self.shared_servers = shared_servers
         super().__init__(config, loop, measurements, send_datagram)
 
-    def start(self) -> None: ...
+    def start(self) -> None: ...  # the run delivers the list: no discovery client is started
 
-    def on_timer(self, what: Any) -> None:
-        if what != "rebalance":
-            super().on_timer(what)
+    def on_timer(self, token: Any) -> None:
+        if token != "rebalance":
+            super().on_timer(token)
 
-    def takes(self, count: int) -> None:
-        """The list or its change has come, `count` bytes of it, and `shared` holds it already."""
-        self.measurements.list_in += count
+    def receive_list(self, byte_count: int) -> None:
+        """Counts `byte_count` received bytes of a list or a change of it, and applies what `shared_servers`
+        already holds."""
+        self.measurements.list_in += byte_count
         self.measurements.list_lines += 1
         self.heard = True
-        for mark, server in self.servers.items():
-            server.state = self.shared[mark].state
-        self.know()
-
-    def know(self) -> None:
-        """Own records in the place of the shared ones."""
-        self.balancer.fleet = [self.servers.get(mark, server) for mark, server in self.shared.items()]
+        for id_hash, server in self.servers.items():
+            server.state = self.shared_servers[id_hash].state
+        self.update_fleet()
+
+    def update_fleet(self) -> None:
+        """Passes all servers to the decisions: own records where there are any, else the shared ones."""
+        self.balancer.fleet = [
+            self.servers.get(id_hash, server) for id_hash, server in self.shared_servers.items()
+        ]
         self.balancer.on_servers_listed([])
 
-    def prepare_servers(self, marks: list[int]) -> None:
-        """Own records of these servers, for what the decisions keep of own connections."""
+    def prepare_servers(self, id_hashes: list[int]) -> None:
+        """Creates own records of these servers, in which the decisions keep the state of own connections."""
         own = [
             Server(
-                mark,
-                one.zone,
-                one.cell,
-                one.state,
-                one.capacity,
-                one.weight,
-                one.machine_type,
-                one.started_at,
+                id_hash,
+                shared.zone,
+                shared.cell,
+                shared.state,
+                shared.capacity,
+                shared.weight,
+                shared.machine_type,
+                shared.started_at,
             )
-            for mark in marks
-            if (one := self.shared[mark])
+            for id_hash in id_hashes
+            if (shared := self.shared_servers[id_hash])
         ]
         self.servers.update((server.id_hash, server) for server in own)
         self.balancer.on_servers_listed(own)
-        self.know()
+        self.update_fleet()
 
 
 def configuration_factory(
-    plan: Plan, place: str, peers: list[Any] | None = None, peers_all: Any = None
+    plan: Plan, discovery_address: str, peers: list[Any] | None = None, peers_all: Any = None
 ) -> Callable[[int, int, int], Config]:
-    """Makes the configuration of a balancer from its number, zone and seed. Parsed once a zone, then copied:
-    a list of thousands of peers in each of thousands of configurations would not fit."""
+    """Returns a function that creates a balancer's configuration from its number, zone and seed.
+
+    Configurations are parsed once per zone and then copied: a list of thousands of peers in each of thousands
+    of configurations would not fit into memory. `peers` and `peers_all` are the addresses of single balancers
+    and the address that reaches all.
+    """
     parsed: dict[int, Config] = {}
 
-    def made(number: int, zone: int, seed: int) -> Config:
+    def make_configuration(number: int, zone: int, seed: int) -> Config:
         if zone not in parsed:
             parsed[zone] = parse_config(
                 {
                     "name": "hollow",
                     "listen": "127.0.0.1:0",
-                    "discovery": place,
+                    "discovery": discovery_address,
                     "limits": {"sockets": 1 << 20},
                     "settings": balancer_settings(plan, zone, 0),
                 }
@@ -236,21 +261,21 @@
         config.names.zones = {zone_name(plan, index): index for index in range(plan.zones)}
         return config
 
-    return made
+    return make_configuration
 
 
 @contextmanager
-def use_discovery_request(form: type) -> Iterator[None]:
-    """While this lasts the client of discovery makes its calls by that form of them, which counts bytes."""
-    before, discovery.DiscoveryRequest = discovery.DiscoveryRequest, form
+def use_discovery_request(request_class: type) -> Iterator[None]:
+    """Within this context the discovery client creates its requests from a class that counts bytes."""
+    original, discovery.DiscoveryRequest = discovery.DiscoveryRequest, request_class
     try:
         yield
     finally:
-        discovery.DiscoveryRequest = before
+        discovery.DiscoveryRequest = original
 
 
 class DiscoveryRequest(discovery.DiscoveryRequest):
-    """A call of discovery whose bytes are counted."""
+    """A discovery request that counts its bytes."""
 
     def buffer_updated(self, count: int) -> None:
         self.node.measurements.list_in += count
--- a/bellrack/lab/scale/run.py
+++ b/bellrack/lab/scale/run.py
@@ -1,8 +1,8 @@
-"""One scale run, or one a size: played, measured, and told as plain values.
+"""A scale run, or one for each of several sizes: runs it, measures it and returns plain values.
 
-Owns the form of a result: `counts` follow from plan and seed, `measured` are this machine's. Each size of a
-sweep, and each size of which memory is taken, is a process of its own; they end with this one, however that
-ends.
+Defines the format of a result: `counts` follow from plan and seed, `measured` depends on the machine. Each
+size of a sweep, and each size at which memory is measured, runs in a child process; the children end with
+this process, however it ends.
 """
 
 from __future__ import annotations
@@ -26,35 +26,36 @@
 from bellrack.lab.scenario import ScenarioError
 
 VERSION = 1
-LEAST = 3  # sizes of a fit
-GROWS, FAR = 0.05, 10  # slope, and times the target, from which on no size is named that reaches a budget
-DIE_WITH_PARENT = 1  # PR_SET_PDEATHSIG
-LAST_WORD = 5.0  # seconds that a child gets to end
-MEMORY_WARM_UP_SECONDS = (
-    20.0  # virtual seconds after which memory is taken: all that stands a while has been said once
-)
+MIN_SIZES = 3  # of a fit
+# A fit names no size at which it reaches its budget if its slope is at most this, or the size is over so many
+# times the target.
+MIN_BUDGET_SLOPE = 0.05
+MAX_EXTRAPOLATION_FACTOR = 10
+PR_SET_PDEATHSIG = 1  # option of prctl
+KILL_WAIT_SECONDS = 5.0  # for a killed child to end
+# Virtual time before memory is measured: by then balancers have told one another each lasting state once.
+MEMORY_WARM_UP_SECONDS = 20.0
 
 
 def result_of(
-    plan: Plan, seed: int, world: Any, guard: MemoryGuard, memory_mb: float | None
+    plan: Plan, seed: int, tier: Any, guard: MemoryGuard, memory_mb: float | None
 ) -> dict[str, Any]:
-    """Of a world that was played; the two faces have the same form."""
-    members = figures.by_role(world.measurements)
-    counts = {name: figures.role_counts(some, plan.duration) for name, some in members.items()}
-    discovery_stub = world.discovery_stub.measurements
+    """The result of a finished run; of the same format on virtual and on real time."""
+    roles = figures.by_role(tier.measurements)
+    counts = {name: figures.role_counts(members, plan.duration) for name, members in roles.items()}
+    discovery = tier.discovery_stub.measurements
     counts["discovery"] = {
-        name: getattr(discovery_stub, name)
-        for name in ("watches", "fetches", "lines", "bytes_in", "bytes_out")
+        name: getattr(discovery, name) for name in ("watches", "fetches", "lines", "bytes_in", "bytes_out")
     }
     counts["tier"] = {
-        "faults": world.faults,
-        "restarts": world.restarts,
-        "lost_datagrams": world.lost_datagrams,
+        "faults": tier.faults,
+        "restarts": tier.restarts,
+        "lost_datagrams": tier.lost_datagrams,
     }
-    times = {name: figures.processor_times(some, plan.duration) for name, some in members.items()}
+    times = {name: figures.processor_times(members, plan.duration) for name, members in roles.items()}
     times["discovery"] = {
-        "core": discovery_stub.cpu_ns / plan.duration / 1e9,
-        "longest_turn": discovery_stub.longest_turn_ns / 1e9,
+        "core": discovery.cpu_ns / plan.duration / 1e9,
+        "longest_turn": discovery.longest_turn_ns / 1e9,
     }
     return {
         "version": VERSION,
@@ -74,9 +75,12 @@
 
 
 def play(plan: Plan, seed: int, quiet: bool = False) -> dict[str, Any]:
-    """In this process, but for the weighing. Raises ScenarioError for what cannot be played or must stop."""
+    """Runs a plan in this process; only memory is measured in child processes. Returns the result.
+
+    Raises ScenarioError for a plan that cannot run, or when memory runs out.
+    """
     guard = MemoryGuard(plan.limits.memory_mb)
-    memory = memory_per_balancer(plan, seed) if plan.memory_sizes else None
+    memory_mb = memory_per_balancer(plan, seed) if plan.memory_sizes else None
     length = plan.warm_up + plan.duration
     with tqdm(
         total=length,
@@ -84,29 +88,30 @@
         unit="s",
         disable=quiet or None,
         bar_format="{l_bar}{bar}| {n:.1f}/{total:.0f} s [{elapsed}]",
-    ) as bar:
+    ) as progress:
 
-        def tell(at: float) -> None:
-            bar.update(at - bar.n)
+        def on_progress(elapsed: float) -> None:
+            progress.update(elapsed - progress.n)
 
         if plan.time == "real":
             from bellrack.lab.scale import real
 
-            world = real.play(plan, seed, guard, tell)
+            tier = real.play(plan, seed, guard, on_progress)
         else:
             from bellrack.lab.scale.virtual import VirtualTier
 
-            world = VirtualTier(plan, seed, guard).play(tell)
-    result = result_of(plan, seed, world, guard, memory)
+            tier = VirtualTier(plan, seed, guard).play(on_progress)
+    result = result_of(plan, seed, tier, guard, memory_mb)
     if plan.time == "real":
-        result["measured"]["real"] = world.real_measurements()
+        result["measured"]["real"] = tier.real_measurements()
     return result
 
 
 def memory_per_balancer(plan: Plan, seed: int) -> float:
-    """Memory of one balancer in MB: two sizes before the same servers, the difference over that of sizes."""
+    """Memory of one balancer in MB: the difference in memory between two numbers of balancers with the same
+    servers, divided by the difference of the numbers."""
     small, large = plan.memory_sizes
-    bare = msgspec.structs.replace(
+    memory_plan = msgspec.structs.replace(
         plan,
         lean=False,
         time="virtual",
@@ -116,32 +121,35 @@
         trouble=[],
         memory_sizes=[],
     )
-    least, most = (run_child("weigh", bare, seed, True, size) for size in (small, large))
-    return (most["rss_mb"] - least["rss_mb"]) / (large - small)
+    small_run, large_run = (run_child("weigh", memory_plan, seed, True, size) for size in (small, large))
+    return (large_run["rss_mb"] - small_run["rss_mb"]) / (large - small)
 
 
 def measure_memory(plan: Plan, seed: int, size: int) -> dict[str, Any]:
-    """In a child: resident memory with so many balancers of the tier."""
+    """Resident memory of this process, a child, with `size` of the plan's balancers."""
     import gc
 
     from bellrack.lab.scale.guard import resident_mb
     from bellrack.lab.scale.virtual import VirtualTier
 
-    world = VirtualTier(plan, seed, MemoryGuard(plan.limits.memory_mb), played=size).play()
+    tier = VirtualTier(plan, seed, MemoryGuard(plan.limits.memory_mb), balancer_count=size).play()
     gc.collect()
-    return {"rss_mb": resident_mb(), "balancers": len(world.nodes)}
+    return {"rss_mb": resident_mb(), "balancers": len(tier.nodes)}
 
 
 def sweep(plan: Plan, sizes: Iterable[int], seed: int, quiet: bool = False) -> Iterator[dict[str, Any]]:
-    """A result a size, smallest first; servers in proportion. Raises ScenarioError, for a size that cannot be
-    played before anything is."""
+    """Runs the plan at each size, with servers in proportion; yields the results, the smallest size first.
+
+    Raises ScenarioError; for a size that is invalid, before the first run.
+    """
     plans = [resize_plan(plan, size) for size in sorted(set(sizes))]
-    for one in plans:
-        yield run_child("run", one, seed, quiet)
+    for resized in plans:
+        yield run_child("run", resized, seed, quiet)
 
 
 # What is printed.
 
+# Key of a row, heading, format.
 TABLE = (
     ("balancers", "balancers", "{}"),
     ("servers", "servers", "{}"),
@@ -158,7 +166,7 @@
     ("memory", "MB", "{:.2f}"),
     ("over", "over budget", "{}"),
 )
-# Of a role: what is fitted over sizes, and its budget.
+# What is fitted over sizes for each role: description, key of a row, budget.
 FITTED = (
     ("payload bytes in a second", "in", None),
     ("payload bytes out a second, once for each receiver", "fan", None),
@@ -169,24 +177,25 @@
 
 
 def table_rows(result: dict[str, Any]) -> list[dict[str, Any]]:
-    """A row a role. Bytes are payload but for `wire`; `fan` counts a broadcast once for each receiver."""
-    told = []
+    """One row for each role. Bytes are payload, except for `wire`, which includes headers; `fan` counts a
+    broadcast once for each receiver."""
+    rows = []
     for role in ("plain", "aggregator", "busiest"):
         counts, times = result["counts"][role], result["measured"][role]
         if not counts["balancers"]:
             continue
-        each = counts["each_second"]
-        told.append(
+        per_second = counts["each_second"]
+        rows.append(
             {
                 "balancers": result["balancers"],
                 "servers": result["servers"],
                 "role": role,
-                "in": each["in_bytes"],
-                "out": each["out_bytes"],
-                "fan": each["fan_bytes"],
-                "datagrams_in": each["in_datagrams"],
-                "list_in": each["list_in"],
-                "steps": each["steps"],
+                "in": per_second["in_bytes"],
+                "out": per_second["out_bytes"],
+                "fan": per_second["fan_bytes"],
+                "datagrams_in": per_second["in_datagrams"],
+                "list_in": per_second["list_in"],
+                "steps": per_second["steps"],
                 "wire": counts["wire"]["most"],
                 "core": times["core_most"],
                 "longest": times["longest_turn"],
@@ -196,44 +205,48 @@
                 ],
             }
         )
-    discovery_stub = result["counts"]["discovery"]
-    told.append(
+    discovery = result["counts"]["discovery"]
+    rows.append(
         {key: None for key, _, _ in TABLE}
         | {
             "balancers": result["balancers"],
             "servers": result["servers"],
             "role": "discovery",
-            "in": discovery_stub["bytes_in"] / result["seconds"],
-            "out": discovery_stub["bytes_out"] / result["seconds"],
+            "in": discovery["bytes_in"] / result["seconds"],
+            "out": discovery["bytes_out"] / result["seconds"],
             "core": result["measured"]["discovery"]["core"],
             "longest": result["measured"]["discovery"]["longest_turn"],
             "over": [],
         }
     )
-    return told
+    return rows
 
 
 def fits(results: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """A power law through each figure that has a value over 0 at three sizes or more: of two, the error of a
+    """Fits a power law to each value that is positive at three sizes or more: with two, the error of the
     slope says nothing."""
-    if len({result["balancers"] for result in results}) < LEAST:
+    if len({result["balancers"] for result in results}) < MIN_SIZES:
         return []
     from bellrack.lab.scale.fit import fit_power
 
-    told = []
+    fitted = []
     for role in ("plain", "aggregator", "busiest"):
-        of_role = [row for result in results for row in table_rows(result) if row["role"] == role]
-        for what, key, budget in FITTED:
-            points = [(row["balancers"], row[key]) for row in of_role if row[key]]
-            if len(points) < LEAST:
+        role_rows = [row for result in results for row in table_rows(result) if row["role"] == role]
+        for description, key, budget in FITTED:
+            points = [(row["balancers"], row[key]) for row in role_rows if row[key]]
+            if len(points) < MIN_SIZES:
                 continue
             fit = fit_power(*zip(*points))
-            breaks = (budget / fit.factor) ** (1 / fit.slope) if budget and fit.slope > GROWS else None
-            breaks = breaks if breaks and breaks <= FAR * TARGET_BALANCERS else None
-            told.append(
+            breaks_at = (
+                (budget / fit.factor) ** (1 / fit.slope) if budget and fit.slope > MIN_BUDGET_SLOPE else None
+            )
+            breaks_at = (
+                breaks_at if breaks_at and breaks_at <= MAX_EXTRAPOLATION_FACTOR * TARGET_BALANCERS else None
+            )
+            fitted.append(
                 {
                     "role": role,
-                    "what": what,
+                    "what": description,
                     "key": key,
                     "points": points,
                     "budget": budget,
@@ -242,15 +255,15 @@
                     "residual": fit.residual,
                     "error": fit.error,
                     "at_target": fit.at(TARGET_BALANCERS),
-                    "breaks_at": breaks,
+                    "breaks_at": breaks_at,
                 }
             )
-    return told
+    return fitted
 
 
 def fit_lines(fitted: list[dict[str, Any]]) -> list[str]:
-    """Plain text of them."""
-    told = []
+    """The fits as lines of text."""
+    lines = []
     for row in fitted:
         line = (
             f"{row['role']}: {row['what']} = {row['factor']:.4g} * balancers ** {row['slope']:.3f}"
@@ -258,22 +271,26 @@
             f"at {TARGET_BALANCERS} extrapolated {row['at_target']:.4g}"
         )
         line += f", budget {row['budget']:g}" if row["budget"] else ""
-        told.append(line + (f", reached at {row['breaks_at']:.0f}" if row["breaks_at"] else ""))
-    return told
+        lines.append(line + (f", reached at {row['breaks_at']:.0f}" if row["breaks_at"] else ""))
+    return lines
 
 
-# Processes of our own.
+# Child processes.
 
 
 def die_with_parent() -> None:
-    """In the child, before it is anything else: it dies with us, and an interrupt at the terminal is ours."""
-    ctypes.CDLL(None).prctl(DIE_WITH_PARENT, signal.SIGKILL)
+    """Runs in a child before `exec`: the kernel kills the child when this process ends, and an interrupt at
+    the terminal goes to this process alone."""
+    ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     os.setsid()
 
 
 def run_child(kind: str, plan: Plan, seed: int, quiet: bool, size: int = 0) -> dict[str, Any]:
-    """What a process of its own found. Raises ScenarioError with its last line if it could not."""
-    asked = json.dumps(
+    """Runs a task in a child process and returns its result: the task "run", or "weigh" with a `size`.
+
+    Raises ScenarioError with the child's last line of errors if it fails.
+    """
+    task = json.dumps(
         {"kind": kind, "plan": msgspec.to_builtins(plan), "seed": seed, "quiet": quiet, "size": size}
     ).encode()
     process = subprocess.Popen(
@@ -285,34 +302,35 @@
         env=os.environ | {"PYTHONPATH": os.pathsep.join(filter(None, sys.path))},
     )
     try:
-        told, said = process.communicate(asked)
+        output, errors = process.communicate(task)
     finally:
         end_process(process)
     if process.returncode:
-        last = (said or b"").decode(errors="replace").strip().splitlines()[-1:] or ["see above"]
-        raise ScenarioError(last[0].removeprefix("bellrack lab: "))
-    return json.loads(told)
+        last_line = (errors or b"").decode(errors="replace").strip().splitlines()[-1:] or ["see above"]
+        raise ScenarioError(last_line[0].removeprefix("bellrack lab: "))
+    return json.loads(output)
 
 
 def end_process(process: subprocess.Popen) -> None:
-    """By its id, if it still runs."""
+    """Kills a child that still runs, by its id."""
     if process.poll() is None:
         process.kill()
         with contextlib.suppress(subprocess.TimeoutExpired):
-            process.wait(LAST_WORD)
+            process.wait(KILL_WAIT_SECONDS)
 
 
 def run_child_task() -> int:
-    """In the child: what is asked comes on standard input, the answer goes to standard output."""
-    asked = json.loads(sys.stdin.buffer.read())
-    plan = parse_plan(asked["plan"], asked["plan"]["name"])
+    """In a child: reads the task from standard input, writes the result to standard output, returns the exit
+    code."""
+    task = json.loads(sys.stdin.buffer.read())
+    plan = parse_plan(task["plan"], task["plan"]["name"])
     try:
-        if asked["kind"] == "weigh":
-            told = measure_memory(plan, asked["seed"], asked["size"])
+        if task["kind"] == "weigh":
+            result = measure_memory(plan, task["seed"], task["size"])
         else:
-            told = play(plan, asked["seed"], asked["quiet"])
+            result = play(plan, task["seed"], task["quiet"])
     except ScenarioError as error:
         print(f"bellrack lab: {error}", file=sys.stderr)
         return 2
-    sys.stdout.write(json.dumps(told))
+    sys.stdout.write(json.dumps(result))
     return 0
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -1,7 +1,7 @@
-"""A scale run on virtual time: hollow balancers and discovery on one heap of events.
+"""A scale run on virtual time: hollow balancers and the discovery stub on one event queue.
 
-Owns the virtual loop, streams and datagrams. The same plan and seed give the same
-counts to the digit; it reads no clock but that of the processor, which goes into no count.
+Provides the virtual event loop, the virtual streams and the virtual datagrams. The same plan and seed give
+exactly the same counts. The only clock read here is processor time, which enters no count.
 """
 
 from __future__ import annotations
@@ -26,29 +26,32 @@
 from bellrack.model import Server
 from bellrack.net import lines
 
-PLACE = "127.0.0.1:1"  # of discovery and servers: an address that nobody dials
-LOOK = 0.5  # virtual seconds between looks at memory
-BUILT = 100  # balancers between them at the start
+UNUSED_ADDRESS = "127.0.0.1:1"  # of discovery and of servers: no socket is ever connected to it
+CHECK_INTERVAL_SECONDS = 0.5  # virtual time between two checks of memory
+BALANCERS_PER_CHECK = 100  # balancers created between two checks of memory at the start
 
 
 class Timer:
-    """A handle as a loop gives one."""
+    """The handle of a scheduled call, as `asyncio.TimerHandle`."""
 
-    __slots__ = ("what", "values")
+    __slots__ = ("callback", "args")
 
-    def __init__(self, what: Callable, values: tuple):
-        self.what, self.values = what, values
+    def __init__(self, callback: Callable, args: tuple):
+        self.callback, self.args = callback, args
 
     def cancel(self) -> None:
-        self.what = None
+        self.callback = None
 
     def fire(self) -> None:
-        if self.what:
-            self.what(*self.values)
+        if self.callback:
+            self.callback(*self.args)
 
 
 class VirtualLoop(EventQueue):
-    """As much of a loop as a node asks for."""
+    """The part of an asyncio event loop that a node uses, on virtual time.
+
+    `connect(requester)` opens a discovery request, or registers a lean balancer that watches the list.
+    """
 
     def __init__(self, connect: Callable[[Any], None]):
         super().__init__()
@@ -57,79 +60,79 @@
     def time(self) -> float:
         return self.now
 
-    def call_at(self, when: float, what: Callable, *values: Any) -> Timer:
-        timer = Timer(what, values)
+    def call_at(self, when: float, callback: Callable, *args: Any) -> Timer:
+        timer = Timer(callback, args)
         self.schedule_at(when, TIMER, timer.fire)
         return timer
 
-    def call_later(self, wait: float, what: Callable, *values: Any) -> Timer:
-        return self.call_at(self.now + wait, what, *values)
+    def call_later(self, delay: float, callback: Callable, *args: Any) -> Timer:
+        return self.call_at(self.now + delay, callback, *args)
 
-    def call_soon(self, what: Callable, *values: Any) -> None:
-        self.schedule_at(self.now, TIMER, what, *values)
+    def call_soon(self, callback: Callable, *args: Any) -> None:
+        self.schedule_at(self.now, TIMER, callback, *args)
 
 
 class Stream:
-    """One end of a virtual connection, as a transport."""
+    """One end of a virtual connection in `zone`, with the interface of an asyncio transport."""
 
-    def __init__(self, world: VirtualTier, protocol: Any, zone: int):
-        self.world, self.protocol, self.zone = world, protocol, zone
-        self.other: Stream | None = None
-        self.closing = self.lost = self.held = False
-        self.waiting = b""
+    def __init__(self, tier: VirtualTier, protocol: Any, zone: int):
+        self.tier, self.protocol, self.zone = tier, protocol, zone
+        self.other_end: Stream | None = None
+        self.closing = self.lost = self.paused = False
+        self.unread = b""  # received, but not yet passed to the protocol
 
     def write(self, data: bytes) -> None:
         if not self.closing:
-            self.world.carry(self, self.other.comes, data)
+            self.tier.transmit(self, self.other_end.on_data, data)
 
     def close(self) -> None:
         if not self.closing:
             self.closing = True
-            self.world.carry(self, self.other.ends)
-            self.world.loop.call_soon(self.gone, None)
+            self.tier.transmit(self, self.other_end.on_eof)
+            self.tier.loop.call_soon(self.on_lost, None)
 
     def abort(self) -> None:
         if not self.closing:
             self.closing = True
-            self.world.carry(self, self.other.gone, ConnectionResetError())
-        self.world.loop.call_soon(self.gone, None)
+            self.tier.transmit(self, self.other_end.on_lost, ConnectionResetError())
+        self.tier.loop.call_soon(self.on_lost, None)
 
-    def gone(self, error: Exception | None) -> None:
+    def on_lost(self, error: Exception | None) -> None:
         self.closing = True
         if not self.lost:
             self.lost = True
             self.protocol.connection_lost(error)
 
-    def ends(self) -> None:
+    def on_eof(self) -> None:
         if not self.lost and not self.protocol.eof_received():
             self.close()
 
-    def comes(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         if self.lost:
             return
         if hasattr(self.protocol, "data_received"):
             self.protocol.data_received(data)
         else:
-            self.waiting += data
-            self.fill()
-
-    def fill(self) -> None:
-        """As much as the other side has room for."""
-        data, self.waiting = memoryview(self.waiting), b""
-        while len(data) and not self.held:
-            room = self.protocol.get_buffer(-1)
-            count = min(len(room), len(data))
-            room[:count] = data[:count]
+            self.unread += data
+            self.fill_buffers()
+
+    def fill_buffers(self) -> None:
+        """Copies unread data into the protocol's buffers until it pauses reading."""
+        data, self.unread = memoryview(self.unread), b""
+        while len(data) and not self.paused:
+            buffer = self.protocol.get_buffer(-1)
+            count = min(len(buffer), len(data))
+            buffer[:count] = data[:count]
             data = data[count:]
             self.protocol.buffer_updated(count)
-        self.waiting = bytes(data)
+        self.unread = bytes(data)
 
     def pause_reading(self) -> None:
-        self.held = True
+        self.paused = True
 
     def resume_reading(self) -> None:
-        self.held = False
-        self.world.loop.call_soon(self.fill)
+        self.paused = False
+        self.tier.loop.call_soon(self.fill_buffers)
 
     def is_closing(self) -> bool:
         return self.closing
@@ -141,81 +144,94 @@
 
 
 class VirtualDiscoveryRequest(DiscoveryRequest):
+    """A discovery request over a virtual connection."""
+
     def open(self, address: tuple[str, int], wait: float) -> None:
         self.node.loop.connect(self)
 
 
-class OnVirtualTime:
-    """A node whose clock is its loop's."""
+class VirtualClock:
+    """Mixin for a node: reads the time from its loop."""
 
-    anchor = property(lambda self: 0.0, lambda self, value: None)  # its loop's clock is all there is
+    # Node sets this to the difference of wall clock and loop clock; here the loop's clock serves as both.
+    anchor = property(lambda self: 0.0, lambda self, value: None)
     loop: VirtualLoop
 
     def clock(self) -> float:
         return self.loop.now
 
 
-class VirtualHollowBalancer(OnVirtualTime, HollowBalancer): ...
+class VirtualHollowBalancer(VirtualClock, HollowBalancer): ...
+
 
+class VirtualLeanBalancer(VirtualClock, LeanBalancer):
+    """A lean balancer on virtual time."""
 
-class VirtualLeanBalancer(OnVirtualTime, LeanBalancer):
     def watch(self, on: bool = True) -> None:
         if on:
             self.loop.connect(self)
 
 
 class VirtualTier(Tier):
-    """The tier, discovery and the network between them."""
+    """The balancers of a plan, the discovery stub and the network between them, on virtual time."""
 
-    def __init__(self, plan: Plan, seed: int, guard: MemoryGuard, played: int = 0):
-        """`played`: so many balancers of the tier alone are there, for a measurement of memory."""
+    def __init__(self, plan: Plan, seed: int, guard: MemoryGuard, balancer_count: int = 0):
+        """Creates `balancer_count` of the plan's balancers, to measure their memory; 0: all of them.
+
+        Raises ScenarioError when memory runs out.
+        """
         super().__init__(plan, seed, guard)
         self.event_queue = self.loop = VirtualLoop(self.connect)
-        self.played = 0.0
-        self.configuration = configuration_factory(plan, PLACE)
-        self.discovery_stub = DiscoveryStub(plan, self.loop, lambda number: PLACE)
-        self.shared: dict[int, Server] = {}
-        self.watching: dict[LeanBalancer, None] = {}
+        self.elapsed = 0.0  # virtual seconds since the start of the run
+        self.configuration = configuration_factory(plan, UNUSED_ADDRESS)
+        self.discovery_stub = DiscoveryStub(plan, self.loop, lambda number: UNUSED_ADDRESS)
+        self.shared_servers: dict[int, Server] = {}
+        self.lean_watchers: dict[LeanBalancer, None] = {}
         if plan.lean:
-            self.keeper = VirtualHollowBalancer(
+            self.list_holder = VirtualHollowBalancer(
                 self.configuration(0, 0, 0), self.loop, figures.Measurements(), self.send_datagram
             )
-            self.keeper.alive = False  # it keeps the list, and does nothing of its own
-            self.keeper.server_list.on_list(lines.parse_list(lines.parse_json(self.discovery_stub.whole())))
-            self.shared = self.keeper.servers
-        for number in range(played or plan.balancers):
+            self.list_holder.alive = False  # it parses the list for all lean balancers and does nothing else
+            self.list_holder.server_list.on_list(
+                lines.parse_list(lines.parse_json(self.discovery_stub.full_list()))
+            )
+            self.shared_servers = self.list_holder.servers
+        for number in range(balancer_count or plan.balancers):
             self.measurements.append(figures.Measurements())
             self.hollow.append(number)
             self.nodes[number] = self.make_balancer(number)
-            if number % BUILT == 0:
-                guard.check(f"with {number} balancers made")
+            if number % BALANCERS_PER_CHECK == 0:
+                guard.check(f"with {number} balancers created")
 
     def make_balancer(self, number: int) -> HollowBalancer:
         config = self.configuration(number, self.zone(number), self.balancer_seeds.draw_seed())
-        form = self.measurements[number]
+        measurements = self.measurements[number]
         if self.plan.lean:
-            node = VirtualLeanBalancer(config, self.loop, form, self.send_datagram, self.shared)
+            node = VirtualLeanBalancer(
+                config, self.loop, measurements, self.send_datagram, self.shared_servers
+            )
         else:
-            node = VirtualHollowBalancer(config, self.loop, form, self.send_datagram)
+            node = VirtualHollowBalancer(config, self.loop, measurements, self.send_datagram)
         node.on_connection_moved = lambda: self.loop.call_soon(self.open_elsewhere, node)
         node.start()
         return node
 
     # The network.
 
-    def delay(self, one: int, other: int, jitter: float = 0.0) -> float:
+    def delay(self, from_zone: int, to_zone: int, jitter: float = 0.0) -> float:
+        """One-way delay in seconds; `jitter` from 0 to 1 is the part of the plan's jitter that is added."""
         latency = self.plan.latency
-        way = (
+        base = (
             latency.zone
-            if one == other
+            if from_zone == to_zone
             else latency.region
-            if self.region(one) == self.region(other)
+            if self.region(from_zone) == self.region(to_zone)
             else latency.far
         )
-        return way * (1 + latency.jitter * jitter)
+        return base * (1 + latency.jitter * jitter)
 
     def send_datagram(self, sender: HollowBalancer, peer: int | None, data: bytes) -> None:
-        """A datagram goes out; to all others if there is no peer."""
+        """Sends a datagram to the balancer `peer`, or to all others if it is None."""
         if not sender.alive:
             return
         number, count = sender.number, len(self.measurements)
@@ -229,87 +245,103 @@
         sender.measurements.count_sent(data, len(receivers), peer is None)
         if peer is None:
             self.last_broadcaster = number
-        here, draw = self.zone(number), self.network_draws.uniform
-        for other in receivers:
-            if not self.drops_datagram(number, other):
-                wait = self.delay(here, self.zone(other), draw())
-                self.loop.schedule_after(wait, RESULT, self.arrive, other, number, data)
+        zone, draw = self.zone(number), self.network_draws.uniform
+        for receiver in receivers:
+            if not self.drops_datagram(number, receiver):
+                delay = self.delay(zone, self.zone(receiver), draw())
+                self.loop.schedule_after(delay, RESULT, self.deliver_datagram, receiver, number, data)
 
-    def arrive(self, receiver: int, sender: int, data: bytes) -> None:
+    def deliver_datagram(self, receiver: int, sender: int, data: bytes) -> None:
         self.nodes[receiver].receive_datagram(sender, data)
 
-    def connect(self, question: Any) -> None:
-        """A call of discovery, which stands in zone 0."""
-        node = getattr(question, "node", question)
+    def connect(self, requester: Any) -> None:
+        """Connects a discovery request, or a lean balancer's watch, to the discovery stub in zone 0."""
+        node = getattr(requester, "node", requester)
         zone = self.zone(node.number)
-        if isinstance(question, LeanBalancer):
-            self.loop.schedule_after(2 * self.delay(zone, 0), NEWS, self.lean_watch, question)
+        if isinstance(requester, LeanBalancer):
+            self.loop.schedule_after(2 * self.delay(zone, 0), NEWS, self.start_lean_watch, requester)
             return
-        ours, theirs = Stream(self, question, zone), Stream(self, CountedWatch(self.discovery_stub), 0)
-        ours.other, theirs.other = theirs, ours
-        self.carry(theirs, self.comes_up, ours, theirs)
+        client, server = (
+            Stream(self, requester, zone),
+            Stream(self, CountedWatch(self.discovery_stub), 0),
+        )
+        client.other_end, server.other_end = server, client
+        self.transmit(server, self.establish, client, server)
 
-    def comes_up(self, ours: Stream, theirs: Stream) -> None:
-        if ours.protocol.closed or not ours.protocol.node.alive:
+    def establish(self, client: Stream, server: Stream) -> None:
+        if client.protocol.closed or not client.protocol.node.alive:
             return
-        theirs.protocol.connection_made(theirs)
-        ours.protocol.connection_made(ours)
-
-    def carry(self, stream: Stream, what: Callable, *values: Any) -> None:
-        """To a stream's other end, in order; a cut holds it up, as what is sent again comes through then."""
-        one, other = stream.zone, stream.other.zone
-        when = self.now + self.delay(one, other)
-        if self.partitioned(one, other):
-            when += max(self.cut_until.get(self.region(zone), 0.0) for zone in (one, other)) - self.now
-        self.loop.schedule_at(when, NEWS, what, *values)
-
-    def lean_watch(self, node: LeanBalancer) -> None:
+        server.protocol.connection_made(server)
+        client.protocol.connection_made(client)
+
+    def transmit(self, stream: Stream, callback: Callable, *args: Any) -> None:
+        """Calls `callback` once data sent on the stream has reached its other end, in the order of sending.
+
+        Between partitioned zones this waits for the end of the partition: TCP retransmits what was lost.
+        """
+        from_zone, to_zone = stream.zone, stream.other_end.zone
+        when = self.now + self.delay(from_zone, to_zone)
+        if self.partitioned(from_zone, to_zone):
+            when += (
+                max(self.cut_until.get(self.region(zone), 0.0) for zone in (from_zone, to_zone)) - self.now
+            )
+        self.loop.schedule_at(when, NEWS, callback, *args)
+
+    def start_lean_watch(self, node: LeanBalancer) -> None:
         if node.alive and node is self.nodes[node.number]:
-            self.watching[node] = None
-            self.lean_told(node, self.discovery_stub.whole())
+            self.lean_watchers[node] = None
+            self.send_lean_update(node, self.discovery_stub.full_list())
             self.discovery_stub.measurements.watches += 1
 
-    def lean_told(self, node: LeanBalancer, line: bytes) -> None:
-        count = len(line) + len(b"%x\r\n\r\n" % len(line))
-        self.discovery_stub.measurements.bytes_out += count
+    def send_lean_update(self, node: LeanBalancer, line: bytes) -> None:
+        """Counts the bytes of a line with its HTTP chunk framing; the balancer gets only their number."""
+        byte_count = len(line) + len(b"%x\r\n\r\n" % len(line))
+        self.discovery_stub.measurements.bytes_out += byte_count
         self.discovery_stub.measurements.lines += 1
-        self.loop.schedule_after(self.delay(0, self.zone(node.number)), NEWS, node.queue, node.takes, count)
+        self.loop.schedule_after(
+            self.delay(0, self.zone(node.number)), NEWS, node.queue, node.receive_list, byte_count
+        )
 
-    def tell_change(self, number: int, state: str) -> None:
-        line = self.discovery_stub.change(number, state)
+    def change_server(self, number: int, state: str) -> None:
+        line = self.discovery_stub.change_server(number, state)
         if self.plan.lean:
-            self.keeper.server_list.on_list(lines.parse_list(lines.parse_json(line)))
-            for node in list(self.watching):
+            self.list_holder.server_list.on_list(lines.parse_list(lines.parse_json(line)))
+            for node in list(self.lean_watchers):
                 if not node.alive:
-                    del self.watching[node]
+                    del self.lean_watchers[node]
                 elif not self.partitioned(0, self.zone(node.number)):
-                    self.lean_told(node, line)
+                    self.send_lean_update(node, line)
 
     # The run.
 
-    def play(self, tell: Callable[[float], None] = lambda at: None) -> VirtualTier:
-        """Raises ScenarioError when memory runs out."""
+    def play(self, on_progress: Callable[[float], None] = lambda elapsed: None) -> VirtualTier:
+        """Runs the whole plan. `on_progress` gets the elapsed virtual seconds after each step.
+
+        Raises ScenarioError when memory runs out.
+        """
         plan = self.plan
         self.schedule_events()
-        gc.disable()  # guards against time of the collector that grows with all balancers of the process
+        gc.disable()  # a collection takes longer with each balancer of the process, and would count as a turn
         try:
             with use_discovery_request(VirtualDiscoveryRequest):
-                self.run_through(plan, tell)
+                self.run_phases(plan, on_progress)
         finally:
             gc.enable()
         self.faults += sum(node.counters["faults"] for node in self.nodes.values() if node.alive)
         return self
 
-    def run_through(self, plan: Plan, tell: Callable[[float], None]) -> None:
-        self.run_to(plan.warm_up, tell)
+    def run_phases(self, plan: Plan, on_progress: Callable[[float], None]) -> None:
+        """The warm-up, then the period in which counts are taken."""
+        self.run_to(plan.warm_up, on_progress)
         self.reset_counts()
-        self.run_to(plan.warm_up + plan.duration, tell)
+        self.run_to(plan.warm_up + plan.duration, on_progress)
 
-    def run_to(self, end: float, tell: Callable[[float], None]) -> None:
+    def run_to(self, end: float, on_progress: Callable[[float], None]) -> None:
+        """Runs until `end` virtual seconds have elapsed."""
         length = self.plan.warm_up + self.plan.duration
-        while self.played < end:
-            self.played = min(end, self.played + LOOK)
-            self.loop.run(START + self.played)
-            gc.collect(1)  # between turns, in no turn's time
-            tell(self.played)
-            self.guard.check(f"at {self.played:g} s of {length:g}")
+        while self.elapsed < end:
+            self.elapsed = min(end, self.elapsed + CHECK_INTERVAL_SECONDS)
+            self.loop.run(START + self.elapsed)
+            gc.collect(1)  # between turns, so that it counts in no turn's time
+            on_progress(self.elapsed)
+            self.guard.check(f"at {self.elapsed:g} s of {length:g}")
