--- a/bellrack/lab/scale/plan.py
+++ b/bellrack/lab/scale/plan.py
@@ -1,7 +1,7 @@
-"""The file of a scale run: sizes, rates and troubles of one tier.
+"""The plan file of a scale run: sizes, rates and troubles of one tier.
 
-Owns the schema, its reading from TOML and every check on it. Times are seconds, shares lie between 0 and 1.
-It never draws by chance and never plays anything. How a file is refused is the lab's: file, key, reason.
+Defines the schema, reads it from TOML and validates it. Times are in seconds, shares lie between 0 and 1. An
+invalid file is reported as the lab's other files are: file, key, reason.
 """
 
 from __future__ import annotations
@@ -25,14 +25,15 @@
     read_tables,
 )
 
-TARGET_BALANCERS = 4800  # balancers, for which restarts are stated
-RESTARTS_PER_HOUR = 54.0  # an hour there: 1,300 of a day
-MAX_REAL_BALANCERS = 20
-SERVERS_PER_BALANCER = 1.25  # servers, in a sweep: 6,000 to 4,800
+TARGET_BALANCERS = 4800  # the largest tier; `restarts` of a plan refers to this size
+RESTARTS_PER_HOUR = 54.0  # in a tier of TARGET_BALANCERS: 1,300 a day
+MAX_REAL_BALANCERS = 20  # each is a process
+SERVERS_PER_BALANCER = 1.25  # 6,000 servers to 4,800 balancers
 
 
 class Latency(StrictTable):
-    """One-way delays; `jitter` is the largest share added to each datagram's by chance."""
+    """One-way delays within a zone, within a region and between regions. A random share of up to `jitter` is
+    added to the delay of each datagram."""
 
     zone: Delay = 0.0003
     region: Delay = 0.0015
@@ -41,66 +42,70 @@
 
 
 class Connections(StrictTable):
-    """What hollow balancers hold, so that they have something to tell."""
+    """The connections of hollow balancers, about which they have to inform one another."""
 
-    servers: Count = 60  # of its zone, at which a balancer holds any; or all of it if there are fewer
-    each: Annotated[float, Meta(ge=1, le=1000)] = 2.0  # connections at such a server, on the mean
-    changes: Annotated[float, Meta(ge=0, le=1000)] = 8.0  # a second and balancer: one ends, another begins
-    groups: Annotated[int, Meta(ge=0, le=65_000)] = 0  # to which connections belong; 0: none
-    setup: Delay = 0.02  # what a set-up takes
+    servers: Count = 60  # of its zone, at which a balancer holds connections; all if it has fewer
+    each: Annotated[float, Meta(ge=1, le=1000)] = 2.0  # mean number of connections at each such server
+    changes: Annotated[float, Meta(ge=0, le=1000)] = 8.0  # per second and balancer: one ends, another begins
+    groups: Annotated[int, Meta(ge=0, le=65_000)] = 0  # to which connections belong; 0: no groups
+    setup: Delay = 0.02  # duration of a set-up
 
 
 class Clients(StrictTable):
-    """Stand-in clients of each real balancer."""
+    """Stub clients of each real balancer."""
 
-    standing: Annotated[int, Meta(ge=0, le=500)] = 10
-    life: Annotated[float, Meta(ge=0.5, le=3600)] = 10.0  # seconds on the mean
+    standing: Annotated[int, Meta(ge=0, le=500)] = 10  # number of them
+    life: Annotated[float, Meta(ge=0.5, le=3600)] = 10.0  # mean seconds that a connection lasts
 
 
 class Limits(StrictTable):
-    memory_mb: Count = 0  # of this run, its children included; 0, or more than that: half of the machine
+    """Limits on what the run itself uses."""
+
+    memory_mb: Count = 0  # of the run and its children; 0: half of the machine, the maximum
 
 
 class RackLost(Trouble, tag="rack-lost"):
-    """A share of the balancers, neighbours in number, dies at once and comes back after `lasts`; 0: never."""
+    """A share of the balancers, with successive numbers, is killed at once and restarts after `lasts`;
+    0: never."""
 
     share: Share = 0.1
     lasts: Seconds = 0.0
 
 
 class RegionCut(Trouble, tag="region-cut"):
-    """A region and the others hear nothing of one another: datagrams are lost, streams stand still."""
+    """A network partition between a region and all others: datagrams are lost, streams stall."""
 
     region: Count = 0
     lasts: Seconds = 10.0
 
 
 class AggregatorLost(Trouble, tag="aggregator-lost"):
-    """Whoever broadcast last dies and comes back after `lasts`; 0: never."""
+    """The balancer that broadcast last is killed and restarts after `lasts`; 0: never."""
 
     lasts: Seconds = 0.0
 
 
 class Plan(StrictTable, kw_only=True):
+    """The whole plan of a run."""
+
     name: Word
     about: str = ""
     time: Literal["virtual", "real"] = "virtual"
     seed: Annotated[int, Meta(ge=0)] = 1
-    balancers: Annotated[int, Meta(ge=3, le=TARGET_BALANCERS)] = 50  # hollow ones
-    real: Annotated[int, Meta(ge=0, le=MAX_REAL_BALANCERS)] = 0  # beside them, each a process
-    real_first: bool = True  # they have the lowest numbers, so that one of them may speak for others
+    balancers: Annotated[int, Meta(ge=3, le=TARGET_BALANCERS)] = 50  # hollow balancers
+    real: Annotated[int, Meta(ge=0, le=MAX_REAL_BALANCERS)] = 0  # others, each a process
+    real_first: bool = True  # real balancers get the lowest numbers, so that one may become aggregator
     servers: Annotated[int, Meta(ge=1, le=6000)] = 60
     regions: Annotated[int, Meta(ge=1, le=16)] = 3
     zones: Annotated[int, Meta(ge=1, le=64)] = 10  # in all regions together
-    warm_up: Annotated[float, Meta(ge=0, le=3600)] = 12.0  # played before anything is counted
-    duration: Annotated[float, Meta(ge=1, le=3600)] = 30.0  # counted
-    list_changes: Annotated[float, Meta(ge=0, le=600)] = 6.0  # a minute
-    restarts: Annotated[float, Meta(ge=0, le=1e7)] = (
-        RESTARTS_PER_HOUR  # an hour in a tier of 4,800; less by size
-    )
-    down: Seconds = 2.0  # a restarted one is gone for
+    warm_up: Annotated[float, Meta(ge=0, le=3600)] = 12.0  # run before counts are taken
+    duration: Annotated[float, Meta(ge=1, le=3600)] = 30.0  # of the period in which counts are taken
+    list_changes: Annotated[float, Meta(ge=0, le=600)] = 6.0  # per minute
+    restarts: Annotated[float, Meta(ge=0, le=1e7)] = RESTARTS_PER_HOUR  # at 4,800; in proportion to size
+    down: Seconds = 2.0  # of a restarted balancer
     loss: Share = 0.0  # of datagrams
-    lean: bool = False  # one list, parsed once, is shared by all hollow balancers
+    lean: bool = False  # all hollow balancers share one list, which is parsed once
+    # Two numbers of balancers, the difference of which gives the memory of one; []: not measured.
     memory_sizes: Annotated[list[int], Meta(max_length=2)] = field(default_factory=lambda: [8, 40])
     latency: Latency = field(default_factory=Latency)
     connections: Connections = field(default_factory=Connections)
@@ -112,21 +117,22 @@
 
     @property
     def total_balancers(self) -> int:
+        """Hollow and real balancers together."""
         return self.balancers + self.real
 
 
 def read_plan(path: str | Path) -> Plan:
-    """The plan of a file. Raises ScenarioError."""
+    """Reads a plan file. Raises ScenarioError for one that is invalid."""
     return parse_plan(read_tables(path), str(path))
 
 
 def parse_plan(raw: dict[str, Any], source: str = "plan") -> Plan:
-    """A plan from the tables of its file. Raises ScenarioError."""
-    return parse_tables(raw, Plan, source, _faults)
+    """Builds a plan from the tables of its file; `source` names it in errors. Raises ScenarioError."""
+    return parse_tables(raw, Plan, source, _violations)
 
 
-def _faults(plan: Plan):
-    """What no schema of single values can say: pairs of key and reason."""
+def _violations(plan: Plan):
+    """Yields key and reason of each violation that the schema of single values cannot express."""
     if plan.regions > plan.zones:
         yield "regions", f"{plan.regions}, more than the {plan.zones} zones"
     if plan.real and plan.time == "virtual":
@@ -154,14 +160,14 @@
 
 
 def resize_plan(plan: Plan, balancers: int) -> Plan:
-    """The same at another size, servers in proportion. Raises ScenarioError."""
+    """The same plan for another number of balancers, with servers in proportion. Raises ScenarioError."""
     servers = max(1, round(plan.servers * balancers / plan.balancers))
-    changed = msgspec.structs.replace(plan, balancers=balancers, servers=servers)
-    return parse_plan(msgspec.to_builtins(changed), plan.name)
+    resized = msgspec.structs.replace(plan, balancers=balancers, servers=servers)
+    return parse_plan(msgspec.to_builtins(resized), plan.name)
 
 
 def balancer_settings(plan: Plan, zone: int, number: int) -> dict[str, Any]:
-    """The settings object of a balancer's configuration."""
+    """The `settings` object of the configuration of balancer `number` in a zone."""
     return {
         "areas": [zone_name(plan, index) for index in range(plan.zones)],
         "az": zone,
@@ -192,8 +198,10 @@
 
 
 def region_of(plan: Plan, zone: int) -> int:
+    """The region that a zone belongs to."""
     return zone % plan.regions
 
 
 def zone_name(plan: Plan, zone: int) -> str:
+    """The name of a zone, which includes its region."""
     return f"r{region_of(plan, zone)}z{zone}"
