--- a/bellrack/lab/scale/__init__.py
+++ b/bellrack/lab/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs: hollow balancers, hundreds to thousands in a process, and what each role of a tier costs."""
+"""Scale runs: hundreds to thousands of hollow balancers in one process, and the cost of each role."""
--- a/bellrack/lab/scale/__main__.py
+++ b/bellrack/lab/scale/__main__.py
@@ -1,4 +1,4 @@
-"""A process of a sweep or a weighing."""
+"""Entry point of a child process: one size of a sweep, or a measurement of memory."""
 
 import sys
 
