--- a/bellrack/lab/scale/discovery_stub.py
+++ b/bellrack/lab/scale/discovery_stub.py
@@ -15,7 +15,7 @@
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.plan import Plan, zone_name
 
-DRAIN_SECONDS = 10.0  # from the begin of a server's drain to its end
+DRAIN_SECONDS = 10.0  # from the start of a server's drain to its end
 KEPT_CHANGES = 512  # a renewed watch that missed more gets the whole list
 
 
--- a/bellrack/lab/scale/tier.py
+++ b/bellrack/lab/scale/tier.py
@@ -64,7 +64,7 @@
         return zone != other_zone and (zone in self.cut_regions or other_zone in self.cut_regions)
 
     def drops_datagram(self, sender: int, receiver: int) -> bool:
-        """Decides, and counts, whether a datagram between these two balancers is lost."""
+        """Decides whether a datagram between these two balancers is lost, and counts it if so."""
         if (
             self.cut_regions
             and self.partitioned(self.zone(sender), self.zone(receiver))
@@ -81,7 +81,7 @@
         self.lost_datagrams = self.restarts = 0
 
     def schedule_events(self) -> None:
-        """Schedules all that the plan has happen in the run."""
+        """Schedules the events of the plan."""
         plan = self.plan
         for number in self.hollow:
             self.event_queue.schedule_after(plan.warm_up * 0.25, TROUBLE, self.open_connections, number)
@@ -128,6 +128,7 @@
             node.queue(self.open_at, node, node.own_servers[int(draw() * len(node.own_servers))])
 
     def schedule_connection_change(self) -> None:
+        """Schedules the next change of a connection after an exponentially distributed delay."""
         mean_seconds = 1 / (self.plan.connections.changes * len(self.hollow))
         self.event_queue.schedule_after(
             self.connection_draws.exponential(mean_seconds), TROUBLE, self.change_connection
@@ -162,11 +163,13 @@
                 self.event_queue.schedule_after(lasts, TROUBLE, self.restart, number)
 
     def restart(self, number: int) -> None:
+        """Replaces a killed balancer by a new one of the same number."""
         self.restarts += 1
         self.nodes[number] = self.make_balancer(number)
         self.event_queue.schedule_after(RECONNECT_DELAY_SECONDS, TROUBLE, self.open_connections, number)
 
     def restart_random_balancer(self) -> None:
+        """Kills a random balancer, which restarts, and schedules the next such restart."""
         self.kill(self.hollow[int(self.streams["restarts"].uniform() * len(self.hollow))], self.plan.down)
         self.schedule_at_random(
             "restarts",
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -252,6 +252,7 @@
                 self.loop.schedule_after(delay, RESULT, self.deliver_datagram, receiver, number, data)
 
     def deliver_datagram(self, receiver: int, sender: int, data: bytes) -> None:
+        """Passes a datagram to its receiver, both given by number."""
         self.nodes[receiver].receive_datagram(sender, data)
 
     def connect(self, requester: Any) -> None:
@@ -269,6 +270,7 @@
         self.transmit(server, self.establish, client, server)
 
     def establish(self, client: Stream, server: Stream) -> None:
+        """Completes the set-up of a connection, unless its request or its balancer has ended."""
         if client.protocol.closed or not client.protocol.node.alive:
             return
         server.protocol.connection_made(server)
@@ -288,13 +290,14 @@
         self.loop.schedule_at(when, NEWS, callback, *args)
 
     def start_lean_watch(self, node: LeanBalancer) -> None:
+        """Begins a lean balancer's watch with the whole list, unless the balancer has ended."""
         if node.alive and node is self.nodes[node.number]:
             self.lean_watchers[node] = None
             self.send_lean_update(node, self.discovery_stub.full_list())
             self.discovery_stub.measurements.watches += 1
 
     def send_lean_update(self, node: LeanBalancer, line: bytes) -> None:
-        """Counts the bytes of a line with its HTTP chunk framing; the balancer gets only their number."""
+        """Counts the bytes of a line with its HTTP chunk framing; the balancer gets only that number."""
         byte_count = len(line) + len(b"%x\r\n\r\n" % len(line))
         self.discovery_stub.measurements.bytes_out += byte_count
         self.discovery_stub.measurements.lines += 1
@@ -321,7 +324,8 @@
         """
         plan = self.plan
         self.schedule_events()
-        gc.disable()  # a collection takes longer with each balancer of the process, and would count as a turn
+        # The time of a collection grows with all balancers of the process, but would count in the turn of one.
+        gc.disable()
         try:
             with use_discovery_request(VirtualDiscoveryRequest):
                 self.run_phases(plan, on_progress)
