--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -324,7 +324,7 @@
         """
         plan = self.plan
         self.schedule_events()
-        # The time of a collection grows with all balancers of the process, but would count in the turn of one.
+        # The time of a collection grows with the number of balancers, but would count in the turn of one.
         gc.disable()
         try:
             with use_discovery_request(VirtualDiscoveryRequest):
