--- a/tests/test_lab_live.py
+++ b/tests/test_lab_live.py
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-def children(of):
+def descendants(of):
     """Processes whose parent is this one, and theirs."""
     found = []
     for entry in Path("/proc").iterdir():
@@ -33,11 +33,11 @@
             except (OSError, IndexError):
                 continue
             if parent == of:
-                found += [int(entry.name), *children(int(entry.name))]
+                found += [int(entry.name), *descendants(int(entry.name))]
     return found
 
 
-def gone(pids, within=10.0):
+def all_ended(pids, within=10.0):
     """Have all of them ended by then?"""
     end = time.monotonic() + within
     while time.monotonic() < end:
@@ -54,7 +54,7 @@
         return False
 
 
-def until(true, within=20.0):
+def wait_until(true, within=20.0):
     end = time.monotonic() + within
     while not (value := true()):
         assert time.monotonic() < end, "it never came"
@@ -87,12 +87,12 @@
             type=[{"name": "view"}, {"name": "order", "effect": "once-only"}],
         )
     )
-    before, own = set(os.listdir("/proc/self/fd")), children(os.getpid())
+    before, own = set(os.listdir("/proc/self/fd")), descendants(os.getpid())
     result = live.run(scenario, 3, trace=str(tmp_path / "trace"), logs=str(tmp_path / "logs"), quiet=True)
     assert result["kept"], result["rules"]
     assert result["completed"] > 40 and result["service"] > 0.3
     assert result["results"].get("reset", 0) > 0 and result["store_calls"] > 40
-    assert children(os.getpid()) == own and set(os.listdir("/proc/self/fd")) == before
+    assert descendants(os.getpid()) == own and set(os.listdir("/proc/self/fd")) == before
     logs = "".join(path.read_text() for path in (tmp_path / "logs").iterdir())
     assert "event=fault" not in logs and "event=loop" not in logs
     assert len(list((tmp_path / "logs").iterdir())) == 3  # one balancer was killed and started again
@@ -111,10 +111,12 @@
             stderr=subprocess.DEVNULL,
         )
         try:
-            started = until(lambda lab=lab: (found := children(lab.pid)) and len(found) == 4 and found)
+            started = wait_until(
+                lambda lab=lab: (found := descendants(lab.pid)) and len(found) == 4 and found
+            )
             lab.send_signal(number)
             assert lab.wait(20) == code
-            assert gone(started)
+            assert all_ended(started)
         finally:
             lab.kill()
             lab.wait()
@@ -125,10 +127,10 @@
         raise RuntimeError("a fault of the lab")
 
     monkeypatch.setattr(live.LiveWorld, "do_stall", faulty)
-    own = children(os.getpid())
+    own = descendants(os.getpid())
     with pytest.raises(RuntimeError, match="a fault of the lab"):
         live.run(parse_scenario(raw({"kind": "stall", "at": 0.1})), 1, quiet=True)
-    assert children(os.getpid()) == own
+    assert descendants(os.getpid()) == own
 
 
 def test_the_port_of_a_balancer_is_held_for_it_while_it_is_down():
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 import pytest
-from test_lab_live import children, gone, until
+from test_lab_live import all_ended, descendants, wait_until
 
 from bellrack.lab import cli
 from bellrack.lab.scale import figures, real, run
@@ -244,7 +244,7 @@
 
     with mock.patch.object(subprocess.Popen, "communicate", interrupted), pytest.raises(KeyboardInterrupt):
         run.run_child("run", plan(duration=3600.0), 1, True)
-    assert len(seen) == 1 and gone(seen)  # and not by our own end
+    assert len(seen) == 1 and all_ended(seen)  # and not by our own end
 
 
 def test_a_process_that_cannot_do_it_says_why():
@@ -327,13 +327,13 @@
         start_new_session=True,
     )
     try:
-        started = until(lambda: children(process.pid), 60.0)
+        started = wait_until(lambda: descendants(process.pid), 60.0)
         os.kill(process.pid, signal.SIGINT)
         _, said = process.communicate(timeout=60)
     finally:
         process.kill()
     assert process.returncode == 130 and b"interrupted" in said and b"Traceback" not in said
-    assert gone(started)
+    assert all_ended(started)
 
 
 def real_plan(**changes):
@@ -385,7 +385,7 @@
     assert not any(node.counters["faults"] for node in tier.nodes.values())
     assert all(len(node.balancer.listing.ready) == 9 for node in tier.nodes.values())
     pids = [process.process.pid for process in tier.processes.values()]
-    assert len(pids) == 3 and gone(pids)
+    assert len(pids) == 3 and all_ended(pids)
 
 
 def test_a_real_run_stops_with_its_processes_when_memory_runs_out():
@@ -400,7 +400,7 @@
         with pytest.raises(ScenarioError, match="stopped"):
             real.play(real_plan(duration=60.0), 1, Mean(), seen.append)
         pids = [call.args[0].process.pid for call in kill.call_args_list]
-    assert len(pids) == 3 and gone(pids)
+    assert len(pids) == 3 and all_ended(pids)
 
 
 def test_an_interrupted_run_on_real_sockets_ends_its_processes(tmp_path):
@@ -420,10 +420,10 @@
         start_new_session=True,
     )
     try:
-        started = until(lambda: len(children(process.pid)) == 3 and children(process.pid), 60.0)
+        started = wait_until(lambda: len(descendants(process.pid)) == 3 and descendants(process.pid), 60.0)
         os.kill(process.pid, signal.SIGINT)
         _, said = process.communicate(timeout=60)
     finally:
         process.kill()
     assert process.returncode == 130 and b"interrupted" in said and b"Traceback" not in said
-    assert gone(started)
+    assert all_ended(started)
