--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -1,8 +1,9 @@
-"""A scenario on real sockets: bellrack serve processes before stand-in servers, all on loopback.
+"""Runs of a scenario on real sockets: bellrack serve processes with stub servers, all on loopback.
 
-Owns the processes and their end, and the world in real time: the same model of servers, store, list, front,
-clients and troubles as on virtual time, behind sockets. It leaves no process and no file behind, however it
-ends: what balancers are told lies in memory, and they die with the process that started them.
+This module starts and ends the processes, and runs in real time the model that is used on virtual time
+(servers, session store, discovery, front, clients and troubles), connected by sockets. A run leaves no
+process and no file behind, however it ends: configurations are kept in memory, and the balancers are killed
+when the process that started them dies.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 from bellrack import model
 from bellrack.lab import run as runs
-from bellrack.lab import scenario as forms
+from bellrack.lab import scenario as scenarios
 from bellrack.lab.clients import Attempt
 from bellrack.lab.event_queue import ARRIVAL, LOOK, RESULT, START, EventQueue
 from bellrack.lab.legs import Setups
@@ -43,86 +44,96 @@
 )
 from bellrack.lab.world import DATAGRAM, REORDERED, World
 
-A_PAIR = 2  # descriptors of ours for a standing connection: its client's and its server's
-SPARE = 256  # descriptors kept for all else
-A_CORE = 250  # connections that come up a second, at most, on a core
-BALANCERS_A_CORE = 4
-READY_WITHIN = 20.0  # seconds until all balancers are up, else the run is given up
-UP_WITHIN = 40.0  # seconds until all that stood before the run stands
-PING_EACH = 0.02  # seconds between looks whether a balancer is ready
-LIMIT = 0.05  # seconds added to each time limit on real sockets
-LAG_EACH = 0.05  # seconds between looks how late our own loop is
-MAX_LOOP_LAG_SECONDS = 0.2  # seconds: a loop as late as that makes the run's figures doubtful
-LAST_WORD = 5.0  # seconds that balancers get to end when a run is over
+DESCRIPTORS_PER_CONNECTION = 2  # in this process: that of the client and that of the server
+SPARE_DESCRIPTORS = 256  # for everything else
+CONNECTIONS_PER_CORE = 250  # maximum number of new connections per second
+BALANCERS_PER_CORE = 4
+READY_TIMEOUT_SECONDS = 20.0  # until all balancers are ready
+RESUME_TIMEOUT_SECONDS = 40.0  # until all connections that exist at the start are established
+POLL_INTERVAL_SECONDS = 0.02  # while waiting for balancers and connections
+TIME_LIMIT_TOLERANCE_SECONDS = 0.05  # added to each time limit of the rules on real sockets
+LAG_CHECK_INTERVAL_SECONDS = 0.05
+MAX_LOOP_LAG_SECONDS = 0.2  # with a larger lag of this process's event loop, the results are doubtful
+EXIT_TIMEOUT_SECONDS = 5.0  # for killed balancers at the end of a run
 EFFECTS = {model.REPEATABLE: "retryable", model.REFERENCED: "dedup", model.ONCE_ONLY: "fragile"}
 LIFECYCLES = {model.READY: "in_service", model.DRAINING: "terminating", model.GONE: "terminated"}
-NEGATIVE = {model.FULL: "BUSY", model.ERROR: "ERR"}
-DIE_WITH_PARENT = 1  # PR_SET_PDEATHSIG
+FAILURE_ANSWERS = {model.FULL: "BUSY", model.ERROR: "ERR"}
+PR_SET_PDEATHSIG = 1  # option of prctl(2): signal sent to a process when its parent dies
 
 
 class LiveEventQueue(EventQueue):
-    """Real time, counted from when the run is set off. What is put down before waits for that."""
+    """An event queue in real time, counted from the start of the run.
+
+    Events that are scheduled before the start are kept until then. `on_error` is called with the exception of
+    an event that fails.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, on_error: Callable[[Exception], None]):
         super().__init__()
         self.loop, self.on_error = loop, on_error
-        self.begun: float | None = None
-        self.before: list[tuple] = []
+        self.started_at: float | None = None  # loop time
+        self.pending: list[tuple] = []  # events scheduled before the start
 
     @property
     def now(self) -> float:
-        return START if self.begun is None else START + self.loop.time() - self.begun
+        """The time of the run in seconds; START until it starts."""
+        return START if self.started_at is None else START + self.loop.time() - self.started_at
 
     @now.setter
     def now(self, value: float) -> None: ...
 
     def begin(self) -> None:
-        self.begun = self.loop.time()
-        before, self.before = self.before, []
-        for when, rank, what, values in before:
-            self.schedule_at(when, rank, what, *values)
-
-    def schedule_at(self, when: float, rank: int, what: Callable, *values: object) -> None:
-        if self.begun is None:
-            self.before.append((when, rank, what, values))
+        """Start the clock and schedule the pending events."""
+        self.started_at = self.loop.time()
+        pending, self.pending = self.pending, []
+        for when, rank, callback, values in pending:
+            self.schedule_at(when, rank, callback, *values)
+
+    def schedule_at(self, when: float, rank: int, callback: Callable, *values: object) -> None:
+        """Call `callback(*values)` at a time of the run; `rank` is ignored in real time."""
+        if self.started_at is None:
+            self.pending.append((when, rank, callback, values))
         else:
-            self.loop.call_at(self.begun + when - START, self.guarded, what, values)
+            self.loop.call_at(self.started_at + when - START, self.run_event, callback, values)
 
-    def guarded(self, what: Callable, values: tuple) -> None:
+    def run_event(self, callback: Callable, values: tuple) -> None:
+        """Run an event and report its exception, if any."""
         try:
-            what(*values)
+            callback(*values)
         except Exception as error:
             self.on_error(error)
 
 
 class LiveNode(BalancerRecord):
-    """A balancer's process, and the world's side of its connections."""
+    """A balancer process, with the connections of its clients and to discovery."""
 
     world: LiveWorld
 
     def __init__(self, world: LiveWorld, name: str, number: int, zone: int, incarnation: int, seed: int):
         super().__init__(world, name, number, zone, incarnation)
-        self.seed, self.process, self.config = seed, None, -1
+        self.seed, self.process, self.config_fd = seed, None, -1
         self.discovery_conns: dict[DiscoveryConnection, None] = {}
-        self.watcher: DiscoveryConnection | None = None
-        self.version = 0
-        self.lines: dict[Attempt, ClientConnection] = {}
-        self.memory_kb = 0
+        self.watch_conn: DiscoveryConnection | None = None
+        self.list_version = 0
+        self.client_conns: dict[Attempt, ClientConnection] = {}
+        self.memory_kb = 0  # peak
 
     def turn(self, what: Callable, *values: Any) -> None:
+        """Call `what(*values)` unless the balancer has stopped."""
         if self.alive:
             what(*values)
 
-    # Its process.
+    # The process.
 
     async def start(self) -> None:
+        """Start the process, with its configuration in a memory file."""
         world = self.world
-        self.config = os.memfd_create(f"bellrack-{self.name}")
-        os.write(self.config, json.dumps(world.configuration(self)).encode())
-        path = f"/dev/fd/{self.config}"
-        errors = asyncio.subprocess.DEVNULL
+        self.config_fd = os.memfd_create(f"bellrack-{self.name}")
+        os.write(self.config_fd, json.dumps(world.configuration(self)).encode())
+        path = f"/dev/fd/{self.config_fd}"
+        stderr = asyncio.subprocess.DEVNULL
         if world.logs:
-            errors = open(world.logs / f"{self.name}-{self.incarnation}.log", "wb")  # noqa: SIM115 - the child's
+            stderr = open(world.logs / f"{self.name}-{self.incarnation}.log", "wb")  # noqa: SIM115 - for the child
         try:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -130,123 +141,131 @@
                 "bellrack",
                 "serve",
                 f"--config={path}",
-                pass_fds=[self.config],
+                pass_fds=[self.config_fd],
                 stdin=asyncio.subprocess.DEVNULL,
                 stdout=asyncio.subprocess.DEVNULL,
-                stderr=errors,
-                preexec_fn=self.limited,
+                stderr=stderr,
+                preexec_fn=self.set_up_child,
                 env=os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)},
             )
         finally:
             if world.logs:
-                errors.close()
+                stderr.close()
         world.processes.add(self.process)
 
-    def limited(self) -> None:
-        """In the child, before it becomes a balancer."""
+    def set_up_child(self) -> None:
+        """Set the resource limits and the death signal. Called in the child process before its exec."""
         limits = self.world.scenario.limits
-        ctypes.CDLL(None).prctl(DIE_WITH_PARENT, signal.SIGKILL)
+        ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
         resource.setrlimit(resource.RLIMIT_NOFILE, (limits.sockets, limits.sockets))
         if limits.memory_mb:
             resource.setrlimit(resource.RLIMIT_DATA, (limits.memory_mb << 20, limits.memory_mb << 20))
-        os.setsid()  # an interrupt at the terminal is ours to pass on
+        os.setsid()  # otherwise Ctrl-C in the terminal would also signal the balancer
 
     async def ready(self) -> bool:
-        """Has it answered a PING, as a front asks?"""
+        """Wait until the balancer answers a PING, as the front would. Return False if it ends before that."""
         while self.alive and self.process.returncode is None:
             with contextlib.suppress(OSError, asyncio.IncompleteReadError):
-                reader, writer = await asyncio.open_connection(*self.world.listens[self.number])
+                reader, writer = await asyncio.open_connection(*self.world.listen_addresses[self.number])
                 writer.write(b"PING\r\n")
                 answer = await reader.readline()
                 writer.close()
                 if answer.strip() == b"PONG":
                     return True
-            await asyncio.sleep(PING_EACH)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         return False
 
-    def signal(self, number: int) -> None:
+    def send_signal(self, number: int) -> None:
+        """Send a signal to the process if it still runs."""
         if self.process and self.process.returncode is None:
-            self.note_memory()
+            self.update_peak_memory()
             with contextlib.suppress(ProcessLookupError):
                 self.process.send_signal(number)
 
-    def note_memory(self) -> None:
-        """Its peak so far."""
-        with contextlib.suppress(OSError, AttributeError, IndexError):  # it may be gone, or never was
+    def update_peak_memory(self) -> None:
+        """Read the peak memory of the process from /proc."""
+        with contextlib.suppress(OSError, AttributeError, IndexError):  # no process, or one that has ended
             status = Path(f"/proc/{self.process.pid}/status").read_text()
             peak = status.partition("VmHWM:")[2].split()[0]
             self.memory_kb = max(self.memory_kb, int(peak))
 
     def stop(self, how: str) -> None:
-        self.signal(signal.SIGKILL)
+        """Kill the process and record the reason `how`."""
+        self.send_signal(signal.SIGKILL)
         self.record_stop(how)
-        self.let_go()
+        self.release()
 
-    def let_go(self) -> None:
-        """Of what lies in memory for it."""
-        self.note_memory()
-        if self.config >= 0:
-            os.close(self.config)
-            self.config = -1
+    def release(self) -> None:
+        """Record the peak memory and close the memory file of the configuration."""
+        self.update_peak_memory()
+        if self.config_fd >= 0:
+            os.close(self.config_fd)
+            self.config_fd = -1
 
     def begin_shutdown(self, grace: float) -> None:
+        """Send SIGTERM for a planned restart."""
         if self.alive and not self.shutting_down:
             self.shutting_down = True
-            self.signal(signal.SIGTERM)
+            self.send_signal(signal.SIGTERM)
 
     # Discovery.
 
-    def watch_opened(self, line: DiscoveryConnection) -> None:
-        self.watcher = line
+    def watch_opened(self, conn: DiscoveryConnection) -> None:
+        """Register the watch, whose first message is the whole list."""
+        self.watch_conn = conn
         self.world.discovery.watching.pop(self, None)
         self.world.discovery.watch(self, True)
 
-    def watch_closed(self, line: DiscoveryConnection) -> None:
-        if self.watcher is line:
-            self.watcher = None
+    def watch_closed(self, conn: DiscoveryConnection) -> None:
+        """Unregister the watch, unless another connection has replaced it."""
+        if self.watch_conn is conn:
+            self.watch_conn = None
             self.world.discovery.watching.pop(self, None)
 
     def request_refused(self) -> None:
+        """Record that a request to discovery failed."""
         self.discovery_failed = True
 
     def apply_list(self, rows: list[tuple[Machine, str, float]], whole: bool) -> None:
-        if self.watcher and self.alive:
-            self.watcher.send_chunk(json.dumps(self.list_message(rows, whole)).encode() + b"\n")
+        """Send entries of the list on the watch; `whole` marks the whole list."""
+        if self.watch_conn and self.alive:
+            self.watch_conn.send_chunk(json.dumps(self.list_message(rows, whole)).encode() + b"\n")
             for machine, state, since in rows:
                 self.record_told(machine, state, since)
 
     def list_message(self, rows: list[tuple[Machine, str, float]], whole: bool) -> dict[str, Any]:
-        self.version += 1
+        """Return the message of discovery for these entries, under the next version."""
+        self.list_version += 1
         world = self.world
         return {
-            "generation": self.version,
+            "generation": self.list_version,
             "reset": whole,
             "instances": [
                 {
                     "instanceId": machine.name,
-                    "hostPort": f"{HOST}:{world.ports[machine].number}",
+                    "hostPort": f"{HOST}:{world.server_ports[machine].number}",
                     "zone": world.scenario.zone[machine.zone].name,
                     "machineType": machine.kind.name,
                     "cell": machine.cell,
                     "lifecycle": LIFECYCLES[state],
                     "weight": machine.kind.listed,
-                    "startedAtMs": round((since + world.unix) * 1000) if since else 0,
+                    "startedAtMs": round((since + world.unix_offset) * 1000) if since else 0,
                 }
                 for machine, state, since in rows
             ],
         }
 
     def on_discovery_failure(self) -> None:
-        """Discovery is down: its watch ends."""
+        """Discovery became unavailable: reset the watch."""
         self.discovery_failed = True
-        if self.watcher:
-            self.watcher.reset()
-            self.watch_closed(self.watcher)
+        if self.watch_conn:
+            self.watch_conn.reset()
+            self.watch_closed(self.watch_conn)
 
-    # Its clients.
+    # Clients.
 
     def start_call(self, attempt: Attempt, at: str = "") -> None:
-        """Connect, and say the first line."""
+        """Connect a client and send the first line. `at` is the server of a connection that is resumed."""
         world, demand = self.world, attempt.demand
         kind = world.scenario.type[demand.type]
         wait = max(1, round((attempt.guard - world.now) * 1000)) if not at else 3_600_000
@@ -256,31 +275,34 @@
         if demand.group:
             pairs.append(f"g={demand.group:x}")
         pairs += ["r=1"] * attempt.repeat + ["again=1"] * demand.returned + [f"at={at}"] * bool(at)
-        line = ClientConnection(
-            self, attempt, f"OPEN {world.mark_of(attempt)} {demand.key:x} {','.join(pairs)}"
+        conn = ClientConnection(
+            self, attempt, f"OPEN {world.call_id(attempt)} {demand.key:x} {','.join(pairs)}"
         )
-        self.lines[attempt] = line
-        world.by_mark[world.mark_of(attempt)] = attempt
-        world.start_task(self.dial(attempt, line))
+        self.client_conns[attempt] = conn
+        world.attempts_by_call_id[world.call_id(attempt)] = attempt
+        world.start_task(self.connect(attempt, conn))
 
-    async def dial(self, attempt: Attempt, line: ClientConnection) -> None:
+    async def connect(self, attempt: Attempt, conn: ClientConnection) -> None:
+        """Connect to the balancer; a failure is an answer `unreached`."""
         try:
-            await self.world.loop.create_connection(lambda: line, *self.world.listens[self.number])
+            await self.world.loop.create_connection(lambda: conn, *self.world.listen_addresses[self.number])
         except OSError:
-            if not line.closed:
-                line.closed = True
-                self.done_with(attempt)
+            if not conn.closed:
+                conn.closed = True
+                self.forget_attempt(attempt)
                 attempt.on_answer("unreached", 0.0)
 
-    def wrote(self, attempt: Attempt) -> None:
-        attempt.call = attempt.call or attempt  # its balancer has it
-        if attempt.outcome != "completed":  # else it stood before the run
+    def on_first_line_sent(self, attempt: Attempt) -> None:
+        """Record that the balancer has received the call."""
+        attempt.call = attempt.call or attempt
+        if attempt.outcome != "completed":  # not for connections that are resumed
             self.record_call(attempt)
 
-    def answered(self, line: ClientConnection, word: str, rest: str) -> None:
-        attempt = line.attempt
+    def on_client_answer(self, conn: ClientConnection, word: str, rest: str) -> None:
+        """The balancer sent the first line on a client's connection, the answer to the call."""
+        attempt = conn.attempt
         if attempt.outcome == "completed":
-            self.world.came_back(word)
+            self.world.on_resume_answer(word)
             return
         how = {"UP": "completed", "BUSY": "rejected"}.get(word, "released")
         wait = int(rest) / 1000 if how == "rejected" and rest.isdigit() else 0.0
@@ -289,83 +311,87 @@
             attempt.leg_record.established = True
         self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.on_answer, how, wait)
         if how != "completed":
-            line.close()
-            self.done_with(attempt)
-
-    def ended(self, line: ClientConnection) -> None:
-        """The balancer has ended the connection, or died."""
-        attempt = line.attempt
-        self.done_with(attempt)
-        if line.moved:
+            conn.close()
+            self.forget_attempt(attempt)
+
+    def on_client_conn_lost(self, conn: ClientConnection) -> None:
+        """The balancer closed the connection, or died."""
+        attempt = conn.attempt
+        self.forget_attempt(attempt)
+        if conn.moved:
             self.world.counters["moves"] += 1
         self.world.event_queue.schedule_after(
             attempt.delay,
             ARRIVAL,
             attempt.on_connection_end,
-            "moved" if line.moved else "reset" if line.answer else "balancer killed",
+            "moved" if conn.moved else "reset" if conn.answer else "balancer killed",
         )
 
     def on_client_closed(self, attempt: Attempt, kind: str) -> None:
-        """The client ends it."""
-        line = self.lines.get(attempt)
-        if line and not line.closed:
-            if not line.answer:
+        """The client closes its connection."""
+        conn = self.client_conns.get(attempt)
+        if conn and not conn.closed:
+            if not conn.answer:
                 self.world.trace.add(self.world.now, "gone", attempt.id)
-            line.close()
-            self.done_with(attempt)
+            conn.close()
+            self.forget_attempt(attempt)
 
-    def done_with(self, attempt: Attempt) -> None:
-        self.lines.pop(attempt, None)
-        self.world.by_mark.pop(self.world.mark_of(attempt), None)
+    def forget_attempt(self, attempt: Attempt) -> None:
+        """Remove an attempt whose connection is over from the indexes."""
+        self.client_conns.pop(attempt, None)
+        self.world.attempts_by_call_id.pop(self.world.call_id(attempt), None)
 
     def resume_standing(self, attempt: Attempt, machine: Machine) -> LegRecord:
-        """A connection that stands before the run: its client comes with `at=`, its server knows it."""
+        """Resume a connection that exists at the start: the client sends `at=`, the server knows the call."""
         leg_record = attempt.leg_record = LegRecord(
             attempt, None, machine, 1, self.world.now, self.world.delay(self.zone, machine.zone)
         )
         leg_record.established = True
         self.record_stood(attempt, machine)
-        self.world.standing_wanted += 1
+        self.world.resumes_expected += 1
         self.start_call(attempt, machine.name)
         return leg_record
 
 
 class LiveLegs(Setups):
-    """Set-ups at servers behind sockets."""
+    """Set-ups at servers that are reached through sockets."""
 
     world: LiveWorld
 
-    def line_came(self, link: ServerConnection, line: str) -> None:
-        """A leg's first line; what is no OPEN of ours is a probe, or void."""
+    def on_server_first_line(self, conn: ServerConnection, line: str) -> None:
+        """Handle the first line at a server: PING of a health check, or OPEN of a call."""
         words = line.split(" ")
         if words[0] == "PING":
-            link.send_line("PONG")
+            conn.send_line("PONG")
             return
-        attempt = self.world.by_mark.get(words[1]) if words[0] == "OPEN" and len(words) == 4 else None
+        attempt = (
+            self.world.attempts_by_call_id.get(words[1]) if words[0] == "OPEN" and len(words) == 4 else None
+        )
         if attempt is None:
-            link.send_line("SYNTAX")  # also of a client that has gone meanwhile: nobody waits for it
-            link.close()
+            conn.send_line("SYNTAX")  # also if the client has disconnected: then no one waits for the answer
+            conn.close()
             return
         if ",at=" in words[3]:
-            attempt.leg_record.link, link.leg_record = link, attempt.leg_record
-            link.send_line("UP 0")
+            attempt.leg_record.link, conn.leg_record = conn, attempt.leg_record
+            conn.send_line("UP 0")
             return
         attempt.call = attempt.call or attempt
-        self.world.order[attempt] = number = self.world.order.get(attempt, 0) + 1
-        leg_record = link.leg_record = LegRecord(
+        self.world.leg_counts[attempt] = number = self.world.leg_counts.get(attempt, 0) + 1
+        leg_record = conn.leg_record = LegRecord(
             attempt,
             None,
-            link.machine,
+            conn.machine,
             number,
             self.world.now,
-            self.world.delay(attempt.node.zone, link.machine.zone),
+            self.world.delay(attempt.node.zone, conn.machine.zone),
         )
-        leg_record.link = link
+        leg_record.link = conn
         self.record_sent(leg_record)
-        # The way that the network of the scenario is longer than loopback.
+        # Adds the delay of the scenario's network, as that of loopback is negligible.
         self.world.event_queue.schedule_after(3 * leg_record.delay, RESULT, self.on_first_line, leg_record)
 
     def on_first_line(self, leg_record: LegRecord) -> None:
+        """The first line of a leg reaches its server, after the delay of the modelled network."""
         if leg_record.machine.hung_until > self.world.now:
             self.world.event_queue.schedule_at(
                 leg_record.machine.hung_until, RESULT, self.on_first_line, leg_record
@@ -374,45 +400,51 @@
             self.accept_setup(leg_record)
 
     def report_result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
-        self.world.event_queue.schedule_after(wait, RESULT, self.tell_result, leg_record, kind)
+        """Report the result of a leg that failed to its balancer after `wait` seconds."""
+        self.world.event_queue.schedule_after(wait, RESULT, self.send_failure, leg_record, kind)
 
-    def tell_result(self, leg_record: LegRecord, kind: str) -> None:
+    def send_failure(self, leg_record: LegRecord, kind: str) -> None:
+        """Send the negative answer, if the protocol has one for this result, or reset the connection."""
         if leg_record.over:
             return
-        self.is_over(leg_record, kind)
-        if kind in NEGATIVE:
-            leg_record.link.send_line(NEGATIVE[kind])
+        self.record_over(leg_record, kind)
+        if kind in FAILURE_ANSWERS:
+            leg_record.link.send_line(FAILURE_ANSWERS[kind])
             leg_record.link.close()
         else:
             leg_record.link.reset()
 
-    def is_over(self, leg_record: LegRecord, kind: str) -> None:
+    def record_over(self, leg_record: LegRecord, kind: str) -> None:
+        """Record the end of a leg and its result."""
         leg_record.over = True
         leg_record.node.record_back(leg_record, kind)
 
     def report_up(self, leg_record: LegRecord) -> None:
-        self.world.event_queue.schedule_after(leg_record.delay, RESULT, self.tell_up, leg_record)
+        """Report an established leg to its balancer after the network delay."""
+        self.world.event_queue.schedule_after(leg_record.delay, RESULT, self.send_up, leg_record)
 
-    def tell_up(self, leg_record: LegRecord) -> None:
+    def send_up(self, leg_record: LegRecord) -> None:
+        """Send UP, and start the stream of the scenario."""
         if not leg_record.over and leg_record.up:
             leg_record.link.send_line(f"UP {leg_record.attempt.id:x}")
-            leg_record.link.stream(self.world.scenario.clients.stream)
+            leg_record.link.send_stream(self.world.scenario.clients.stream)
 
     def report_end(self, leg_record: LegRecord, silent: bool) -> None:
+        """Reset a connection that the server ended; a `silent` end is not visible to the balancer."""
         if not silent:
-            self.is_over(leg_record, model.RESET)
+            self.record_over(leg_record, model.RESET)
             leg_record.link.reset()
 
-    def link_lost(self, link: ServerConnection) -> None:
-        """The balancer's side has ended."""
-        leg_record = link.leg_record
+    def on_server_conn_lost(self, conn: ServerConnection) -> None:
+        """The balancer closed its connection to a server."""
+        leg_record = conn.leg_record
         if leg_record is None or leg_record.over:
             return
-        self.is_over(
+        self.record_over(
             leg_record, model.COMPLETED if leg_record.established and leg_record.up else model.CANCELLED
         )
-        if not link.transport.is_closing():
-            link.transport.close()
+        if not conn.transport.is_closing():
+            conn.transport.close()
         if leg_record.up:
             self.world.service_record.connection_down(leg_record)
             self.forget(leg_record)
@@ -420,29 +452,36 @@
 
 
 class BackgroundTasks:
-    """What runs beside a run on sockets. Whoever derives from it makes the three."""
+    """Tasks beside the main task of a run on sockets, and the first failure of any of them.
+
+    Subclasses create the attributes.
+    """
 
     loop: asyncio.AbstractEventLoop
     failure: asyncio.Future
     tasks: set[asyncio.Task]
 
     def fail(self, error: BaseException) -> None:
-        """A fault of the lab's own ends the run."""
+        """End the run with this exception, unless it has already failed."""
         if not self.failure.done():
             self.failure.set_exception(error)
 
-    def start_task(self, work: Any) -> None:
-        task = self.loop.create_task(work)
+    def start_task(self, coroutine: Any) -> None:
+        """Run a coroutine in a task. If it raises an exception, the run fails."""
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.task_done)
 
     def task_done(self, task: asyncio.Task) -> None:
+        """Forget a finished task, and fail the run if it raised an exception."""
         self.tasks.discard(task)
         if not task.cancelled() and task.exception():
             self.fail(task.exception())
 
 
 class LiveWorld(BackgroundTasks, World):
+    """The world of a run on sockets: the model in real time, the balancer processes and the sockets."""
+
     legs_class = LiveLegs
     nodes: list[LiveNode]
 
@@ -451,50 +490,53 @@
         self.processes: set[asyncio.subprocess.Process] = set()
         self.tasks: set[asyncio.Task] = set()
         self.failure: asyncio.Future = loop.create_future()
-        self.by_mark: dict[str, Attempt] = {}
-        self.order: dict[Attempt, int] = {}
-        self.standing_wanted = self.standing_up = 0
-        self.lag = self.memory_kb = 0.0
-        self.unix = 0.0  # Unix time less the run's clock
-        names = forms.balancer_names(scenario)
-        # Held, not listened on: a number that is merely free may be another run's before its balancer is up.
-        self.doors = [Port() for _ in names]
-        for door in self.doors:
-            door.refuse()
-        self.listens = [(HOST, door.number) for door in self.doors]
-        self.lists: list[Port] = [Port() for _ in names]
+        self.attempts_by_call_id: dict[str, Attempt] = {}
+        self.leg_counts: dict[Attempt, int] = {}
+        self.resumes_expected = self.resumes_done = 0  # connections that exist at the start
+        self.lag = self.memory_kb = 0.0  # maximum seconds; peak of all balancers
+        self.unix_offset = 0.0  # Unix time minus the run's clock
+        names = scenarios.balancer_names(scenario)
+        # The ports are bound without listening. A port that is only free might be taken by another run before
+        # the balancer listens on it.
+        self.balancer_ports = [Port() for _ in names]
+        for port in self.balancer_ports:
+            port.refuse()
+        self.listen_addresses = [(HOST, port.number) for port in self.balancer_ports]
+        self.discovery_ports: list[Port] = [Port() for _ in names]
         self.relays: dict[tuple[int, int], Relay] = {}
         self.peer_ports = free_ports(len(names)) if scenario.datagrams.allowed else []
         super().__init__(scenario, seed, None, LiveEventQueue(loop, self.fail))
-        self.ports = {machine: Port() for machine in self.machines}
-        self.server_lines: dict[Machine, dict[ServerConnection, None]] = {m: {} for m in self.machines}
+        self.server_ports = {machine: Port() for machine in self.machines}
+        self.server_conns: dict[Machine, dict[ServerConnection, None]] = {m: {} for m in self.machines}
 
     @staticmethod
-    def mark_of(attempt: Attempt) -> str:
+    def call_id(attempt: Attempt) -> str:
+        """Return the id of an attempt's call in the OPEN line."""
         return f"{attempt.id:016x}"
 
-    def came_back(self, word: str) -> None:
-        """One that stood before the run is taken up, or is not."""
+    def on_resume_answer(self, word: str) -> None:
+        """A connection that exists at the start was answered; any answer but UP ends the run."""
         if word != "UP":
-            self.fail(ScenarioError(f"a connection that stood before the run was answered {word}"))
-        self.standing_up += 1
+            self.fail(ScenarioError(f"a connection that exists at the start was answered {word}"))
+        self.resumes_done += 1
 
-    # What processes are told.
+    # Configuration of the processes.
 
     def configuration(self, node: LiveNode) -> dict[str, Any]:
+        """Return the configuration of a balancer process."""
         scenario, number = self.scenario, node.number
-        told = node.told or self.discovery.known
+        known_servers = node.told or self.discovery.known
         config = {
             "name": node.name,
-            "listen": f"{HOST}:{self.listens[number][1]}",
-            "discovery": f"{HOST}:{self.lists[number].number}",
+            "listen": f"{HOST}:{self.listen_addresses[number][1]}",
+            "discovery": f"{HOST}:{self.discovery_ports[number].number}",
             "seed": f"{node.seed:x}",
             "limits": {
                 "cores": 1.0,
                 "memory_mb": scenario.limits.memory_mb or 192,
                 "sockets": scenario.limits.sockets,
             },
-            "known": node.list_message([(m, *known) for m, known in told.items()], True),
+            "known": node.list_message([(m, *known) for m, known in known_servers.items()], True),
             "settings": platform_settings(scenario, self.settings(node.zone), number),
         }
         if self.peer_ports:
@@ -507,43 +549,49 @@
             ]
         return config
 
-    def relayed(self, relay: Relay, data: bytes) -> None:
-        """A datagram came to where its sender knows another balancer; that one gets it from where it knows
-        the sender."""
-        form, stream = self.scenario.datagrams, self.streams["datagrams"]
+    def relay_datagram(self, relay: Relay, data: bytes) -> None:
+        """Forward a datagram with the losses, delays and duplicates of the scenario.
+
+        It arrived at the address that its sender has for the receiver, and is sent from the address that the
+        receiver has for the sender.
+        """
+        options, stream = self.scenario.datagrams, self.streams["datagrams"]
         self.counters["datagrams"] += 1
         self.counters["datagram_bytes"] += len(data)
-        way = self.nodes[relay.sender].zone, self.nodes[relay.receiver].zone
-        if len(data) > DATAGRAM or stream.bernoulli(form.loss) or way in self.partitioned:
+        zones = self.nodes[relay.sender].zone, self.nodes[relay.receiver].zone
+        if len(data) > DATAGRAM or stream.bernoulli(options.loss) or zones in self.partitioned:
             return
-        wait = stream.uniform_between(form.delay) * (REORDERED if stream.bernoulli(form.reorder) else 1)
-        back = self.relays[relay.receiver, relay.sender].transport
-        for _ in range(1 + stream.bernoulli(form.twice)):
+        wait = stream.uniform_between(options.delay) * (REORDERED if stream.bernoulli(options.reorder) else 1)
+        reverse = self.relays[relay.receiver, relay.sender].transport
+        for _ in range(1 + stream.bernoulli(options.twice)):
             self.event_queue.schedule_after(
-                wait, RESULT, back.sendto, data, (HOST, self.peer_ports[relay.receiver])
+                wait, RESULT, reverse.sendto, data, (HOST, self.peer_ports[relay.receiver])
             )
 
     # Servers and balancers.
 
     def stop_machine(self, machine: Machine, silent: bool) -> None:
+        """Stop a server: reset its connections and refuse new ones, or only stop answering if `silent`."""
         super().stop_machine(machine, silent)
         if silent:
-            self.ports[machine].clog()
+            self.server_ports[machine].blackhole()
         else:
-            for line in list(self.server_lines[machine]):
-                line.reset()
-            self.ports[machine].refuse()
+            for conn in list(self.server_conns[machine]):
+                conn.reset()
+            self.server_ports[machine].refuse()
 
     def restart_machine(self, machine: Machine, told_older: float = 0.0) -> None:
+        """Restart a server cold; discovery reports its start as `told_older` seconds earlier."""
         if machine.up or machine.fallen:
             return
-        for line in list(self.server_lines[machine]):
-            line.reset()  # what was open to a machine that vanished
+        for conn in list(self.server_conns[machine]):
+            conn.reset()  # connections that were open when the machine vanished
         super().restart_machine(machine, told_older)
-        self.start_task(self.ports[machine].open(self.loop, lambda: ServerConnection(self, machine)))
+        self.start_task(self.server_ports[machine].open(self.loop, lambda: ServerConnection(self, machine)))
 
     def start_balancer(self, number: int, before: LiveNode | None = None) -> LiveNode:
-        name, zone = forms.balancer_names(self.scenario)[number]
+        """Create the record of a balancer, which continues with the list of its predecessor `before`."""
+        name, zone = scenarios.balancer_names(self.scenario)[number]
         node = LiveNode(
             self,
             name,
@@ -562,44 +610,56 @@
         return node
 
     def restart_balancer(self, node: LiveNode) -> None:
+        """Start the successor of a balancer that has stopped."""
         self.front.remove(node)
-        self.start_task(self.comes_up(self.start_balancer(node.number, node)))
+        self.start_task(self.launch(self.start_balancer(node.number, node)))
 
-    async def comes_up(self, node: LiveNode) -> None:
-        await self.lists[node.number].open(self.loop, lambda: DiscoveryConnection(node))
+    async def launch(self, node: LiveNode) -> None:
+        """Start the process of a balancer, and add it to the front when it is ready."""
+        await self.discovery_ports[node.number].open(self.loop, lambda: DiscoveryConnection(node))
         await node.start()
         if await node.ready():
             self.front.add(node)
 
-    def do_stall(self, trouble: forms.Stall) -> None:
+    def do_stall(self, trouble: scenarios.Stall) -> None:
+        """Stop reading on a share of the clients' connections."""
         stream = self.streams["stalls"]
-        lines = [line for node in self.nodes for line in node.lines.values() if line.answer == "UP"]
-        stalled = [line for line in lines if not line.closed and stream.bernoulli(trouble.share)]
-        for line in stalled:
-            line.transport.pause_reading()
-        self.schedule_trouble_step(trouble.lasts, self.stall_over, stalled)
-
-    def stall_over(self, stalled: list[ClientConnection]) -> None:
-        for line in stalled:
-            if not line.closed:
-                line.transport.resume_reading()
+        conns = [conn for node in self.nodes for conn in node.client_conns.values() if conn.answer == "UP"]
+        stalled = [conn for conn in conns if not conn.closed and stream.bernoulli(trouble.share)]
+        for conn in stalled:
+            conn.transport.pause_reading()
+        self.schedule_trouble_step(trouble.lasts, self.end_stall, stalled)
+
+    def end_stall(self, stalled: list[ClientConnection]) -> None:
+        """Read again on the stalled connections."""
+        for conn in stalled:
+            if not conn.closed:
+                conn.transport.resume_reading()
 
     def on_hang(self, machine: Machine) -> None:
+        """A server hangs; the answers that it holds back are sent when that is over."""
         super().on_hang(machine)
-        self.event_queue.schedule_at(machine.hung_until, LOOK, self.speaks_again, machine)
+        self.event_queue.schedule_at(machine.hung_until, LOOK, self.end_hang, machine)
 
-    def speaks_again(self, machine: Machine) -> None:
-        for line in list(self.server_lines[machine]):
-            line.say_owed()
+    def end_hang(self, machine: Machine) -> None:
+        """Send the answers that a server held back while it hung."""
+        for conn in list(self.server_conns[machine]):
+            conn.send_held_answers()
 
     def report_delay(self, leg_record: LegRecord, delay: float) -> None:
+        """Send a server's message delay, in seconds, to a balancer."""
         if not leg_record.over and leg_record.up:
             leg_record.link.send_line(f"LOAD {delay * 1000:.3f}")
 
     # The run.
 
     async def play(self, tell: Callable[[float], None]) -> None:  # type: ignore[override]
-        for machine, port in self.ports.items():
+        """Run the scenario. `tell` receives the progress in seconds.
+
+        Raises ScenarioError if balancers or the initial connections do not come up in time or a balancer ends
+        by itself. An exception in the lab ends the run and is raised again.
+        """
+        for machine, port in self.server_ports.items():
             await port.open(self.loop, lambda machine=machine: ServerConnection(self, machine))
         for sender in range(len(self.peer_ports)):
             for receiver in range(len(self.peer_ports)):
@@ -609,29 +669,31 @@
                         local_addr=(HOST, 0),
                     )
                     self.relays[sender, receiver] = relay
-        self.unix = time.time() - START
-        fresh = [self.start_balancer(number) for number, _ in enumerate(forms.balancer_names(self.scenario))]
+        self.unix_offset = time.time() - START
+        nodes = [
+            self.start_balancer(number) for number, _ in enumerate(scenarios.balancer_names(self.scenario))
+        ]
         try:
-            async with asyncio.timeout(READY_WITHIN):
-                await asyncio.gather(*(self.comes_up(node) for node in fresh))
+            async with asyncio.timeout(READY_TIMEOUT_SECONDS):
+                await asyncio.gather(*(self.launch(node) for node in nodes))
         except TimeoutError:
-            raise ScenarioError(f"the balancers were not ready within {READY_WITHIN:g} s") from None
-        if any(node.process.returncode is not None for node in fresh):
-            raise ScenarioError("a balancer ended at its start; --logs=DIR keeps what it said")
+            raise ScenarioError(f"the balancers were not ready within {READY_TIMEOUT_SECONDS:g} s") from None
+        if any(node.process.returncode is not None for node in nodes):
+            raise ScenarioError("a balancer ended at its start; --logs=DIR keeps its log")
         self.create_standing_connections()
-        deadline = self.loop.time() + UP_WITHIN
-        while self.standing_up < self.standing_wanted and not self.failure.done():
+        deadline = self.loop.time() + RESUME_TIMEOUT_SECONDS
+        while self.resumes_done < self.resumes_expected and not self.failure.done():
             if self.loop.time() > deadline:
                 raise ScenarioError(
-                    f"{self.standing_wanted - self.standing_up} connections that stood "
-                    f"before the run were not up within {UP_WITHIN:g} s"
+                    f"{self.resumes_expected - self.resumes_done} connections that exist "
+                    f"at the start were not established within {RESUME_TIMEOUT_SECONDS:g} s"
                 )
-            await asyncio.sleep(PING_EACH)
-        self.unix = time.time() - START
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
+        self.unix_offset = time.time() - START
         self.event_queue.begin()
         self.schedule_start()
-        self.event_queue.schedule_at(START, LOOK, self.look_at_self, self.loop.time())
-        end = self.event_queue.begun + self.scenario.length + self.scenario.tail
+        self.event_queue.schedule_at(START, LOOK, self.measure_lag, self.loop.time())
+        end = self.event_queue.started_at + self.scenario.length + self.scenario.tail
         while self.loop.time() < end and not self.failure.done():
             await asyncio.wait([self.failure], timeout=min(0.5, max(0.0, end - self.loop.time())))
             tell(min(self.scenario.length + self.scenario.tail, self.now - START))
@@ -644,21 +706,23 @@
                 and not node.shutting_down
             ]
             if crashed:
-                raise ScenarioError(f"{crashed[0]} ended by itself; --logs=DIR keeps what it said")
+                raise ScenarioError(f"{crashed[0]} ended by itself; --logs=DIR keeps its log")
         if self.failure.done():
             self.failure.result()
 
-    def look_at_self(self, due: float) -> None:
-        """How late is our own loop?"""
+    def measure_lag(self, due: float) -> None:
+        """Update the maximum lag of this process's event loop: this event was due at loop time `due`."""
         self.lag = max(self.lag, self.loop.time() - due)
-        self.event_queue.schedule_after(LAG_EACH, LOOK, self.look_at_self, self.loop.time() + LAG_EACH)
+        self.event_queue.schedule_after(
+            LAG_CHECK_INTERVAL_SECONDS, LOOK, self.measure_lag, self.loop.time() + LAG_CHECK_INTERVAL_SECONDS
+        )
 
     async def finish(self) -> None:
-        """End all that was started, whatever has happened."""
+        """End all tasks and processes and close all sockets, also after a failure."""
         for task in list(self.tasks):
             task.cancel()
         for node in self.nodes:
-            node.let_go()
+            node.release()
             self.memory_kb = max(self.memory_kb, node.memory_kb)
         for process in self.processes:
             if process.returncode is None:
@@ -666,15 +730,19 @@
                     process.kill()
         for process in self.processes:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(process.wait(), LAST_WORD)
-        for port in [*getattr(self, "ports", {}).values(), *self.lists, *self.doors]:
-            port.shut()
+                await asyncio.wait_for(process.wait(), EXIT_TIMEOUT_SECONDS)
+        for port in [
+            *getattr(self, "server_ports", {}).values(),
+            *self.discovery_ports,
+            *self.balancer_ports,
+        ]:
+            port.close()
         for relay in self.relays.values():
             relay.transport.close()
 
 
 def platform_settings(scenario: Scenario, settings: model.Settings, number: int) -> dict[str, Any]:
-    """The settings object in the platform's form."""
+    """Return the settings of balancer `number` in the format of the platform."""
 
     def micros(seconds: float) -> int:
         return round(seconds * 1e6)
@@ -722,31 +790,36 @@
 
 
 def refuse_if_too_large(scenario: Scenario) -> None:
-    """Raises ScenarioError before anything starts that this machine or the daemon could not play."""
-    if not scenario.listing.asks:  # the daemon takes a pushed list for the shape with live weights
+    """Raise ScenarioError if this machine or the daemon cannot run the scenario.
+
+    This is called before anything starts. It raises the soft limit of descriptors if necessary and allowed.
+    """
+    if not scenario.listing.asks:  # with a pushed list, the daemon assumes that its weights are live
         raise ScenarioError(f"{scenario.name}: listing.asks is false: on loopback the list must be asked for")
     cores, clients = len(os.sched_getaffinity(0)), scenario.clients
-    balancers = len(forms.balancer_names(scenario))
-    if balancers > BALANCERS_A_CORE * cores:
+    balancers = len(scenarios.balancer_names(scenario))
+    if balancers > BALANCERS_PER_CORE * cores:
         raise ScenarioError(
-            f"{scenario.name}: {balancers} balancers, more than {BALANCERS_A_CORE} a core on {cores} cores"
+            f"{scenario.name}: {balancers} balancers, more than {BALANCERS_PER_CORE} a core on {cores} cores"
         )
     rate = clients.rate * max(
-        [getattr(t, "factor", 1.0) for t in scenario.trouble if isinstance(t, forms.Burst)], default=1.0
+        [getattr(t, "factor", 1.0) for t in scenario.trouble if isinstance(t, scenarios.Burst)], default=1.0
     )
-    if rate > A_CORE * min(cores, balancers):
-        raise ScenarioError(f"{scenario.name}: {rate:g} new connections a second, more than {A_CORE} a core")
+    if rate > CONNECTIONS_PER_CORE * min(cores, balancers):
+        raise ScenarioError(
+            f"{scenario.name}: {rate:g} new connections a second, more than {CONNECTIONS_PER_CORE} a core"
+        )
     standing = max(clients.standing, clients.rate * clients.life)
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = round(A_PAIR * standing) + SPARE
-    if hard != resource.RLIM_INFINITY and wanted > hard:
-        raise ScenarioError(f"{scenario.name}: about {wanted} descriptors, more than the {hard} allowed")
-    if soft != resource.RLIM_INFINITY and wanted > soft:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
-    each = 2 * standing / balancers + 64
-    if each > scenario.limits.sockets:
+    needed = round(DESCRIPTORS_PER_CONNECTION * standing) + SPARE_DESCRIPTORS
+    if hard != resource.RLIM_INFINITY and needed > hard:
+        raise ScenarioError(f"{scenario.name}: about {needed} descriptors, more than the {hard} allowed")
+    if soft != resource.RLIM_INFINITY and needed > soft:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
+    per_balancer = 2 * standing / balancers + 64
+    if per_balancer > scenario.limits.sockets:
         raise ScenarioError(
-            f"{scenario.name}: about {each:.0f} descriptors a balancer, more than "
+            f"{scenario.name}: about {per_balancer:.0f} descriptors a balancer, more than "
             f"limits.sockets = {scenario.limits.sockets}"
         )
 
@@ -754,9 +827,12 @@
 def run(
     scenario: Scenario, seed: int, trace: str | None = None, logs: str | None = None, quiet: bool = False
 ) -> dict[str, Any]:
-    """Play a scenario on sockets; its result has the form of one on virtual time, and what the machine did.
+    """Run a scenario on sockets. Return a result as of a virtual-time run, and figures of the processes.
 
-    Raises ScenarioError for what cannot be played, KeyboardInterrupt on Ctrl-C; nothing is left behind."""
+    `trace` is the file for the event trace, `logs` the folder for the logs of the balancers. Raises
+    ScenarioError for a scenario that cannot be run and KeyboardInterrupt on Ctrl-C. No process is left
+    behind.
+    """
     refuse_if_too_large(scenario)
     if logs:
         Path(logs).mkdir(parents=True, exist_ok=True)
@@ -767,36 +843,40 @@
         disable=quiet or None,
         bar_format="{l_bar}{bar}| {n:.0f}/{total:.0f} s",
     ) as bar:
-        world = asyncio.run(_played(scenario, seed, Path(logs) if logs else None, bar))
+        world = asyncio.run(_run_world(scenario, seed, Path(logs) if logs else None, bar))
     if trace:
         world.trace.write(trace)
     return result_of(world)
 
 
-async def _played(scenario: Scenario, seed: int, logs: Path | None, bar: Any) -> LiveWorld:
+async def _run_world(scenario: Scenario, seed: int, logs: Path | None, bar: Any) -> LiveWorld:
+    """Run the scenario to its end and return its world."""
     loop = asyncio.get_running_loop()
     world = LiveWorld(scenario, seed, loop, logs)
     loop.set_exception_handler(
-        lambda _, said: world.fail(said.get("exception") or RuntimeError(said.get("message", "")))
+        lambda _, context: world.fail(context.get("exception") or RuntimeError(context.get("message", "")))
     )
-    before = children_cpu()
+    cpu_before = children_cpu()
     try:
         await world.play(lambda at: bar.update(at - bar.n))
     finally:
         await world.finish()
-        world.cpu = children_cpu() - before
+        world.cpu = children_cpu() - cpu_before
     return world
 
 
 def children_cpu() -> float:
-    """Core-seconds of all ended balancers."""
+    """Return the processor seconds of all child processes that have ended."""
     usage = resource.getrusage(resource.RUSAGE_CHILDREN)
     return usage.ru_utime + usage.ru_stime
 
 
 def result_of(world: LiveWorld) -> dict[str, Any]:
+    """Check the rules on the trace of a finished run, with the tolerance for sockets; return the result."""
     rules = world.scenario.rules
-    rule_checker = RuleChecker(world.scenario, LIMIT + world.lag, rules.max_legs * rules.connect_timeout)
+    rule_checker = RuleChecker(
+        world.scenario, TIME_LIMIT_TOLERANCE_SECONDS + world.lag, rules.max_legs * rules.connect_timeout
+    )
     breaches = rule_checker.check(sorted(world.trace.entries, key=lambda entry: entry[0]))
     result = runs.result_of(world, "bellrack")
     return result | {
--- a/bellrack/lab/sockets.py
+++ b/bellrack/lab/sockets.py
@@ -1,8 +1,7 @@
-"""The sockets of the loopback face: clients, servers and discovery as the text protocol has them.
+"""Sockets of loopback runs: stubs of clients, servers and discovery that use the platform's public protocol.
 
-Owns bytes, lines and ports. What a line means to the model is told to the world that made the socket;
-nothing here decides when a server answers what. Stand-ins only: written for the lab, of the platform's
-public protocol.
+This module handles bytes, lines and ports. It passes the lines to the world of the run, which decides when
+and how a server answers.
 """
 
 from __future__ import annotations
@@ -23,35 +22,35 @@
     from bellrack.lab.node import LegRecord
 
 HOST = "127.0.0.1"
-SPEAKS = 2.0  # seconds between a client's lines
-EMPTY = 2.0  # seconds between empty lines of a watch
-LINE = 1 << 20  # bytes: more without an end are no line
-BACKLOG = 512
-STREAM_EACH = 0.1  # seconds between lines of a stream
-LONGEST = 4000  # bytes of such a line
-CLOGGED = 8  # connections tried to fill the queue of a machine that vanished
+MESSAGE_INTERVAL_SECONDS = 2.0  # between messages of a client
+KEEP_ALIVE_INTERVAL_SECONDS = 2.0  # between empty lines of a watch
+MAX_LINE_BYTES = 1 << 20  # a connection with a longer line is reset
+BACKLOG = 512  # connections
+STREAM_INTERVAL_SECONDS = 0.1  # between lines of a stream
+MAX_STREAM_LINE_BYTES = 4000
+BACKLOG_FILLERS = 8  # connections that fill the accept queue of a machine that vanished
 
 
 class LineProtocol(asyncio.Protocol):
-    """A connection of lines; those that derive from it say what is done with each."""
+    """A connection on which lines are exchanged. Subclasses override `line_received` and `peer_closed`."""
 
-    transport: asyncio.Transport | None = None  # until the connection is up
+    transport: asyncio.Transport | None = None  # None until the connection is established
 
     def __init__(self) -> None:
-        self.rest = b""
+        self.buffer = b""  # start of a line whose end has not arrived
         self.closed = False
 
     def connection_made(self, transport: Any) -> None:
         self.transport = transport
         if self.closed:
-            transport.abort()  # guards against a line that was ended before it was up, and then stays
+            transport.abort()  # otherwise a connection that was closed while connecting would stay open
 
     def data_received(self, data: bytes) -> None:
-        *whole, self.rest = (self.rest + data).split(b"\n")
-        for line in whole:
+        *lines, self.buffer = (self.buffer + data).split(b"\n")
+        for line in lines:
             if not self.closed:
                 self.line_received(line.rstrip(b"\r").decode("ascii", "replace"))
-        if len(self.rest) > LINE:
+        if len(self.buffer) > MAX_LINE_BYTES:
             self.reset()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -59,23 +58,28 @@
             self.closed = True
             self.peer_closed()
 
-    def line_received(self, line: str) -> None: ...
+    def line_received(self, line: str) -> None:
+        """Called for each line, without its end."""
+        ...
 
-    def peer_closed(self) -> None: ...
+    def peer_closed(self) -> None:
+        """Called when the connection ends, unless this side closed it."""
+        ...
 
     def send_line(self, line: str) -> None:
+        """Send a line, unless the connection is closed."""
         if not self.closed:
             self.transport.write(line.encode() + b"\r\n")
 
     def close(self) -> None:
-        """End it as agreed; nothing is told to `peer_closed` any more."""
+        """Close the connection normally; `peer_closed` is not called."""
         if not self.closed:
             self.closed = True
             if self.transport:
                 self.transport.close()
 
     def reset(self) -> None:
-        """End it as the kernel does for a process that is gone."""
+        """Reset the connection, as the kernel does after a process has died; `peer_closed` is not called."""
         if not self.closed:
             self.closed = True
             if not self.transport:
@@ -87,92 +91,96 @@
 
 
 class ClientConnection(LineProtocol):
-    """A client's connection to a balancer: one call."""
+    """A client's connection to a balancer, for one call. `first_line` is sent when it is established."""
 
-    def __init__(self, node: LiveNode, attempt: Attempt, first: str):
+    def __init__(self, node: LiveNode, attempt: Attempt, first_line: str):
         super().__init__()
-        self.node, self.attempt, self.first = node, attempt, first
-        self.answer = ""
+        self.node, self.attempt, self.first_line = node, attempt, first_line
+        self.answer = ""  # first word of the balancer's answer
         self.moved = False
-        self.speaking: asyncio.TimerHandle | None = None
+        self.message_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
-        if self.closed:  # given up while it came up
+        if self.closed:  # the client gave up while connecting
             transport.abort()
         else:
-            self.send_line(self.first)
-            self.node.wrote(self.attempt)
+            self.send_line(self.first_line)
+            self.node.on_first_line_sent(self.attempt)
 
     def line_received(self, line: str) -> None:
         word, _, rest = line.partition(" ")
         if not self.answer:
             self.answer = word
-            self.node.answered(self, word, rest)
+            self.node.on_client_answer(self, word, rest)
             if word == "UP":
-                self.speak()
+                self.send_message()
         elif word == "MOVE":
             self.moved = True
 
-    def speak(self) -> None:
+    def send_message(self) -> None:
+        """Send a message now, and then at regular intervals."""
         if not self.closed:
             self.send_line("M")
-            self.speaking = self.node.world.loop.call_later(SPEAKS, self.speak)
+            self.message_timer = self.node.world.loop.call_later(MESSAGE_INTERVAL_SECONDS, self.send_message)
 
     def peer_closed(self) -> None:
-        self.node.ended(self)
+        self.node.on_client_conn_lost(self)
 
 
 class ServerConnection(LineProtocol):
-    """A balancer's connection to a server: one leg."""
+    """A balancer's connection to a server, for one leg."""
 
     def __init__(self, world: LiveWorld, machine: Machine):
         super().__init__()
         self.world, self.machine = world, machine
         self.leg_record: LegRecord | None = None
-        self.owed = 0  # answers held back while the server hangs
+        self.held_answers = 0  # number of answers not sent because the server hangs
 
     def connection_made(self, transport: Any) -> None:
         super().connection_made(transport)
-        self.world.server_lines[self.machine][self] = None
+        self.world.server_conns[self.machine][self] = None
 
     def line_received(self, line: str) -> None:
         if self.machine.silent:
             return
         if self.leg_record is None:
-            self.world.legs.line_came(self, line)
+            self.world.legs.on_server_first_line(self, line)
         else:
-            self.owed += 1
+            self.held_answers += 1
             if self.machine.hung_until <= self.world.now:
-                self.say_owed()
+                self.send_held_answers()
 
-    def say_owed(self) -> None:
-        for _ in range(self.owed):
+    def send_held_answers(self) -> None:
+        """Answer all messages that have no answer yet."""
+        for _ in range(self.held_answers):
             self.send_line("OK")
-        self.owed = 0
+        self.held_answers = 0
 
-    def stream(self, bytes_a_second: int) -> None:
-        """Send so much as long as the connection stands."""
-        if bytes_a_second and not self.closed:
+    def send_stream(self, bytes_per_second: int) -> None:
+        """Send data at this rate until the connection is closed; nothing while the server hangs."""
+        if bytes_per_second and not self.closed:
             if self.machine.hung_until <= self.world.now:
-                self.send_line("S" + "." * min(LONGEST, round(bytes_a_second * STREAM_EACH)))
-            self.world.loop.call_later(STREAM_EACH, self.stream, bytes_a_second)
+                self.send_line(
+                    "S" + "." * min(MAX_STREAM_LINE_BYTES, round(bytes_per_second * STREAM_INTERVAL_SECONDS))
+                )
+            self.world.loop.call_later(STREAM_INTERVAL_SECONDS, self.send_stream, bytes_per_second)
 
     def peer_closed(self) -> None:
-        self.world.server_lines[self.machine].pop(self, None)
-        self.world.legs.link_lost(self)
+        self.world.server_conns[self.machine].pop(self, None)
+        self.world.legs.on_server_conn_lost(self)
 
     def close(self) -> None:
-        self.world.server_lines[self.machine].pop(self, None)
+        self.world.server_conns[self.machine].pop(self, None)
         super().close()
 
     def reset(self) -> None:
-        self.world.server_lines[self.machine].pop(self, None)
+        self.world.server_conns[self.machine].pop(self, None)
         super().reset()
 
 
 class DiscoveryConnection(LineProtocol):
-    """A balancer's question to discovery: the whole list once, or a watch."""
+    """A balancer's request to discovery: for the whole list once, or for a watch, which sends changes."""
 
     def __init__(self, node: LiveNode):
         super().__init__()
@@ -201,18 +209,21 @@
                 self.close()
 
     def refuse(self) -> None:
+        """Answer that discovery is unavailable."""
         self.transport.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
         self.node.request_refused()
         self.close()
 
     def send_chunk(self, body: bytes) -> None:
+        """Send an HTTP chunk, unless the connection is closed."""
         if not self.closed:
             self.transport.write(b"%x\r\n%b\r\n" % (len(body), body))
 
     def send_keep_alives(self) -> None:
+        """Send an empty line now, and then at regular intervals."""
         if not self.closed:
             self.send_chunk(b"\n")
-            self.node.world.loop.call_later(EMPTY, self.send_keep_alives)
+            self.node.world.loop.call_later(KEEP_ALIVE_INTERVAL_SECONDS, self.send_keep_alives)
 
     def peer_closed(self) -> None:
         self.node.discovery_conns.pop(self, None)
@@ -224,14 +235,15 @@
 
 
 class Port:
-    """A port of a server that is at times closed, or clogged so that connections never come up."""
+    """A TCP port that accepts connections, refuses them, or leaves them without an answer."""
 
     def __init__(self) -> None:
         self.number = 0
         self.listener: asyncio.Server | None = None
-        self.held: list[socket.socket] = []  # what keeps the number, and what clogs it
+        self.held: list[socket.socket] = []  # keep the port number reserved, or fill the accept queue
 
-    def bound(self) -> socket.socket:
+    def bind(self) -> socket.socket:
+        """Return a new socket that is bound to the port; the first one selects a free number."""
         sock = socket.socket(socket.AF_INET)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((HOST, self.number))
@@ -240,12 +252,13 @@
         return sock
 
     async def open(self, loop: asyncio.AbstractEventLoop, factory: Any) -> None:
-        self.shut()
-        sock = self.bound()
+        """Accept connections, with a protocol from `factory` for each."""
+        self.close()
+        sock = self.bind()
         self.listener = await loop.create_server(factory, sock=sock, backlog=BACKLOG)
 
-    def shut(self) -> None:
-        """Connections are refused."""
+    def close(self) -> None:
+        """Refuse connections, and release the port number."""
         if self.listener:
             self.listener.close()
             self.listener = None
@@ -254,17 +267,17 @@
         self.held = []
 
     def refuse(self) -> None:
-        """Shut, and the number stays ours."""
-        self.shut()
-        self.held.append(self.bound())
-
-    def clog(self) -> None:
-        """As a machine that is gone: nobody accepts and the queue is full, so that nothing comes up."""
-        self.shut()
-        sock = self.bound()
+        """Refuse connections, and keep the port number reserved."""
+        self.close()
+        self.held.append(self.bind())
+
+    def blackhole(self) -> None:
+        """Leave connections without an answer, as after the loss of a machine: the accept queue is full."""
+        self.close()
+        sock = self.bind()
         sock.listen(0)
         self.held.append(sock)
-        for _ in range(CLOGGED):
+        for _ in range(BACKLOG_FILLERS):
             filler = socket.socket(socket.AF_INET)
             filler.setblocking(False)
             filler.connect_ex((HOST, self.number))
@@ -272,7 +285,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Numbers for datagrams that were free a moment ago, all different."""
+    """Return `count` different UDP ports that are free now. Raises ScenarioError if there are fewer."""
     socks = []
     try:
         for _ in range(count):
@@ -288,7 +301,7 @@
 
 
 class Relay(asyncio.DatagramProtocol):
-    """The way of datagrams from one balancer to another, under the address that the other has there."""
+    """The socket to which one balancer sends its datagrams for another. It forwards them to the world."""
 
     def __init__(self, world: LiveWorld, sender: int, receiver: int):
         self.world, self.sender, self.receiver = world, sender, receiver
@@ -298,6 +311,6 @@
         self.transport = transport
 
     def datagram_received(self, data: bytes, address: Any) -> None:
-        self.world.relayed(self, data)
+        self.world.relay_datagram(self, data)
 
     def error_received(self, error: Exception) -> None: ...
--- a/tests/test_lab_live.py
+++ b/tests/test_lab_live.py
@@ -1,4 +1,5 @@
-"""The lab on loopback: its faults on real sockets, and that nothing is left behind however a run ends."""
+"""Lab runs on loopback sockets: the troubles of a scenario, and the cleanup of processes and descriptors
+after runs that finish, fail or are killed."""
 
 import asyncio
 import os
@@ -23,8 +24,8 @@
 ROOT = Path(__file__).parent.parent
 
 
-def descendants(of):
-    """Processes whose parent is this one, and theirs."""
+def descendants(pid):
+    """Return the process ids of the children of a process and of their descendants."""
     found = []
     for entry in Path("/proc").iterdir():
         if entry.name.isdigit():
@@ -32,37 +33,39 @@
                 parent = int((entry / "stat").read_text().rpartition(")")[2].split()[1])
             except (OSError, IndexError):
                 continue
-            if parent == of:
+            if parent == pid:
                 found += [int(entry.name), *descendants(int(entry.name))]
     return found
 
 
-def all_ended(pids, within=10.0):
-    """Have all of them ended by then?"""
-    end = time.monotonic() + within
-    while time.monotonic() < end:
-        if not any(running(pid) for pid in pids):
+def all_ended(pids, timeout=10.0):
+    """Return whether all of these processes end within `timeout` seconds."""
+    deadline = time.monotonic() + timeout
+    while time.monotonic() < deadline:
+        if not any(is_running(pid) for pid in pids):
             return True
         time.sleep(0.02)
     return False
 
 
-def running(pid):
+def is_running(pid):
+    """Return whether a process exists and is not a zombie."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
         return False
 
 
-def wait_until(true, within=20.0):
-    end = time.monotonic() + within
-    while not (value := true()):
-        assert time.monotonic() < end, "it never came"
+def wait_until(condition, timeout=20.0):
+    """Poll until the condition returns a true value, and return that value."""
+    deadline = time.monotonic() + timeout
+    while not (value := condition()):
+        assert time.monotonic() < deadline, "the condition was not met in time"
         time.sleep(0.02)
     return value
 
 
-def test_one_run_through_every_fault_keeps_the_rules_and_leaves_nothing(tmp_path):
+def test_run_with_troubles_of_each_kind_keeps_the_rules_and_cleans_up(tmp_path):
     troubles = [
         {"kind": "crash", "at": 0.8, "servers": ["a-k-1"], "lasts": 1.0},
         {"kind": "crash", "at": 1.0, "servers": ["b-k-1"], "lasts": 2.0, "silent": True},
@@ -87,21 +90,21 @@
             type=[{"name": "view"}, {"name": "order", "effect": "once-only"}],
         )
     )
-    before, own = set(os.listdir("/proc/self/fd")), descendants(os.getpid())
+    descriptors, processes = set(os.listdir("/proc/self/fd")), descendants(os.getpid())
     result = live.run(scenario, 3, trace=str(tmp_path / "trace"), logs=str(tmp_path / "logs"), quiet=True)
     assert result["kept"], result["rules"]
     assert result["completed"] > 40 and result["service"] > 0.3
     assert result["results"].get("reset", 0) > 0 and result["store_calls"] > 40
-    assert descendants(os.getpid()) == own and set(os.listdir("/proc/self/fd")) == before
+    assert descendants(os.getpid()) == processes and set(os.listdir("/proc/self/fd")) == descriptors
     logs = "".join(path.read_text() for path in (tmp_path / "logs").iterdir())
     assert "event=fault" not in logs and "event=loop" not in logs
-    assert len(list((tmp_path / "logs").iterdir())) == 3  # one balancer was killed and started again
+    assert len(list((tmp_path / "logs").iterdir())) == 3  # one of two balancers was restarted
     assert result["live"]["balancer_cpu"] > 0 and result["live"]["balancer_memory_mb"] > 0
     kinds = {entry[1] for entry in read_trace(tmp_path / "trace")}
     assert {"call", "answer", "leg", "work", "ran", "back", "told", "server", "stop", "over"} <= kinds
 
 
-def test_a_run_that_is_interrupted_or_killed_leaves_no_process_behind():
+def test_interrupted_or_killed_run_leaves_no_process_behind():
     file = ROOT / "examples" / "lab" / "calm.toml"
     for number, code in ((signal.SIGINT, 130), (signal.SIGKILL, -signal.SIGKILL)):
         lab = subprocess.Popen(
@@ -122,31 +125,31 @@
             lab.wait()
 
 
-def test_a_fault_of_the_labs_own_ends_the_run_and_its_processes(monkeypatch):
-    def faulty(world, trouble):
+def test_exception_in_the_lab_ends_the_run_and_its_processes(monkeypatch):
+    def raise_error(world, trouble):
         raise RuntimeError("a fault of the lab")
 
-    monkeypatch.setattr(live.LiveWorld, "do_stall", faulty)
-    own = descendants(os.getpid())
+    monkeypatch.setattr(live.LiveWorld, "do_stall", raise_error)
+    processes = descendants(os.getpid())
     with pytest.raises(RuntimeError, match="a fault of the lab"):
         live.run(parse_scenario(raw({"kind": "stall", "at": 0.1})), 1, quiet=True)
-    assert descendants(os.getpid()) == own
+    assert descendants(os.getpid()) == processes
 
 
-def test_the_port_of_a_balancer_is_held_for_it_while_it_is_down():
-    door = Port()
-    door.refuse()
+def test_port_of_a_balancer_stays_reserved_while_the_balancer_is_down():
+    port = Port()
+    port.refuse()
     with socket.socket() as other, pytest.raises(OSError):
-        other.bind((HOST, door.number))  # as another run's would be, by chance
-    with socket.create_server((HOST, door.number)) as balancer:
-        assert balancer.getsockname()[1] == door.number
-    door.shut()
+        other.bind((HOST, port.number))  # as a port of another run might be
+    with socket.create_server((HOST, port.number)) as balancer:
+        assert balancer.getsockname()[1] == port.number
+    port.close()
 
 
-def test_a_balancer_that_ends_by_itself_is_told(monkeypatch):
-    honest = live.LiveWorld.configuration
+def test_balancer_that_ends_at_its_start_is_reported(monkeypatch):
+    configuration = live.LiveWorld.configuration
     monkeypatch.setattr(
-        live.LiveWorld, "configuration", lambda world, node: honest(world, node) | {"settings": {}}
+        live.LiveWorld, "configuration", lambda world, node: configuration(world, node) | {"settings": {}}
     )
     with pytest.raises(ScenarioError, match="a balancer ended at its start"):
         live.run(parse_scenario(raw()), 1, quiet=True)
@@ -162,14 +165,14 @@
         ({"clients": {"standing": 2_000_000}, "limits": {"sockets": 65536}}, "descriptors"),
     ],
 )
-def test_more_than_this_machine_can_play_is_refused_before_anything_starts(monkeypatch, changes, reason):
-    monkeypatch.setattr(live, "_played", None)
+def test_scenario_that_is_too_large_is_refused_before_anything_starts(monkeypatch, changes, reason):
+    monkeypatch.setattr(live, "_run_world", None)
     with pytest.raises(ScenarioError, match=reason):
         live.run(parse_scenario(raw(**changes)), 1, quiet=True)
 
 
 @played
-async def test_a_port_refuses_comes_up_or_says_nothing_as_its_machine_does():
+async def test_port_accepts_drops_or_refuses_connections():
     loop, port = asyncio.get_running_loop(), Port()
 
     async def outcome():
@@ -186,28 +189,28 @@
         finally:
             sock.close()
 
-    seen = []
+    outcomes = []
     for _ in range(2):
         await port.open(loop, asyncio.Protocol)
-        seen.append(await outcome())
-        port.clog()
-        seen.append(await outcome())
+        outcomes.append(await outcome())
+        port.blackhole()
+        outcomes.append(await outcome())
         port.refuse()
-        seen.append(await outcome())
-    port.shut()
-    assert seen == ["up", "nothing", "refused"] * 2
+        outcomes.append(await outcome())
+    port.close()
+    assert outcomes == ["up", "nothing", "refused"] * 2
 
 
-def test_on_sockets_an_end_seen_late_is_no_second_leg_out():
-    def judged(ended):
+def test_tolerance_allows_a_leg_end_that_is_seen_late_on_sockets():
+    def broken_rules(ended_after):
         scenario = parse_scenario(raw())
         trace = [
             (START, "call", 1, "n", 1, 0, START + 3),
             (START, "leg", 1, 1, "n", "a-k-1"),
             (START + 0.2, "leg", 1, 2, "n", "a-k-2"),
-            (START + 0.2 + ended, "back", 1, 1, "cancelled"),
+            (START + 0.2 + ended_after, "back", 1, 1, "cancelled"),
             (START + 1, "answer", 1, "completed", 0.0),
         ]
         return [breach.rule for breach in RuleChecker(scenario, 0.05).check(trace)]
 
-    assert judged(0.04) == [] and judged(0.06) == [2]
+    assert broken_rules(0.04) == [] and broken_rules(0.06) == [2]
