--- a/bellrack/lab/cli.py
+++ b/bellrack/lab/cli.py
@@ -1,4 +1,4 @@
-"""bellrack lab: plays scenarios of a deployment, on virtual time and on loopback.
+"""bellrack lab: runs scenarios of a deployment, on virtual time and on loopback sockets.
 
 Usage:
   bellrack lab run FILE [--seed=N | --seeds=N] [--policy=NAME]... [--jobs=J] [--out=DIR] [--trace=FILE]
@@ -17,36 +17,37 @@
   bellrack lab (-h | --help)
 
 Commands:
-  run      Play a scenario on virtual time and judge the four rules; a row a policy.
-  live     Play it on real sockets: bellrack serve processes before stand-in servers, all on loopback.
-  compare  Say whether the second folder of results (FOLDER or FOLDER:POLICY) differs from the first.
-  sweep    Play it with several values of a key: clients.rate=4,6,8 or choice.PACE_SHARE_PER_SECOND=0.3,0.5.
-  shrink   Cut a scenario that breaks a rule, or serves less than asked, to the least that still does.
-  report   Make one HTML page of a folder of results.
-  check    Say what a scenario asks for, and whether it can be played.
-  cold     Play generated starts of cold servers before 3 to 200 balancers, and count against rule 4.
-  speed    Measure the virtual face on this machine, from 4 balancers before 8 servers to 500 before 1,000.
-  scale    Hollow balancers, hundreds to thousands: what each role of a tier costs at a size (run), at several
-           with a power law through them (sweep), or one role alone (roles).
+  run      Run a scenario on virtual time and check the four rules; print a row for each policy.
+  live     Run it on real sockets: bellrack serve processes with stub servers, all on loopback.
+  compare  Compare a second folder of results (FOLDER or FOLDER:POLICY) with the first.
+  sweep    Run it with several values of a key: clients.rate=4,6,8 or choice.PACE_SHARE_PER_SECOND=0.3,0.5.
+  shrink   Reduce a scenario that breaks a rule, or has a service under SERVICE, as long as it still does.
+  report   Write an HTML page for a folder of results.
+  check    Print the size of a scenario, and check that it can be run.
+  cold     Run generated starts of cold servers with 3 to 200 balancers, and check rule 4.
+  speed    Measure the speed of virtual-time runs on this machine, from 4 balancers with 8 servers to 500 with
+           1,000.
+  scale    Run hundreds to thousands of hollow balancers and measure the cost of each role of a tier: at one
+           size (run), at several sizes with a fitted power law (sweep), or one role alone (roles).
 
 Options:
-  --seed=N         The seed of one run; the file's own if not given.
-  --seeds=N        So many runs, of seeds 1 to N.
+  --seed=N         The seed of one run; by default that of the file.
+  --seeds=N        Run with each of the seeds 1 to N.
   --policy=NAME    bellrack, random, round-robin, least-open, two-choices, bounded-hash, all-seeing; "all"
-                   for all of them; or a file that holds another build of the decisions. [default: bellrack]
-  --jobs=J         Processes at once. [default: 1]
-  --out=DIR        Where results are kept, and found again when a run was interrupted.
+                   for all of them; or a file with another version of the decision module. [default: bellrack]
+  --jobs=J         Number of parallel processes. [default: 1]
+  --out=DIR        Folder for the results; an interrupted command continues from it.
   --trace=FILE     Write the event trace of one run.
-  --under=SERVICE  What counts as failing, beside a broken rule.
-  --logs=DIR       Keep what the balancers log.
-  --starts=N       So many starts, drawn from the seed (1 if not given). [default: 1000]
-  --size=BxS       Balancers by servers, in place of the usual sizes.
-  --length=S       Virtual seconds of each size. [default: 20]
-  --profile        Show where the time goes.
-  --sizes=LIST     Balancers, as 50,200,800; servers in proportion.
-  --report=FILE    Write a page with plots.
-  --json=FILE      Write what is printed, with all figures, as JSON; - for standard output.
-  --quiet          No progress bar.
+  --under=SERVICE  Also count a run with a service below this as failed.
+  --logs=DIR       Keep the logs of the balancers in this folder.
+  --starts=N       Number of starts, generated from the seed (1 if not given). [default: 1000]
+  --size=BxS       Number of balancers and servers, instead of the default sizes.
+  --length=S       Virtual seconds to run for each size. [default: 20]
+  --profile        Print the functions that take the most time.
+  --sizes=LIST     Numbers of balancers, such as 50,200,800; servers in proportion.
+  --report=FILE    Write an HTML page with plots.
+  --json=FILE      Write the printed values in full as JSON; - for standard output.
+  --quiet          Show no progress bar.
 """
 
 from __future__ import annotations
@@ -65,8 +66,9 @@
 from bellrack.lab.baselines import POLICIES
 from bellrack.lab.scenario import ScenarioError, balancer_names, read_scenario, server_names
 
-SHOWN = 20  # starts with a fall that are named
-TABLE = (
+MAX_FAILURES_SHOWN = 20  # starts with a failed server that are printed
+# Columns of printed tables: key of the row, heading, format.
+RUN_COLUMNS = (
     ("policy", "policy", "{}"),
     ("seeds", "seeds", "{}"),
     ("broken", "rules broken", "{}"),
@@ -88,8 +90,9 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run one command; the exit code: 0, 1 if a rule was broken, 2 for what cannot be done."""
-    if arguments[:2] == ["scale", "roles"]:  # whose options are its own
+    """Run one command and return the exit code: 0, 1 if a rule was broken, 2 for invalid input, 130 if
+    interrupted."""
+    if arguments[:2] == ["scale", "roles"]:  # it parses options of its own
         from bellrack.lab.scale import roles
 
         return roles.main(arguments[2:])
@@ -97,19 +100,20 @@
     try:
         if args["scale"]:
             return do_scale(args)
-        for verb in ("run", "live", "compare", "sweep", "shrink", "report", "check", "cold", "speed"):
-            if args[verb]:
-                return globals()[f"do_{verb}"](args)
+        for command in ("run", "live", "compare", "sweep", "shrink", "report", "check", "cold", "speed"):
+            if args[command]:
+                return globals()[f"do_{command}"](args)
     except (ScenarioError, OSError) as error:
         print(f"bellrack lab: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
-        print("bellrack lab: interrupted; results that are done are kept", file=sys.stderr)
+        print("bellrack lab: interrupted; finished results are kept", file=sys.stderr)
         return 130
     return 2
 
 
 def number(args: dict[str, Any], option: str, least: float = 1, kind: type = int) -> Any:
+    """Return the value of an option as a number. Raises ScenarioError if it is not one, or below `least`."""
     try:
         value = kind(args[option])
     except ValueError:
@@ -120,23 +124,25 @@
 
 
 def tables(path: str) -> dict[str, Any]:
-    """The file's tables, once its whole has been checked."""
+    """Return the tables of a scenario file after validating it. Raises ScenarioError."""
     read_scenario(path)
     return tomllib.loads(Path(path).read_text(encoding="utf-8"))
 
 
 def chosen(args: dict[str, Any]) -> list[str]:
+    """Return the policies that the arguments name, without duplicates."""
     names = args["--policy"] if isinstance(args["--policy"], list) else [args["--policy"]]
     return list(POLICIES) if "all" in names else list(dict.fromkeys(names))
 
 
 def seeds_of(args: dict[str, Any], raw: dict[str, Any]) -> list[int]:
+    """Return the seeds that the arguments ask for, by default that of the scenario."""
     if args["--seeds"]:
         return list(range(1, number(args, "--seeds") + 1))
     return [number(args, "--seed", 0) if args["--seed"] else raw.get("seed", 1)]
 
 
-COLD = (
+COLD_COLUMNS = (
     ("balancers", "balancers", "{}"),
     ("starts", "starts", "{}"),
     ("fell", "fell", "{}"),
@@ -147,33 +153,35 @@
 
 
 def do_cold(args: dict[str, Any]) -> int:
+    """Run generated starts of cold servers; print a row for each number of balancers, and the failures."""
     seed = number(args, "--seed", 0) if args["--seed"] else 1
     results = cold.play_all(
         cold.draw_starts(number(args, "--starts"), seed), number(args, "--jobs"), args["--quiet"]
     )
-    rows, fallen = cold.summarize_by_size(results), [one for one in results if one["fell"]]
-    show(COLD, rows, args)
-    for one in fallen[:SHOWN] if args["--json"] != "-" else ():
+    rows, failed = cold.summarize_by_size(results), [result for result in results if result["fell"]]
+    show(COLD_COLUMNS, rows, args)
+    for result in failed[:MAX_FAILURES_SHOWN] if args["--json"] != "-" else ():
         print(
-            f"fell: start {one['start']['seed']}, {one['start']['balancers']} balancers, "
-            f"{one['window']} requests in a window, {one['nearest']:.2f} of the limit"
+            f"fell: start {result['start']['seed']}, {result['start']['balancers']} balancers, "
+            f"{result['window']} requests in a window, {result['nearest']:.2f} of the limit"
         )
-    put(args, {"sizes": rows, "fell": fallen})
-    return 1 if fallen else 0
+    put(args, {"sizes": rows, "fell": failed})
+    return 1 if failed else 0
 
 
 def put(args: dict[str, Any], value: Any) -> None:
+    """Write a value as JSON to the destination of --json, if that is given."""
     if args["--json"] == "-":
-        sys.stdout.buffer.write(experiment.encoded(value))
+        sys.stdout.buffer.write(experiment.encode_result(value))
     elif args["--json"]:
-        experiment.write_whole(Path(args["--json"]).absolute(), experiment.encoded(value))
+        experiment.write_atomically(Path(args["--json"]).absolute(), experiment.encode_result(value))
 
 
 def show(columns: Any, rows: list[dict[str, Any]], args: dict[str, Any]) -> None:
-    """A table of plain text, unless JSON goes to standard output."""
+    """Print a table of plain text, unless JSON goes to standard output."""
     if args["--json"] == "-":
         return
-    cells = [[head for _, head, _ in columns]]
+    cells = [[heading for _, heading, _ in columns]]
     for row in rows:
         values = [row[key] for key, _, _ in columns]
         cells.append(
@@ -183,22 +191,23 @@
                     if value in (None, [])
                     else ",".join(value)
                     if isinstance(value, list)
-                    else form.format(value)
+                    else cell_format.format(value)
                 )
-                for value, (_, _, form) in zip(values, columns)
+                for value, (_, _, cell_format) in zip(values, columns)
             ]
         )
-    widths = [max(len(line[at]) for line in cells) for at in range(len(columns))]
+    widths = [max(len(line[column]) for line in cells) for column in range(len(columns))]
     for line in cells:
         print(
             "  ".join(
-                cell.ljust(width) if at == 0 else cell.rjust(width)
-                for at, (cell, width) in enumerate(zip(line, widths))
+                cell.ljust(width) if column == 0 else cell.rjust(width)
+                for column, (cell, width) in enumerate(zip(line, widths))
             ).rstrip()
         )
 
 
 def do_run(args: dict[str, Any]) -> int:
+    """Run a scenario on virtual time for each policy and seed, and print the results."""
     raw, policies = tables(args["FILE"]), chosen(args)
     seeds = seeds_of(args, raw)
     if args["--trace"]:
@@ -212,10 +221,10 @@
             results = experiment.batch(
                 raw, seeds, policies, folder, number(args, "--jobs"), None, args["--quiet"]
             )
-    rows = experiment.figures(results)
-    show(TABLE, rows, args)
-    told = [result for result in results if not result["kept"]]
-    for result in told if args["--json"] != "-" else ():
+    rows = experiment.summarize(results)
+    show(RUN_COLUMNS, rows, args)
+    failed = [result for result in results if not result["kept"]]
+    for result in failed if args["--json"] != "-" else ():
         for rule, verdict in result["rules"].items():
             for first in verdict["first"][:1]:
                 print(
@@ -223,45 +232,50 @@
                     f"{result['seed']}; first at {first['at']:.3f} s: {first['what']}"
                 )
     put(args, {"figures": rows, "results": results})
-    return int(any(result["policy"] == "bellrack" for result in told))
+    return int(any(result["policy"] == "bellrack" for result in failed))
 
 
 class folder_of:
-    """The folder that was named, or one that goes when its results have been read."""
+    """Context manager: the folder of --out, or else a temporary one that is deleted at the end."""
 
     def __init__(self, args: dict[str, Any]):
-        self.named = args["--out"]
+        self.out = args["--out"]
 
     def __enter__(self) -> Path:
-        self.path = Path(self.named) if self.named else Path(tempfile.mkdtemp(prefix="bellrack-lab-"))
+        self.path = Path(self.out) if self.out else Path(tempfile.mkdtemp(prefix="bellrack-lab-"))
         return self.path
 
     def __exit__(self, *error: object) -> None:
-        if not self.named:
+        if not self.out:
             shutil.rmtree(self.path, ignore_errors=True)
 
 
 def do_live(args: dict[str, Any]) -> int:
+    """Run a scenario on loopback sockets and print the result."""
     from bellrack.lab import live
 
     scenario = read_scenario(args["FILE"])
     seed = number(args, "--seed", 0) if args["--seed"] else scenario.seed
     result = live.run(scenario, seed, trace=args["--trace"], logs=args["--logs"], quiet=args["--quiet"])
-    show(TABLE, experiment.figures([result]), args)
+    show(RUN_COLUMNS, experiment.summarize([result]), args)
     put(args, result)
     return int(not result["kept"])
 
 
 def results_at(place: str) -> list[dict[str, Any]]:
+    """Return the results at FOLDER or FOLDER:POLICY. Raises ScenarioError if there are none."""
     folder, _, policy = place.partition(":")
     results = experiment.read_folder(Path(folder))
-    found = [result for result in results if not policy or experiment.named(result["policy"]) == policy]
+    found = [
+        result for result in results if not policy or experiment.policy_label(result["policy"]) == policy
+    ]
     if not found:
         raise ScenarioError(f"{place}: no results of {policy}")
     return found
 
 
 def do_compare(args: dict[str, Any]) -> int:
+    """Compare two sets of results and print a row for each metric."""
     rows = experiment.compare(results_at(args["FIRST"]), results_at(args["SECOND"]))
     show(
         (
@@ -282,6 +296,7 @@
 
 
 def do_sweep(args: dict[str, Any]) -> int:
+    """Run a scenario with several values of a key and print a row for each."""
     raw = tables(args["FILE"])
     key, equals, values = args["SETTING"].partition("=")
     if not equals or not values:
@@ -297,40 +312,43 @@
             number(args, "--jobs"),
             args["--quiet"],
         )
-    show((("value", key, "{}"), *TABLE[1:]), rows, args)
+    show((("value", key, "{}"), *RUN_COLUMNS[1:]), rows, args)
     put(args, rows)
     return 0
 
 
 def do_shrink(args: dict[str, Any]) -> int:
+    """Reduce a failing scenario, and print it or write it to a file."""
     raw = tables(args["FILE"])
     under = number(args, "--under", 0, float) if args["--under"] else None
     tell = (lambda text: None) if args["--quiet"] else (lambda text: print(text, file=sys.stderr))
-    least = experiment.shrink(raw, seeds_of(args, raw)[0], chosen(args)[0], under, tell)
-    text = tomli_w.dumps(least)
+    reduced = experiment.shrink(raw, seeds_of(args, raw)[0], chosen(args)[0], under, tell)
+    text = tomli_w.dumps(reduced)
     if args["--out"]:
-        experiment.write_whole(Path(args["--out"]).absolute(), text.encode())
+        experiment.write_atomically(Path(args["--out"]).absolute(), text.encode())
     elif args["--json"] != "-":
         print(text, end="")
-    put(args, least)
+    put(args, reduced)
     return 0
 
 
 def do_report(args: dict[str, Any]) -> int:
+    """Write the HTML page of a folder of results."""
     from bellrack.lab import report
 
     results = experiment.read_folder(Path(args["DIR"]))
-    place = Path(args["--out"] or Path(args["DIR"]) / "report.html")
-    experiment.write_whole(place.absolute(), report.page(results).encode())
+    path = Path(args["--out"] or Path(args["DIR"]) / "report.html")
+    experiment.write_atomically(path.absolute(), report.page(results).encode())
     if args["--json"] != "-":
-        print(place)
-    put(args, experiment.figures(results))
+        print(path)
+    put(args, experiment.summarize(results))
     return 0
 
 
 def do_check(args: dict[str, Any]) -> int:
+    """Print the size of a scenario, after checking that it can be run on virtual time."""
     scenario = read_scenario(args["FILE"])
-    asks = {
+    size = {
         "name": scenario.name,
         "balancers": len(balancer_names(scenario)),
         "servers": len(server_names(scenario)),
@@ -340,20 +358,21 @@
     }
     run.refuse_if_too_large(scenario)
     if args["--json"] != "-":
-        print(f"{args['FILE']}: " + ", ".join(f"{key} {value}" for key, value in asks.items()))
-    put(args, asks)
+        print(f"{args['FILE']}: " + ", ".join(f"{key} {value}" for key, value in size.items()))
+    put(args, size)
     return 0
 
 
 def do_speed(args: dict[str, Any]) -> int:
+    """Measure the speed of virtual-time runs and print a row for each size."""
     from bellrack.lab import speed
 
     sizes = []
     for text in args["--size"]:
-        both = text.split("x")
-        if len(both) != 2 or not all(part.isdigit() and int(part) >= 2 for part in both):
+        numbers = text.split("x")
+        if len(numbers) != 2 or not all(part.isdigit() and int(part) >= 2 for part in numbers):
             raise ScenarioError(f"--size: {text!r} is not of the form 4x8, with 2 or more of each")
-        sizes.append((int(both[0]), int(both[1])))
+        sizes.append((int(numbers[0]), int(numbers[1])))
     rows = speed.measure_sizes(
         tuple(sizes) or speed.SIZES, number(args, "--length", 1, float), args["--profile"]
     )
@@ -383,6 +402,7 @@
 
 
 def do_scale(args: dict[str, Any]) -> int:
+    """Run a scale plan at one size or at several, and print the costs."""
     from bellrack.lab.scale import run as scale
     from bellrack.lab.scale.plan import read_plan
 
@@ -399,12 +419,13 @@
         else:
             results.append(scale.play(plan, seed, args["--quiet"]))
     finally:
-        if results:  # those that are done, whatever became of the others
+        if results:  # finished results are shown even if a later run failed
             show_scale(results, args)
     return int(any(result["counts"]["tier"]["faults"] for result in results))
 
 
 def show_scale(results: list[dict[str, Any]], args: dict[str, Any]) -> None:
+    """Print the results of scale runs with the fitted power laws, and write the report and the JSON."""
     from bellrack.lab.scale import run as scale
 
     fits = scale.fits(results)
@@ -415,5 +436,5 @@
     if args["--report"]:
         from bellrack.lab.scale import report
 
-        experiment.write_whole(Path(args["--report"]).absolute(), report.page(results, fits).encode())
+        experiment.write_atomically(Path(args["--report"]).absolute(), report.page(results, fits).encode())
     put(args, {"results": results, "fits": fits} if args["sweep"] else results[0])
--- a/bellrack/lab/experiment.py
+++ b/bellrack/lab/experiment.py
@@ -1,8 +1,8 @@
-"""Experiments: many runs of a scenario, two sets of runs compared, a value swept, a failing scenario shrunk.
+"""Experiments: batches of runs, comparisons, parameter sweeps, and the reduction of failing scenarios.
 
-Owns folders of results and what is concluded from them. A result is one file, written whole or not at all,
-so that an interrupted experiment goes on where it stopped. Chance in conclusions (the bootstrap) has a seed
-of its own.
+This module manages folders of results and evaluates them. Each result is a file that is written atomically,
+so that an interrupted experiment continues where it stopped. The random numbers of the evaluation (the
+bootstrap) have a fixed seed of their own.
 """
 
 from __future__ import annotations
@@ -23,9 +23,10 @@
 from bellrack.lab import run as runs
 from bellrack.lab.scenario import ScenarioError, parse_scenario, with_value
 
-SCENARIO = "scenario.toml"  # a folder's own copy of what was run
-RESAMPLES, LEVEL = 10_000, 0.95  # of the bootstrap
-FEWEST = 3  # pairs under which no interval is drawn
+SCENARIO = "scenario.toml"  # copy of the scenario, in the folder of its results
+RESAMPLES = 10_000  # of the bootstrap
+CONFIDENCE_LEVEL = 0.95
+MIN_PAIRS = 3  # with fewer pairs no confidence interval is calculated
 COMPARED = (
     "service",
     "worst_window",
@@ -41,33 +42,34 @@
 LOWER_IS_BETTER = {"crossings", "wasted", "moves", "store_calls", "rejected", "released", "gave_up"}
 
 
-def write_whole(path: Path, data: bytes) -> None:
-    """The file with all of it, or as it was before."""
-    part = path.with_name(f".{path.name}.{os.getpid()}")
+def write_atomically(path: Path, data: bytes) -> None:
+    """Write a file atomically: after a failure it is as it was before."""
+    temporary = path.with_name(f".{path.name}.{os.getpid()}")
     try:
-        part.write_bytes(data)
-        os.replace(part, path)
+        temporary.write_bytes(data)
+        os.replace(temporary, path)
     finally:
-        part.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
 
 
-def encoded(result: Any) -> bytes:
-    """The same bytes for the same values, a key a line at the top."""
+def encode_result(result: Any) -> bytes:
+    """Encode as indented JSON. Equal values give equal bytes."""
     return msgspec.json.format(msgspec.json.encode(result, order="deterministic"), indent=1) + b"\n"
 
 
-def named(policy: str) -> str:
-    """A policy's name as part of a file's."""
+def policy_label(policy: str) -> str:
+    """Return the name of a policy as it appears in file names."""
     return Path(policy).stem if policy.endswith(".py") else policy
 
 
 def result_path(folder: Path, policy: str, seed: int) -> Path:
-    return folder / f"{named(policy)}-{seed}.json"
+    """Return the path of the result of one run."""
+    return folder / f"{policy_label(policy)}-{seed}.json"
 
 
 def run_encoded(raw: dict[str, Any], seed: int, policy: str, constants: dict[str, float]) -> bytes:
-    """One run, in a process of its own."""
-    return encoded(runs.run(raw, seed, policy, constants) | {"digest": runs.digest(raw)})
+    """Run a scenario and return its encoded result. Called in worker processes."""
+    return encode_result(runs.run(raw, seed, policy, constants) | {"digest": runs.digest(raw)})
 
 
 def batch(
@@ -79,50 +81,53 @@
     constants: dict[str, float] | None = None,
     quiet: bool = False,
 ) -> list[dict[str, Any]]:
-    """All runs, each in its file; those whose file is there are not played again. Results in order of
-    policy and seed. Raises ScenarioError for a folder that holds runs of another scenario."""
+    """Run the scenario with each policy and seed, `jobs` processes at a time, with a file for each result.
+
+    Runs whose file exists are not repeated. Returns the results in the order of policies and seeds. Raises
+    ScenarioError if the folder contains results of another scenario.
+    """
     scenario = parse_scenario(raw)
     runs.refuse_if_too_large(scenario)
     for policy in policies:
-        runs.baselines.policy(policy)  # a wrong name is told before anything runs
+        runs.baselines.policy(policy)  # raises an error for an unknown name before any run starts
     folder.mkdir(parents=True, exist_ok=True)
-    mark = runs.digest(raw)
-    jobs_left = []
+    digest = runs.digest(raw)
+    pending = []
     for policy in policies:
         for seed in seeds:
             path = result_path(folder, policy, seed)
             if not path.exists():
-                jobs_left.append((policy, seed))
-            elif read_result(path).get("digest") != mark:
+                pending.append((policy, seed))
+            elif read_result(path).get("digest") != digest:
                 raise ScenarioError(f"{path}: a run of another scenario; take another folder")
     if not (folder / SCENARIO).exists():
-        write_whole(folder / SCENARIO, tomli_w.dumps(raw).encode())
+        write_atomically(folder / SCENARIO, tomli_w.dumps(raw).encode())
     bar = tqdm(
         total=len(seeds) * len(policies),
-        initial=len(seeds) * len(policies) - len(jobs_left),
+        initial=len(seeds) * len(policies) - len(pending),
         desc=scenario.name,
         unit="run",
         disable=quiet or None,
     )
     with bar:
-        for (policy, seed), data in spread(raw, jobs_left, jobs, constants or {}):
-            write_whole(result_path(folder, policy, seed), data)
+        for (policy, seed), data in run_all(raw, pending, jobs, constants or {}):
+            write_atomically(result_path(folder, policy, seed), data)
             bar.update()
     return [read_result(result_path(folder, policy, seed)) for policy in policies for seed in seeds]
 
 
-def spread(
-    raw: dict[str, Any], wanted: list[tuple[str, int]], jobs: int, constants: dict[str, float]
+def run_all(
+    raw: dict[str, Any], pending: list[tuple[str, int]], jobs: int, constants: dict[str, float]
 ) -> Iterator[tuple[tuple[str, int], bytes]]:
-    """Runs as they finish, on so many processes."""
-    if jobs <= 1 or len(wanted) <= 1:
-        for policy, seed in wanted:
+    """Run each pair of a policy and a seed on `jobs` processes, and yield encoded results as they finish."""
+    if jobs <= 1 or len(pending) <= 1:
+        for policy, seed in pending:
             yield (policy, seed), run_encoded(raw, seed, policy, constants)
         return
-    pool = ProcessPoolExecutor(min(jobs, len(wanted)), multiprocessing.get_context("spawn"))
+    pool = ProcessPoolExecutor(min(jobs, len(pending)), multiprocessing.get_context("spawn"))
     try:
         futures = {
-            pool.submit(run_encoded, raw, seed, policy, constants): (policy, seed) for policy, seed in wanted
+            pool.submit(run_encoded, raw, seed, policy, constants): (policy, seed) for policy, seed in pending
         }
         for future in as_completed(futures):
             yield futures[future], future.result()
@@ -131,17 +136,18 @@
 
 
 def read_result(path: Path) -> dict[str, Any]:
+    """Return the result in a file. Raises ScenarioError if it is unreadable or of another version."""
     try:
         result = msgspec.json.decode(path.read_bytes())
     except (OSError, msgspec.DecodeError) as error:
-        raise ScenarioError(f"{path}: no result: {error}") from error
+        raise ScenarioError(f"{path}: not a readable result: {error}") from error
     if not isinstance(result, dict) or result.get("version") != runs.VERSION:
-        raise ScenarioError(f"{path}: no result of version {runs.VERSION}")
+        raise ScenarioError(f"{path}: not a result of version {runs.VERSION}")
     return result
 
 
 def read_folder(folder: Path) -> list[dict[str, Any]]:
-    """All results of a folder, by policy and seed."""
+    """Return all results of a folder, sorted by policy and seed. Raises ScenarioError if there are none."""
     results = [read_result(path) for path in sorted(folder.glob("*.json"))]
     if not results:
         raise ScenarioError(f"{folder}: no results")
@@ -149,11 +155,12 @@
 
 
 def mean(values: list[float]) -> float:
+    """Return the arithmetic mean of a list that is not empty."""
     return sum(values) / len(values)
 
 
-def figures(results: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """A row a policy: means over its seeds, and the least service."""
+def summarize(results: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    """Return a row for each policy: means over its seeds, and the lowest service."""
     rows = []
     for policy in dict.fromkeys(result["policy"] for result in results):
         own = [result for result in results if result["policy"] == policy]
@@ -179,43 +186,47 @@
     return rows
 
 
-# Two sets compared.
+# Comparison of two sets of results.
 
 
-def interval(differences: list[float]) -> tuple[float, float]:
-    """The mean difference lies in it, by bootstrap over the pairs."""
+def confidence_interval(differences: list[float]) -> tuple[float, float]:
+    """Return the confidence interval of the mean difference, by bootstrap over the pairs."""
     values = numpy.array(differences)
-    drawn = numpy.random.Generator(numpy.random.PCG64(20)).integers(0, len(values), (RESAMPLES, len(values)))
-    means = values[drawn].mean(axis=1)
-    low, high = numpy.quantile(means, [(1 - LEVEL) / 2, (1 + LEVEL) / 2])
+    indices = numpy.random.Generator(numpy.random.PCG64(20)).integers(
+        0, len(values), (RESAMPLES, len(values))
+    )
+    means = values[indices].mean(axis=1)
+    low, high = numpy.quantile(means, [(1 - CONFIDENCE_LEVEL) / 2, (1 + CONFIDENCE_LEVEL) / 2])
     return float(low), float(high)
 
 
 def compare(one: list[dict[str, Any]], other: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """What the second has over the first, paired over seeds; a row a figure. Raises ScenarioError without
-    pairs."""
+    """Compare results of `other` with those of `one` that have the same seed; return a row for each metric.
+
+    Raises ScenarioError if a set has several policies or no seed is in both.
+    """
     if len({r["policy"] for r in one}) > 1 or len({r["policy"] for r in other}) > 1:
         raise ScenarioError("several policies in one folder: name one with FOLDER:POLICY")
-    ours, theirs = {r["seed"]: r for r in one}, {r["seed"]: r for r in other}
-    pairs = [(ours[seed], theirs[seed]) for seed in sorted(ours.keys() & theirs.keys())]
+    firsts, seconds = {r["seed"]: r for r in one}, {r["seed"]: r for r in other}
+    pairs = [(firsts[seed], seconds[seed]) for seed in sorted(firsts.keys() & seconds.keys())]
     if not pairs:
         raise ScenarioError("no seed is in both")
     rows = []
     for key in COMPARED:
-        gaps = [float(b[key] - a[key]) for a, b in pairs]
+        differences = [float(b[key] - a[key]) for a, b in pairs]
         row = {
             "figure": key,
-            "pairs": len(gaps),
+            "pairs": len(differences),
             "first": mean([a[key] for a, _ in pairs]),
             "second": mean([b[key] for _, b in pairs]),
-            "difference": mean(gaps),
+            "difference": mean(differences),
             "low": None,
             "high": None,
         }
-        if len(gaps) < FEWEST:
-            row["verdict"] = f"too few pairs (under {FEWEST})"
+        if len(differences) < MIN_PAIRS:
+            row["verdict"] = f"too few pairs (under {MIN_PAIRS})"
         else:
-            row["low"], row["high"] = interval(gaps)
+            row["low"], row["high"] = confidence_interval(differences)
             if row["low"] <= 0 <= row["high"]:
                 row["verdict"] = "no difference shown"
             else:
@@ -224,11 +235,11 @@
     return rows
 
 
-# A value swept.
+# Parameter sweeps.
 
 
 def value_of(text: str) -> Any:
-    """A value as TOML has it; what is none is a string."""
+    """Parse a TOML value. Text that is not a TOML value is returned as a string."""
     import tomllib
 
     try:
@@ -247,37 +258,41 @@
     jobs: int,
     quiet: bool = False,
 ) -> list[dict[str, Any]]:
-    """A row a value: the figures of its runs. `choice.NAME` is a constant of the decision module."""
+    """Run the scenario with each value of `key`; return a row of metrics for each.
+
+    `key` is a key of the file, or `choice.NAME` for a constant of the decision module. Raises ScenarioError
+    if the scenario is invalid with one of the values.
+    """
     variants = []
     for value in values:
         constants = {key.removeprefix("choice."): value} if key.startswith("choice.") else {}
         variants.append((value, raw if constants else with_value(raw, key, value), constants))
-        parse_scenario(variants[-1][1])  # all of them, before any is played
+        parse_scenario(variants[-1][1])  # validates all variants before any is run
     rows = []
     for value, variant, constants in variants:
-        place = folder / f"{key}={value}".replace("/", "_")
-        results = batch(variant, seeds, [policy], place, jobs, constants, quiet)
-        rows.append({"value": value, **figures(results)[0]})
+        variant_folder = folder / f"{key}={value}".replace("/", "_")
+        results = batch(variant, seeds, [policy], variant_folder, jobs, constants, quiet)
+        rows.append({"value": value, **summarize(results)[0]})
     return rows
 
 
-# A failing scenario shrunk.
+# Reduction of failing scenarios.
 
 
 def fails(raw: dict[str, Any], seed: int, policy: str, under: float | None) -> bool:
-    """Does it break a rule or, where a bound is given, serve less than that?"""
+    """Return whether a run breaks a rule or, if `under` is given, has a lower service than that."""
     result = runs.run(raw, seed, policy)
     return not result["kept"] or under is not None and result["service"] < under
 
 
-def smaller(raw: dict[str, Any]) -> Iterator[dict[str, Any]]:
-    """Scenarios that ask for a little less, the largest cuts first."""
+def reductions(raw: dict[str, Any]) -> Iterator[dict[str, Any]]:
+    """Yield variants of a scenario with one reduction each, the largest reductions first."""
     for table in ("trouble", "tenant", "type", "servers", "zone"):
         rows = raw.get(table, [])
         for index in range(len(rows) - 1, -1, -1) if len(rows) > (table in ("type", "zone")) else ():
             yield raw | {table: rows[:index] + rows[index + 1 :]}
-    last = max([row["at"] + row.get("lasts", 0) for row in raw.get("trouble", [])], default=0)
-    for length in (raw.get("length", 60.0) / 2, last + 5.0):
+    troubles_end = max([row["at"] + row.get("lasts", 0) for row in raw.get("trouble", [])], default=0)
+    for length in (raw.get("length", 60.0) / 2, troubles_end + 5.0):
         if 1 <= length < raw.get("length", 60.0):
             yield raw | {"length": length}
     for table, key in (("servers", "count"), ("zone", "balancers"), ("trouble", "count")):
@@ -309,8 +324,11 @@
     under: float | None = None,
     tell: Callable[[str], None] = lambda text: None,
 ) -> dict[str, Any]:
-    """The least that still fails in the same way, one cut at a time. Raises ScenarioError if it does not
-    fail."""
+    """Return a scenario, reduced step by step, that still fails.
+
+    `under` is the service below which a run counts as failed, beside a broken rule; `tell` receives a line of
+    progress for each step. Raises ScenarioError if the scenario does not fail.
+    """
     if not fails(raw, seed, policy, under):
         raise ScenarioError(
             "it does not fail: no rule is broken"
@@ -320,11 +338,11 @@
     found = True
     while found:
         found = False
-        for candidate in smaller(raw):
-            mark = runs.digest(candidate)
-            if mark in tried:
+        for candidate in reductions(raw):
+            digest = runs.digest(candidate)
+            if digest in tried:
                 continue
-            tried.add(mark)
+            tried.add(digest)
             with contextlib.suppress(ScenarioError):
                 if fails(candidate, seed, policy, under):
                     raw, found = candidate, True
