--- a/bellrack/lab/scenario.py
+++ b/bellrack/lab/scenario.py
@@ -1,8 +1,8 @@
-"""The scenario file: a deployment, its load and its troubles, as both faces of the lab play them.
+"""Scenario files: a deployment, its load and its troubles, for runs on virtual time and on loopback sockets.
 
-Owns the schema, its reading from TOML and every check on it. Times are seconds, rates are a second, shares
-lie between 0 and 1, work and load are in cores (a load of 0.1 keeps a tenth of a core of speed 1 busy). It
-never draws by chance and never plays anything: the text of a file is a function of nothing else.
+This module defines the schema, reads it from TOML and validates it. Times are in seconds, rates per second,
+shares between 0 and 1, and work and load in cores (a load of 0.1 keeps a tenth of a core of speed 1 busy).
+Parsing uses no random numbers: the same text always gives the same scenario.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 
 Share = Annotated[float, Meta(ge=0, le=1)]
 Seconds = Annotated[float, Meta(ge=0, le=3600)]
-# Upper bounds are guards against milliseconds that were written where seconds are meant.
-Wait = Annotated[float, Meta(gt=0, le=60)]
+# The upper bounds of the types below reject values in milliseconds where seconds are expected.
+PositiveSeconds = Annotated[float, Meta(gt=0, le=60)]
 Delay = Annotated[float, Meta(ge=0, le=5)]
-Span = Annotated[list[Seconds], Meta(min_length=2, max_length=2)]  # drawn evenly between the two
+SecondsRange = Annotated[list[Seconds], Meta(min_length=2, max_length=2)]  # of a uniform distribution
 Positive = Annotated[float, Meta(gt=0)]
 Weight = Annotated[float, Meta(ge=0, le=1e6)]
 Count = Annotated[int, Meta(ge=0, le=100_000)]
@@ -31,34 +31,44 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario that cannot be played; the text names file, key and reason."""
+    """A scenario or another input of the lab is invalid, or a run is impossible.
+
+    For a file, the message names the file, the key and the reason.
+    """
 
 
 def max_cold_requests(allowed: float) -> float:
-    """Requests of mean work that a cold server bears in a window in which the settings allow so many."""
+    """Return how many requests of mean work a cold server withstands in one window.
+
+    `allowed` is the number that the settings allow in that window. Two of its standard deviations are added,
+    because arrivals are random, and 2 requests.
+    """
     return allowed + 2 * math.sqrt(allowed) + 2
 
 
 class StrictTable(Struct, forbid_unknown_fields=True):
-    """A table of the file: unknown keys are refused."""
+    """Base of the tables of a file. Unknown keys are rejected."""
 
 
 class Rules(StrictTable):
-    """The figures of the four rules, and what a balancer may do."""
+    """Parameters of the four rules, and the limits on what a balancer may do."""
 
     drain_grace: Delay = 0.5
     answer_slack: Delay = 0.016
-    push_multiple: Positive = 4.0  # a cold server sent more than this times what it can do, and chance, ...
-    push_window: Wait = 2.0  # ... for so long falls over and stays down
-    ask_within: Seconds = 10.0  # a change counts as told then to a balancer that neither watches nor asked
+    # A cold server fails for the rest of the run if, within push_window, it receives more than push_multiple
+    # times the work that it can do, plus a margin for random arrivals (max_cold_requests).
+    push_multiple: Positive = 4.0
+    push_window: PositiveSeconds = 2.0
+    # After this time a change counts as known to a balancer that neither watches nor has asked for the list.
+    ask_within: Seconds = 10.0
     max_legs: Annotated[int, Meta(ge=1, le=20)] = 3
-    max_open_wait: Delay = 1.5  # the longest wait that clients are told; 0: none
-    connect_timeout: Wait = 0.2
+    max_open_wait: Delay = 1.5  # the longest Retry-After given to clients; 0: none
+    connect_timeout: PositiveSeconds = 0.2
     tick: Delay = 0.004
 
 
 class Net(StrictTable):
-    """One-way delays; `jitter` is the largest share added to each by chance."""
+    """One-way network delays. A random share, `jitter` at most, is added to each."""
 
     same: Delay = 0.0002
     cross: Delay = 0.004
@@ -67,7 +77,7 @@
 
 
 class Zone(StrictTable):
-    """A zone, how many balancers stand in it and the weight of its part of the clients."""
+    """A zone: its number of balancers and its weight in the distribution of clients."""
 
     name: Word
     balancers: Annotated[int, Meta(ge=0, le=2000)] = 1
@@ -80,22 +90,22 @@
     name: Word
     cores: Positive = 2.0
     speed: Positive = 1.0
-    speed_spread: Share = 0.0  # each server's own speed lies so far round that at most
+    speed_spread: Share = 0.0  # a server's speed differs from `speed` by this share at most
     holds: Annotated[int, Meta(ge=1)] = 1000  # connections
-    queue: Wait = 2.0  # seconds of work piled up from which it turns new ones away
-    buffer: Wait = 2.0  # seconds of work that pile up at most: messages beyond it are dropped
+    queue: PositiveSeconds = 2.0  # seconds of queued work from which new connections are rejected
+    buffer: PositiveSeconds = 2.0  # maximum seconds of queued work; messages beyond it are dropped
     setup: Delay = 0.008  # core-seconds that a set-up costs
     message: Delay = 0.002  # core-seconds that a message costs
     cold_share: Share = 0.2
     warm_up: Seconds = 20.0
-    listed: Positive = 1.0  # its size in the list
+    listed: Positive = 1.0  # its weight in the server list
     sheds: Literal["none", "heaviest", "newest"] = "none"
-    shed_at: Wait = 1.0  # seconds of work piled up from which it sheds
-    errors: Share = 0.0  # of set-ups that fail for no other reason
+    shed_at: PositiveSeconds = 1.0  # seconds of queued work from which connections are shed
+    errors: Share = 0.0  # share of set-ups that fail at random
 
 
 class Servers(StrictTable):
-    """So many servers of a kind in a zone; named ZONE-KIND-NUMBER, from 1."""
+    """`count` servers of one kind in one zone, named ZONE-KIND-NUMBER with numbers from 1."""
 
     zone: Word
     kind: Word
@@ -110,24 +120,27 @@
     effect: Literal["repeatable", "referenced", "once-only"] = "repeatable"
     group: Literal["all", "zone", "cell"] = "all"
     remembered: Seconds = 5.0
-    setup_target: Wait = 0.3
-    guard: Wait = 2.0
-    message_aim: Wait = 0.1
-    revenue: Positive = 1.0  # a second
-    load: Positive = 1.0  # times the mean load
-    life: Positive = 1.0  # times the mean life
+    setup_target: PositiveSeconds = 0.3
+    guard: PositiveSeconds = 2.0
+    message_aim: PositiveSeconds = 0.1
+    revenue: Positive = 1.0  # per second of an open connection
+    load: Positive = 1.0  # multiple of the mean load
+    life: Positive = 1.0  # multiple of the mean connection lifetime
 
 
 class Tenant(StrictTable):
-    """A tenant, its share of the service and how much of that share it asks for."""
+    """A tenant, its share of the service, and how much of that share it requests."""
 
     name: Word
-    share: Positive = 1.0  # by weight
+    share: Positive = 1.0  # weight relative to the other tenants
     usage: Positive = 1.0
 
 
 class Groups(StrictTable):
-    """Groups of connections that share work: a server that holds any of one pays `cost` mean loads once."""
+    """Groups of connections that share work.
+
+    A server with at least one connection of a group carries `cost` mean loads for that group, once.
+    """
 
     count: Count = 0  # 0: no groups
     zipf: Annotated[float, Meta(ge=0, le=3)] = 1.0
@@ -135,122 +148,132 @@
 
 
 class Load(StrictTable):
-    """What a connection costs its server."""
+    """The load of a connection on its server."""
 
     mean: Positive = 0.08
-    spread: Annotated[float, Meta(ge=0, le=3)] = 0.8  # sigma of its logarithm
-    swing: Annotated[float, Meta(ge=0, le=3)] = 0.0  # sigma of each change; 0: it never changes
-    change: Positive = 10.0  # seconds between changes on the mean
-    beyond_share: Share = 1.0  # revenue beyond a tenant's share, as a part of the usual
+    spread: Annotated[float, Meta(ge=0, le=3)] = 0.8  # standard deviation of the load's logarithm
+    swing: Annotated[float, Meta(ge=0, le=3)] = 0.0  # the same for each change; 0: no changes
+    change: Positive = 10.0  # mean seconds between changes
+    beyond_share: Share = 1.0  # factor on the revenue of connections beyond a tenant's share
 
 
 class Clients(StrictTable):
-    """Arrivals come in open loop: nobody waits for another's answer."""
+    """Clients. Arrivals are open-loop: they do not depend on the answers to earlier requests."""
 
-    rate: Annotated[float, Meta(ge=0)] = 6.0  # a second, in all zones
+    rate: Annotated[float, Meta(ge=0)] = 6.0  # new connections per second, over all zones
     standing: Annotated[int, Meta(ge=0, le=2_000_000)] = 0  # connections open at the start
-    life: Annotated[float, Meta(gt=0, le=86400)] = 40.0  # seconds on the mean, exponential
+    life: Annotated[float, Meta(gt=0, le=86400)] = 40.0  # mean lifetime in seconds; exponentially distributed
     retries: Annotated[int, Meta(ge=0, le=20)] = 1
-    backoff: Span = field(default_factory=lambda: [0.0, 0.0])  # before a retry, where no wait is honoured
-    honours: Share = 0.9  # of clients that wait as long as they are told
-    never: Share = 0.0  # of clients that never retry
-    again: Span = field(default_factory=lambda: [3.0, 6.0])  # when retries are used up; both 0: never again
-    stream: Count = 0  # bytes a second that its server sends to each, on the loopback face
-    rejoin: Span = field(default_factory=lambda: [0.1, 0.8])  # after a break or a move
+    backoff: SecondsRange = field(default_factory=lambda: [0.0, 0.0])  # before a retry, after any Retry-After
+    honours: Share = 0.9  # share of clients that respect the Retry-After they are given
+    never: Share = 0.0  # share of clients that never retry
+    again: SecondsRange = field(default_factory=lambda: [3.0, 6.0])  # after the last retry; both 0: never
+    stream: Count = 0  # bytes per second from the server to each client, on loopback runs only
+    rejoin: SecondsRange = field(default_factory=lambda: [0.1, 0.8])  # after a broken connection or a move
 
 
 class Store(StrictTable):
-    """The session store, which every set-up draws on."""
+    """The session store, which is called by every set-up."""
 
-    rate: Positive = 100.0  # calls a second
+    rate: Positive = 100.0  # capacity in calls per second
     delay: Delay = 0.003
-    timeout: Wait = 1.0  # the server gives the call up then, and the set-up fails
+    timeout: PositiveSeconds = 1.0  # then the server abandons the call, and the set-up fails
 
 
 class Listing(StrictTable):
-    """Discovery."""
+    """The discovery service."""
 
-    asks: bool = True  # changes come only to those who ask
-    notice: Span = field(default_factory=lambda: [0.6, 1.5])  # from a change until the service knows
-    silent_notice: Span = field(default_factory=lambda: [3.0, 6.0])  # of a machine that has vanished
-    spread: Delay = 0.1  # more for each balancer, at most
+    asks: bool = True  # changes are sent only to balancers that ask; false: to all
+    notice: SecondsRange = field(default_factory=lambda: [0.6, 1.5])  # until discovery knows of a change
+    silent_notice: SecondsRange = field(default_factory=lambda: [3.0, 6.0])  # ... of a vanished machine
+    spread: Delay = 0.1  # maximum additional delay, drawn for each balancer
 
 
 class Front(StrictTable):
+    """The front, which distributes clients over the balancers."""
+
     notice: Seconds = 2.0  # until it notices that a balancer has died
-    ready: Delay = 0.3  # until a balancer that started is up
+    ready: Delay = 0.3  # until a balancer that was started is ready
 
 
 class Datagrams(StrictTable):
+    """Datagrams between balancers."""
+
     allowed: bool = False
-    delay: Span = field(default_factory=lambda: [0.001, 0.016])
+    delay: SecondsRange = field(default_factory=lambda: [0.001, 0.016])
     loss: Share = 0.0
-    reorder: Share = 0.0  # take ten times as long
-    twice: Share = 0.0  # come a second time
+    reorder: Share = 0.0  # share that takes ten times as long
+    twice: Share = 0.0  # share that is duplicated
 
 
 class Limits(StrictTable):
-    """What each balancer process may use on the loopback face."""
+    """Resource limits of each balancer process on loopback runs."""
 
-    sockets: Annotated[int, Meta(ge=32, le=65536)] = 1024
-    memory_mb: Annotated[int, Meta(ge=0, le=65536)] = 0  # of data; 0: no limit
+    sockets: Annotated[int, Meta(ge=32, le=65536)] = 1024  # descriptors
+    memory_mb: Annotated[int, Meta(ge=0, le=65536)] = 0  # data segment (RLIMIT_DATA); 0: no limit
 
 
 class Trouble(StrictTable, tag_field="kind", kw_only=True):
+    """Base of the troubles: something that goes wrong `at` seconds after the start of the run."""
+
     at: Annotated[float, Meta(ge=0, le=86400)]
 
 
 class OnServers(Trouble, kw_only=True):
-    """One that strikes servers: those named, or so many by chance, of a zone where one is named."""
+    """Base of the troubles of servers: those named, or `count` chosen at random, in `zone` if it is given."""
 
     servers: list[str] = field(default_factory=list)
-    count: Count = 0  # 0 with a zone alone: all of it
+    count: Count = 0  # 0 with a zone and no names: all servers of the zone
     zone: str = ""
 
 
 class Crash(OnServers, tag="crash"):
-    """Servers die and, unless `lasts` is 0, come back cold under their names."""
+    """Servers crash and, unless `lasts` is 0, restart cold under the same names after `lasts`."""
 
     lasts: Seconds = 0.0
-    silent: bool = False  # the machine vanishes: no reset, no refusal
-    told_older: Seconds = 0.0  # the list tells their new start as so much earlier
+    silent: bool = False  # the machine vanishes: connections are neither reset nor refused
+    told_older: Seconds = 0.0  # the list reports the new start time as this much earlier than it is
 
 
 class Drain(OnServers, tag="drain"):
-    """Servers drain, stop, and come back cold `back` seconds later, unless that is 0."""
+    """Servers drain for `lasts`, stop, and restart cold `back` seconds later, unless that is 0."""
 
     lasts: Seconds = 10.0
     back: Seconds = 0.0
 
 
 class Slow(OnServers, tag="slow"):
+    """Servers are slower by `factor`."""
+
     factor: Positive = 3.0
     lasts: Seconds = 10.0
 
 
 class Failing(OnServers, tag="failing"):
-    """Servers fail set-ups at once."""
+    """Servers fail a share of their set-ups immediately."""
 
     share: Share = 1.0
     lasts: Seconds = 10.0
 
 
 class Hang(OnServers, tag="hang"):
-    """Servers accept connections and answer nothing; their processes run, so the list knows nothing of it."""
+    """Servers accept connections and answer nothing. Their processes run, so discovery does not notice."""
 
     lasts: Seconds = 6.0
 
 
 class Stall(Trouble, tag="stall"):
-    """A share of the clients that stand reads nothing. On virtual time, where no bytes pass, it does
-    nothing."""
+    """A share of the connected clients stops reading.
+
+    This has no effect on virtual time, where no bytes are transferred.
+    """
 
     share: Share = 0.2
     lasts: Seconds = 5.0
 
 
 class ZoneLost(Trouble, tag="zone-lost"):
-    """A zone's servers, and its balancers where said, vanish and come back, the servers cold."""
+    """The servers of a zone, and its balancers if `balancers` is set, vanish. They return, servers cold."""
 
     zone: str
     lasts: Seconds = 15.0
@@ -258,16 +281,20 @@
 
 
 class ListDown(Trouble, tag="list-down"):
+    """Discovery is unavailable."""
+
     lasts: Seconds = 10.0
 
 
 class StoreSlow(Trouble, tag="store-slow"):
+    """The session store is slower by `factor`."""
+
     factor: Positive = 5.0
     lasts: Seconds = 10.0
 
 
 class Dear(Trouble, tag="dear"):
-    """Part of the calls of a tenant, or of a traffic type, cost a multiple of the usual load."""
+    """A share of the calls of a tenant or of a traffic type has `factor` times the usual load."""
 
     tenant: str = ""
     type: str = ""
@@ -277,19 +304,24 @@
 
 
 class Burst(Trouble, tag="burst"):
+    """Clients arrive at `factor` times the usual rate."""
+
     factor: Positive = 2.5
     lasts: Seconds = 10.0
 
 
 class Drop(Trouble, tag="drop"):
-    """A share of all clients drops at once and comes again."""
+    """A share of all clients, or of those of `zone`, disconnects at the same moment and reconnects."""
 
     share: Share = 0.4
     zone: str = ""
 
 
 class Killed(Trouble, tag="killed"):
-    """Balancers are killed and start again after `lasts`; 0: never."""
+    """Balancers are killed, and restarted after `lasts` unless that is 0.
+
+    They are those named, or `count` chosen at random, or else all; in each case those of `zone`, if given.
+    """
 
     balancers: list[str] = field(default_factory=list)
     count: Count = 0
@@ -298,16 +330,19 @@
 
 
 class Rolled(Trouble, tag="rolled"):
-    """All balancers, or those of a zone, are restarted in turn with notice."""
+    """All balancers, or those of a zone, are restarted one after the other, each after a notice."""
 
     zone: str = ""
-    gap: Seconds = 5.0  # from one to the next
-    grace: Wait = 3.7  # from the notice to the end
-    down: Seconds = 0.5
+    gap: Seconds = 5.0  # from one balancer's notice to the next one's
+    grace: PositiveSeconds = 3.7  # from the notice to the end of the process
+    down: Seconds = 0.5  # from the end of the process to its restart
 
 
 class Partition(Trouble, tag="partition"):
-    """Datagrams from balancers of `zone` to those of `other` are lost, and back unless `one_way`."""
+    """Datagrams from balancers of `zone` to those of `other` are lost.
+
+    Unless `one_way` is set, those in the opposite direction are lost too.
+    """
 
     zone: str
     other: str
@@ -335,6 +370,8 @@
 
 
 class Scenario(StrictTable, kw_only=True):
+    """The whole of a scenario file."""
+
     name: Word
     zone: Annotated[list[Zone], Meta(min_length=1, max_length=64)]
     kind: list[Kind] = field(default_factory=list)
@@ -344,8 +381,8 @@
     about: str = ""
     seed: Annotated[int, Meta(ge=0)] = 1
     length: Annotated[float, Meta(gt=0, le=86400)] = 60.0
-    tail: Wait = 5.0  # played on after the last arrival, so that all is answered
-    cells: Annotated[int, Meta(ge=1, le=1000)] = 1  # servers are dealt out to so many
+    tail: PositiveSeconds = 5.0  # the run continues after the last arrival, so that all requests are answered
+    cells: Annotated[int, Meta(ge=1, le=1000)] = 1  # number of cells, to which servers are assigned in turn
     rules: Rules = field(default_factory=Rules)
     net: Net = field(default_factory=Net)
     groups: Groups = field(default_factory=Groups)
@@ -359,67 +396,76 @@
     trouble: Annotated[list[Troubles], Meta(max_length=1000)] = field(default_factory=list)
 
     def request_work(self, kind: Kind) -> float:
-        """Core-seconds of a request of mean work: its set-up, and a connection of mean load for the warm-up;
-        so a cold server can take new connections no faster than fills it over its warm-up."""
+        """Return the core-seconds of a request of mean work to a server of this kind.
+
+        They are its set-up and a connection of mean load during the warm-up. So a cold server can accept new
+        connections only as fast as fills it over its warm-up.
+        """
         return kind.setup + self.load.mean * kind.warm_up
 
     def overloads_cold_server(self, requests: float, kind: Kind, capacity: float) -> bool:
-        """Does a cold server of so many cores now fall, with so many requests within the window?"""
-        able = capacity * self.rules.push_window / self.request_work(kind)
-        return requests > max_cold_requests(self.rules.push_multiple * able)
+        """Return whether a cold server fails after `requests` in the current window.
+
+        `capacity` is what the server can do now, in cores.
+        """
+        affordable = capacity * self.rules.push_window / self.request_work(kind)
+        return requests > max_cold_requests(self.rules.push_multiple * affordable)
 
 
 def read_tables(path: str | Path) -> dict[str, Any]:
-    """The tables of a TOML file. Raises ScenarioError."""
+    """Return the tables of a TOML file. Raises ScenarioError if it is unreadable or invalid."""
     try:
         return tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
         raise ScenarioError(f"{path}: {error.strerror}") from error
-    except ValueError as error:  # no TOML, or no UTF-8
+    except ValueError as error:  # invalid TOML or UTF-8
         raise ScenarioError(f"{path}: {error}") from error
 
 
 def parse_tables(
     raw: dict[str, Any],
-    form: type[Parsed],
+    schema: type[Parsed],
     source: str,
-    faults: Callable[[Parsed], Iterable[tuple[str, str]]],
+    errors: Callable[[Parsed], Iterable[tuple[str, str]]],
 ) -> Parsed:
-    """What the tables hold, in that form; `faults` names keys and what is wrong with each. Raises
-    ScenarioError."""
+    """Convert tables to the struct `schema` and validate them.
+
+    `source` names the file in messages. `errors` yields pairs of a key and what is wrong with it. Raises
+    ScenarioError for the first error.
+    """
     try:
-        parsed = msgspec.convert(raw, form)
+        parsed = msgspec.convert(raw, schema)
     except msgspec.ValidationError as error:
         reason, _, place = str(error).partition(" - at `$")
         raise ScenarioError(f"{source}: {place.strip('.`') or 'the file'}: {reason}") from error
-    for key, reason in faults(parsed):
+    for key, reason in errors(parsed):
         raise ScenarioError(f"{source}: {key}: {reason}")
     return parsed
 
 
 def read_scenario(path: str | Path) -> Scenario:
-    """The scenario of a file. Raises ScenarioError."""
+    """Read and validate a scenario file. Raises ScenarioError."""
     return parse_scenario(read_tables(path), str(path))
 
 
 def parse_scenario(raw: dict[str, Any], source: str = "scenario") -> Scenario:
-    """A scenario from the tables of its file. Raises ScenarioError."""
-    return parse_tables(raw, Scenario, source, _faults)
+    """Validate the tables of a scenario; `source` names their file in messages. Raises ScenarioError."""
+    return parse_tables(raw, Scenario, source, _errors)
 
 
 def server_names(scenario: Scenario) -> list[tuple[str, Servers]]:
-    """Each server's name and the row it stands in, in the order of the file."""
-    counted: dict[tuple[str, str], int] = {}
+    """Return each server's name and its row in `servers`, in the order of the file."""
+    last_numbers: dict[tuple[str, str], int] = {}
     names = []
     for row in scenario.servers:
         for _ in range(row.count):
-            number = counted[row.zone, row.kind] = counted.get((row.zone, row.kind), 0) + 1
+            number = last_numbers[row.zone, row.kind] = last_numbers.get((row.zone, row.kind), 0) + 1
             names.append((f"{row.zone}-{row.kind}-{number}", row))
     return names
 
 
 def balancer_names(scenario: Scenario) -> list[tuple[str, int]]:
-    """Each balancer's name and the index of its zone."""
+    """Return each balancer's name and the index of its zone."""
     return [
         (f"{zone.name}-b{number + 1}", index)
         for index, zone in enumerate(scenario.zone)
@@ -427,8 +473,8 @@
     ]
 
 
-def _faults(scenario: Scenario):
-    """What no schema of single values can say: pairs of key and reason."""
+def _errors(scenario: Scenario):
+    """Yield the key and the reason of each error that the schema of single values does not cover."""
     zones = [zone.name for zone in scenario.zone]
     kinds = [kind.name for kind in scenario.kind]
     types = [kind.name for kind in scenario.type]
@@ -456,12 +502,12 @@
     for index, kind in enumerate(scenario.type):
         if kind.setup_target > kind.guard:
             yield f"type[{index}].setup_target", "beyond the guard time"
-    spans = [
+    ranges = [
         ("clients", scenario.clients, ("backoff", "again", "rejoin")),
         ("listing", scenario.listing, ("notice", "silent_notice")),
         ("datagrams", scenario.datagrams, ("delay",)),
     ]
-    for table, values, keys in spans:
+    for table, values, keys in ranges:
         for key in keys:
             low, high = getattr(values, key)
             if low > high:
@@ -469,38 +515,40 @@
     for key, value in _numbers(msgspec.to_builtins(scenario), ""):
         if not math.isfinite(value):
             yield key, "not a finite number"
-    yield from _trouble_faults(scenario, zones, types, tenants)
+    yield from _trouble_errors(scenario, zones, types, tenants)
 
 
-def _trouble_faults(scenario: Scenario, zones: list[str], types: list[str], tenants: list[str]):
+def _trouble_errors(scenario: Scenario, zones: list[str], types: list[str], tenants: list[str]):
+    """Yield the errors of troubles, such as names that the scenario does not define."""
     servers = [name for name, _ in server_names(scenario)]
     balancers = [name for name, _ in balancer_names(scenario)]
     for index, trouble in enumerate(scenario.trouble):
-        here = f"trouble[{index}]"
+        place = f"trouble[{index}]"
         if trouble.at > scenario.length:
-            yield f"{here}.at", f"begins after the end at {scenario.length:g}"
+            yield f"{place}.at", f"begins after the end at {scenario.length:g}"
         for key in ("zone", "other"):
             if getattr(trouble, key, "") and getattr(trouble, key) not in zones:
-                yield f"{here}.{key}", f"no zone {getattr(trouble, key)}"
+                yield f"{place}.{key}", f"no zone {getattr(trouble, key)}"
         for key, known in (("servers", servers), ("balancers", balancers)):
             named = getattr(trouble, key, None)
             for name in named if isinstance(named, list) else ():
                 if name not in known:
-                    yield f"{here}.{key}", f"no {key.removesuffix('s')} {name}"
+                    yield f"{place}.{key}", f"no {key.removesuffix('s')} {name}"
         if hasattr(trouble, "count"):
-            of = "balancers" if isinstance(trouble, Killed) else "servers"
-            if not (trouble.count or getattr(trouble, of) or trouble.zone):
-                yield here, f"names no {of}: give {of}, count or zone"
+            targets = "balancers" if isinstance(trouble, Killed) else "servers"
+            if not (trouble.count or getattr(trouble, targets) or trouble.zone):
+                yield place, f"names no {targets}: give {targets}, count or zone"
         if isinstance(trouble, Dear):
             if bool(trouble.tenant) == bool(trouble.type):
-                yield here, "give either tenant or type"
+                yield place, "give either tenant or type"
             if trouble.tenant and trouble.tenant not in tenants:
-                yield f"{here}.tenant", f"no tenant {trouble.tenant}"
+                yield f"{place}.tenant", f"no tenant {trouble.tenant}"
             if trouble.type and trouble.type not in types:
-                yield f"{here}.type", f"no type {trouble.type}"
+                yield f"{place}.type", f"no type {trouble.type}"
 
 
 def _numbers(value: Any, key: str):
+    """Yield the key and the value of each float in nested dicts and lists."""
     if isinstance(value, float):
         yield key, value
     elif isinstance(value, dict):
@@ -512,22 +560,23 @@
 
 
 def with_value(raw: dict[str, Any], key: str, value: Any) -> dict[str, Any]:
-    """A copy of a file's tables with one value replaced; `key` as in messages (`clients.rate`,
-    `kind[0].cores`).
+    """Return a copy of a file's tables with one value replaced.
 
-    Raises ScenarioError for a key that leads nowhere."""
+    `key` has the form of keys in messages: `clients.rate` or `kind[0].cores`. Tables on the way that are
+    missing are added. Raises ScenarioError if an index does not exist or a part of `key` has the wrong type.
+    """
     copy = deepcopy(raw)
-    here: Any = copy
+    table: Any = copy
     steps: list[str | int] = []
     for part in key.split("."):
         name, *indices = part.replace("]", "").split("[")
         steps += [name, *(int(index) if index.isdigit() else index for index in indices)]
     try:
         for step in steps[:-1]:
-            here = here.setdefault(step, {}) if isinstance(here, dict) else here[step]
-        if isinstance(here, dict) != isinstance(steps[-1], str):
+            table = table.setdefault(step, {}) if isinstance(table, dict) else table[step]
+        if isinstance(table, dict) != isinstance(steps[-1], str):
             raise TypeError
-        here[steps[-1]] = value
+        table[steps[-1]] = value
     except (IndexError, TypeError):
         raise ScenarioError(f"{key}: leads nowhere") from None
     return copy
