--- a/bellrack/lab/speed.py
+++ b/bellrack/lab/speed.py
@@ -1,7 +1,7 @@
-"""How fast the virtual face is, and where its time goes, from small deployments to large ones.
+"""Measures the speed of virtual-time runs and profiles them, from small deployments to large ones.
 
-Owns the sizes and the measurement. Each size is played in a process of its own, so that its peak of memory
-is its own. Seconds here are this machine's: they go into no result of a run, and into no test.
+Each size runs in a process of its own, so that its peak memory is not affected by other sizes. The times
+depend on this machine: they are not part of any result of a run, and no test checks them.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 from bellrack.lab.scenario import parse_scenario
 
 SIZES = ((4, 8), (50, 20), (200, 60), (500, 1000))  # balancers and servers, in two zones
-SECONDS = 20.0
-A_SERVER = 5.0  # new connections a second
-LIFE = 33.0
-TOP = 12  # functions that a profile shows
+RUN_SECONDS = 20.0  # of virtual time
+CONNECTIONS_PER_SERVER_SECOND = 5.0
+LIFE_SECONDS = 33.0  # mean lifetime of a connection
+FUNCTIONS_SHOWN = 12  # in a profile
 
 
 def scenario_of(balancers: int, servers: int, seconds: float) -> dict[str, Any]:
-    """A deployment of this size under its usual load, half of it in each zone."""
-    rate = A_SERVER * servers
+    """Return the tables of a deployment of this size under a usual load, half of it in each of two zones."""
+    rate = CONNECTIONS_PER_SERVER_SECOND * servers
     return {
         "name": f"speed-{balancers}x{servers}",
         "length": seconds,
@@ -40,7 +40,7 @@
         ],
         "groups": {"count": 10 * servers, "cost": 0.5},
         "load": {"mean": 0.005},
-        "clients": {"rate": rate, "life": LIFE, "standing": round(rate * LIFE)},
+        "clients": {"rate": rate, "life": LIFE_SECONDS, "standing": round(rate * LIFE_SECONDS)},
         "store": {"rate": 100 * rate},
         "trouble": [
             {"kind": "crash", "at": seconds / 4, "lasts": seconds / 4, "count": max(1, servers // 20)},
@@ -49,19 +49,19 @@
     }
 
 
-def measure(size: tuple[int, int], seconds: float = SECONDS, profile: bool = False) -> dict[str, Any]:
-    """One size: calls decided a second of this machine's, and its peak of memory."""
+def measure(size: tuple[int, int], seconds: float = RUN_SECONDS, profile: bool = False) -> dict[str, Any]:
+    """Run one size, and return its speed in wall-clock time and its peak memory, with a profile if asked."""
     scenario = parse_scenario(scenario_of(*size, seconds))
     profiler = cProfile.Profile() if profile else None
-    begun = time.perf_counter()
+    started = time.perf_counter()
     if profiler:
         profiler.enable()
     world = runs.play(scenario, 1)
     if profiler:
         profiler.disable()
-    played = time.perf_counter() - begun
+    run_seconds = time.perf_counter() - started
     result = runs.result_of(world, "bellrack")
-    judged = time.perf_counter() - begun - played
+    check_seconds = time.perf_counter() - started - run_seconds
     row = {
         "balancers": size[0],
         "servers": size[1],
@@ -69,48 +69,48 @@
         "calls": result["calls"],
         "legs": result["legs"],
         "events": world.event_queue.count,
-        "seconds": played,
-        "judging": judged,
+        "seconds": run_seconds,
+        "judging": check_seconds,
         "of_virtual": seconds,
-        "calls_a_second": result["calls"] / played,
-        "us_a_call": 1e6 * played / result["calls"],
-        "us_an_event": 1e6 * played / world.event_queue.count,
+        "calls_a_second": result["calls"] / run_seconds,
+        "us_a_call": 1e6 * run_seconds / result["calls"],
+        "us_an_event": 1e6 * run_seconds / world.event_queue.count,
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
         "kept": result["kept"],
     }
     if profiler:
-        row["profile"] = top(profiler)
+        row["profile"] = profile_rows(profiler)
     return row
 
 
-def top(profiler: cProfile.Profile) -> list[dict[str, Any]]:
-    """Where the time went: each function's own share of it, and each package's."""
+def profile_rows(profiler: cProfile.Profile) -> list[dict[str, Any]]:
+    """Return the shares of the time spent in the costliest functions themselves, and in groups of files."""
     stats = pstats.Stats(profiler).stats
-    whole = sum(own for _, _, own, _, _ in stats.values())
+    total = sum(own for _, _, own, _, _ in stats.values())
     rows = [
-        {"function": f"{file.rpartition('/bellrack/')[2] or file}:{name}", "share": own / whole, "calls": n}
+        {"function": f"{file.rpartition('/bellrack/')[2] or file}:{name}", "share": own / total, "calls": n}
         for (file, _, name), (_, n, own, _, _) in stats.items()
     ]
     rows.sort(key=lambda row: -row["share"])
-    parts: dict[str, float] = {}
+    groups: dict[str, float] = {}
     for (file, _, _), (_, _, own, _, _) in stats.items():
-        part = (
+        group = (
             "decisions"
             if file.endswith(("/choice.py", "/accounting.py", "/model.py"))
             else "the lab"
             if "/bellrack/lab/" in file
             else "interpreter and libraries"
         )
-        parts[part] = parts.get(part, 0.0) + own / whole
-    return rows[:TOP] + [
-        {"function": f"all of: {part}", "share": share, "calls": 0} for part, share in parts.items()
+        groups[group] = groups.get(group, 0.0) + own / total
+    return rows[:FUNCTIONS_SHOWN] + [
+        {"function": f"all of: {group}", "share": share, "calls": 0} for group, share in groups.items()
     ]
 
 
 def measure_sizes(
-    sizes: tuple[tuple[int, int], ...] = SIZES, seconds: float = SECONDS, profile: bool = False
+    sizes: tuple[tuple[int, int], ...] = SIZES, seconds: float = RUN_SECONDS, profile: bool = False
 ) -> list[dict[str, Any]]:
-    """A row a size, one after the other."""
+    """Measure the sizes one after the other, and return a row for each."""
     rows = []
     for size in sizes:
         with multiprocessing.get_context("spawn").Pool(1) as pool:
--- a/bellrack/lab/starts.py
+++ b/bellrack/lab/starts.py
@@ -1,4 +1,4 @@
-"""How long processes that start together take until they are ready, and what that costs: measured.
+"""Measures how long balancer processes that start together take to become ready, and their processor time.
 
 Usage:
   starts [--processes=N] [--discovery=WAY] [--known=WHAT] [--lists=WAY] [--rate=R] [--seconds=S]
@@ -6,15 +6,15 @@
 Called as python -m bellrack.lab.starts.
 
 Options:
-  --processes=N    How many at once, 200 at most [default: 20].
-  --discovery=WAY  What discovery does: answers, refuses, says-nothing or slow [default: slow].
-  --known=WHAT     The list known before: given or none [default: given].
-  --lists=WAY      How lists come: ask or push [default: push].
-  --rate=R         Lists a second of a slow discovery, calls in turn [default: 10].
-  --seconds=S      The measurement ends after so many [default: 60].
-
-Owns the processes that it starts, each of which listens at a port of its own, and a discovery for all. It
-touches no other process, and whatever it prints is of this machine and of how busy it was.
+  --processes=N    Number of processes, 200 at most [default: 20].
+  --discovery=WAY  Behaviour of discovery: answers, refuses, says-nothing or slow [default: slow].
+  --known=WHAT     Server list in the configuration: given or none [default: given].
+  --lists=WAY      Discovery mode of the settings: ask or push [default: push].
+  --rate=R         Lists per second of a slow discovery, one request at a time [default: 10].
+  --seconds=S      Maximum duration of the measurement [default: 60].
+
+Each process listens on a port of its own, and one discovery stub serves all of them. No other process is
+signalled. The figures depend on this machine and its load.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 from docopt import docopt
 
-MOST = 200  # processes
-HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-WAYS = ("answers", "refuses", "says-nothing", "slow")
-LIST = {
+MAX_COUNT = 200  # processes
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+BEHAVIOURS = ("answers", "refuses", "says-nothing", "slow")
+SERVER_LIST = {
     "generation": 41,
     "reset": True,
     "instances": [{"instanceId": "s-0", "hostPort": "127.0.0.1:1", "zone": "a", "lifecycle": "in_service"}],
@@ -51,47 +51,50 @@
 }
 
 
-class Lists:
-    """Discovery for all that start."""
+class DiscoveryStub:
+    """The discovery of all processes. `rate` is the lists per second if `behaviour` is slow."""
 
-    def __init__(self, way: str, rate: float):
-        self.way, self.pause, self.turn, self.told = way, 1 / rate, asyncio.Lock(), 0
-        self.held: list[asyncio.StreamWriter] = []
+    def __init__(self, behaviour: str, rate: float):
+        self.behaviour, self.interval, self.lock, self.lists_sent = behaviour, 1 / rate, asyncio.Lock(), 0
+        self.writers: list[asyncio.StreamWriter] = []  # keeps the connections open
 
-    async def called(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.held.append(writer)
-        # Cancelled at the end of the measurement: guards against a trace for each that still waits its turn.
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer one request and leave the connection open."""
+        self.writers.append(writer)
+        # The task is cancelled at the end of the measurement. Otherwise a traceback would be printed for each
+        # request that still waits for the lock.
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             await reader.readuntil(b"\r\n\r\n")
-            if self.way == "slow":
-                async with self.turn:
+            if self.behaviour == "slow":
+                async with self.lock:
                     if writer.is_closing() or reader.at_eof():
-                        return  # given up: it costs nothing
-                    await asyncio.sleep(self.pause)
-            if self.way != "says-nothing":
-                text = json.dumps(LIST).encode() + b"\n"
-                writer.write(HEAD + b"%x\r\n%b\r\n" % (len(text), text))
+                        return  # the client has disconnected, so its request takes no time
+                    await asyncio.sleep(self.interval)
+            if self.behaviour != "says-nothing":
+                text = json.dumps(SERVER_LIST).encode() + b"\n"
+                writer.write(RESPONSE_HEAD + b"%x\r\n%b\r\n" % (len(text), text))
                 await writer.drain()
-                self.told += 1
+                self.lists_sent += 1
 
 
 @dataclass
 class Start:
-    """One process: seconds from its exec, of the clock and of the processor, to its first PONG."""
+    """One process: wall-clock and processor seconds from its exec to its first PONG, None without a PONG."""
 
     ready: float | None = None
     processor: float | None = None
 
 
 def processor_seconds(pid: int) -> float:
-    """User and system, of the process and its threads."""
+    """Return the user and system time of a process with all its threads."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def pong(text: str) -> None:
-    host, _, port = text.rpartition(":")
+async def ping(address: str) -> None:
+    """Send PING to HOST:PORT. Raises ConnectionError unless the answer is PONG."""
+    host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"PING\r\n")
     if await reader.readline() != b"PONG\r\n":
@@ -100,8 +103,8 @@
 
 
 async def start(path: str, processes: list[Any]) -> Start:
-    """Runs one until it is ready; it goes on serving."""
-    begun = time.monotonic()
+    """Start a process, add it to `processes` and return its times when it is ready. It continues to run."""
+    started = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -114,35 +117,40 @@
     processes.append(process)
     async for line in process.stderr:
         if b"event=serving" in line:
-            await pong(line.split(b"listen=")[1].split()[0].decode())
-            return Start(time.monotonic() - begun, processor_seconds(process.pid))
+            await ping(line.split(b"listen=")[1].split()[0].decode())
+            return Start(time.monotonic() - started, processor_seconds(process.pid))
     return Start()
 
 
 async def measure(
-    count: int, way: str, known: bool, lists: str, rate: float, seconds: float
+    count: int, behaviour: str, known: bool, lists: str, rate: float, seconds: float
 ) -> tuple[list[Start], int]:
-    """What became of each that was started, and how many lists were told."""
-    service, processes, tasks = Lists(way, rate), [], []
+    """Start `count` processes and wait until all are ready, `seconds` at most.
+
+    `known` is whether the configuration contains a server list, `lists` the discovery mode (ask or push), and
+    `rate` the lists per second of a slow discovery. Returns the times of each process and the number of lists
+    that were sent.
+    """
+    discovery, processes, tasks = DiscoveryStub(behaviour, rate), [], []
     listener = await asyncio.start_server(
-        service.called, "127.0.0.1", backlog=4 * MOST, start_serving=way != "refuses"
+        discovery.handle, "127.0.0.1", backlog=4 * MAX_COUNT, start_serving=behaviour != "refuses"
     )
-    place = "{}:{}".format(*listener.sockets[0].getsockname())
+    address = "{}:{}".format(*listener.sockets[0].getsockname())
     with tempfile.TemporaryDirectory() as folder:
         raw: dict[str, Any] = {
             "listen": "127.0.0.1:0",
-            "discovery": place,
+            "discovery": address,
             "settings": SETTINGS | {"discovery": lists},
         }
         if known:
-            raw["known"] = LIST
+            raw["known"] = SERVER_LIST
         path = os.path.join(folder, "config.json")
         with open(path, "w", encoding="utf-8") as file:
             json.dump(raw, file)
         try:
             for _ in range(count):
                 tasks.append(asyncio.create_task(start(path, processes)))
-                await asyncio.sleep(0)  # guards against a discovery that stands while all are started
+                await asyncio.sleep(0)  # otherwise discovery would not run until all processes are started
             await asyncio.wait(tasks, timeout=seconds)
         finally:
             for task in tasks:
@@ -153,55 +161,56 @@
             await asyncio.gather(*(process.wait() for process in processes))
             listener.close()
     ended = await asyncio.gather(*tasks, return_exceptions=True)
-    return [one if isinstance(one, Start) else Start() for one in ended], service.told
+    return [outcome if isinstance(outcome, Start) else Start() for outcome in ended], discovery.lists_sent
 
 
 def cores() -> int:
-    """How many this process may use now: others may change that while it runs."""
+    """Return the number of cores that this process may use. It can change while the process runs."""
     return len(os.sched_getaffinity(0))
 
 
 def report_text(starts: list[Start], lists: int, cores: str) -> str:
-    """The figures, a line each."""
+    """Return the report, a line for each figure."""
 
-    def spread(values: list[float]) -> str:
+    def quantiles(values: list[float]) -> str:
         values = sorted(values)
         return " ".join(
-            f"{name} {values[round(part * (len(values) - 1))]:.2f}"
-            for name, part in (("least", 0), ("median", 0.5), ("p90", 0.9), ("most", 1))
+            f"{name} {values[round(share * (len(values) - 1))]:.2f}"
+            for name, share in (("least", 0), ("median", 0.5), ("p90", 0.9), ("most", 1))
         )
 
-    ready = [one for one in starts if one.ready is not None]
+    ready = [start for start in starts if start.ready is not None]
     text = f"started {len(starts)}, ready {len(ready)}, lists told {lists}, cores {cores}\n"
     for bound in (6, 10):
-        text += f"ready within {bound} s: {sum(one.ready <= bound for one in ready)}\n"
+        text += f"ready within {bound} s: {sum(start.ready <= bound for start in ready)}\n"
     if ready:
-        text += f"seconds from exec to PONG: {spread([one.ready for one in ready])}\n"
-        text += f"processor seconds to PONG: {spread([one.processor for one in ready])}\n"
+        text += f"seconds from exec to PONG: {quantiles([start.ready for start in ready])}\n"
+        text += f"processor seconds to PONG: {quantiles([start.processor for start in ready])}\n"
     return text
 
 
 def main() -> int:
-    asked = docopt(__doc__)
-    count, way = int(asked["--processes"]), asked["--discovery"]
-    if not 1 <= count <= MOST or way not in WAYS or asked["--lists"] not in ("ask", "push"):
+    """Run the measurement with the options of the command line; return the exit code."""
+    args = docopt(__doc__)
+    count, behaviour = int(args["--processes"]), args["--discovery"]
+    if not 1 <= count <= MAX_COUNT or behaviour not in BEHAVIOURS or args["--lists"] not in ("ask", "push"):
         print(
-            f"bellrack: 1 to {MOST} processes; --discovery {', '.join(WAYS)}; --lists ask, push",
+            f"bellrack: 1 to {MAX_COUNT} processes; --discovery {', '.join(BEHAVIOURS)}; --lists ask, push",
             file=sys.stderr,
         )
         return 2
-    before = cores()
+    cores_before = cores()
     starts, lists = asyncio.run(
         measure(
             count,
-            way,
-            asked["--known"] == "given",
-            asked["--lists"],
-            float(asked["--rate"]),
-            float(asked["--seconds"]),
+            behaviour,
+            args["--known"] == "given",
+            args["--lists"],
+            float(args["--rate"]),
+            float(args["--seconds"]),
         )
     )
-    print(report_text(starts, lists, f"{before} at first, {cores()} at last"), end="")
+    print(report_text(starts, lists, f"{cores_before} at first, {cores()} at last"), end="")
     return 0
 
 
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,25 +1,29 @@
-"""A toy to try the balancer with: a discovery on 127.0.0.1:8500 and two servers, s-1 and s-2.
+"""A small environment to try the balancer with: discovery on 127.0.0.1:8500 and two servers, s-1 and s-2.
 
-Commands on standard input: `drain NAME`, `back NAME` (changes of the list), `say NAME LINE` (to its clients).
+Commands on standard input: `drain NAME` and `back NAME` change the state of a server in the list, and
+`say NAME LINE` sends a line to the clients of a server.
 """
 
 import asyncio
 import json
 import sys
 
-LIST = ("127.0.0.1", 8500)
-SERVERS = {"s-1": ("127.0.0.1", 8601), "s-2": ("127.0.0.1", 8602)}
+DISCOVERY_ADDRESS = ("127.0.0.1", 8500)
+SERVER_ADDRESSES = {"s-1": ("127.0.0.1", 8601), "s-2": ("127.0.0.1", 8602)}
 
 
-class Toy:
+class ToyPlatform:
+    """Discovery and the servers, with the states of the servers and their connections."""
+
     def __init__(self):
-        self.states = dict.fromkeys(SERVERS, "in_service")
+        self.states = dict.fromkeys(SERVER_ADDRESSES, "in_service")
         self.version = 1
-        self.clients = {name: set() for name in SERVERS}
+        self.clients = {name: set() for name in SERVER_ADDRESSES}
         self.changed = asyncio.Event()
 
     def entry(self, name):
-        host, port = SERVERS[name]
+        """Return the entry of a server in the list."""
+        host, port = SERVER_ADDRESSES[name]
         return {
             "instanceId": name,
             "hostPort": f"{host}:{port}",
@@ -32,19 +36,20 @@
         }
 
     def listing(self):
+        """Return the whole list as a line of JSON."""
         return (
             json.dumps(
                 {
                     "generation": self.version,
                     "reset": True,
-                    "instances": [self.entry(name) for name in SERVERS],
+                    "instances": [self.entry(name) for name in SERVER_ADDRESSES],
                 }
             ).encode()
             + b"\n"
         )
 
     async def discovery(self, reader, writer):
-        """The whole list, once or as a watch; each change sends it whole again."""
+        """Answer a request for the list, once or as a watch, which gets the whole list after each change."""
         target = (await reader.readline()).decode().split(" ")[1]
         while (await reader.readline()).strip():
             pass
@@ -64,7 +69,7 @@
                 line = b"\n"
 
     async def serve(self, name, reader, writer):
-        """UP for a first line, then each line said back."""
+        """Answer the first line of a connection, and then echo each line."""
         first = await reader.readline()
         print(f"{name}: {first.decode().strip()}")
         answers = {b"OPEN": b"UP toy\r\n", b"PING": b"PONG\r\n", b"STATS": b"PONG 0.5 0.4\r\n"}
@@ -79,25 +84,27 @@
         writer.close()
 
     async def command(self, words):
+        """Run a command of standard input; print the usage for an unknown one."""
         match words:
-            case ["drain" | "back" as what, name] if name in SERVERS:
-                self.states[name] = "terminating" if what == "drain" else "in_service"
+            case ["drain" | "back" as verb, name] if name in SERVER_ADDRESSES:
+                self.states[name] = "terminating" if verb == "drain" else "in_service"
                 self.version += 1
                 self.changed.set()
                 self.changed.clear()
-            case ["say", name, *rest] if name in SERVERS:
+            case ["say", name, *rest] if name in SERVER_ADDRESSES:
                 for writer in self.clients[name]:
                     writer.write(" ".join(rest).encode() + b"\r\n")
             case _:
                 print(__doc__)
 
     async def run(self):
-        await asyncio.start_server(self.discovery, *LIST)
-        for name, place in SERVERS.items():
-            await asyncio.start_server(lambda r, w, name=name: self.serve(name, r, w), *place)
+        """Serve until the end of standard input."""
+        await asyncio.start_server(self.discovery, *DISCOVERY_ADDRESS)
+        for name, address in SERVER_ADDRESSES.items():
+            await asyncio.start_server(lambda r, w, name=name: self.serve(name, r, w), *address)
         while line := await asyncio.to_thread(sys.stdin.readline):
             await self.command(line.split())
 
 
 if __name__ == "__main__":
-    asyncio.run(Toy().run())
+    asyncio.run(ToyPlatform().run())
