--- a/bellrack/lab/cli.py
+++ b/bellrack/lab/cli.py
@@ -112,24 +112,24 @@
     return 2
 
 
-def number(args: dict[str, Any], option: str, least: float = 1, kind: type = int) -> Any:
-    """Return the value of an option as a number. Raises ScenarioError if it is not one, or below `least`."""
+def number_option(args: dict[str, Any], option: str, minimum: float = 1, kind: type = int) -> Any:
+    """Return an option as a number. Raises ScenarioError if it is not a number, or below `minimum`."""
     try:
         value = kind(args[option])
     except ValueError:
         raise ScenarioError(f"{option}: {args[option]!r} is no number") from None
-    if value < least:
-        raise ScenarioError(f"{option}: {value} is under {least}")
+    if value < minimum:
+        raise ScenarioError(f"{option}: {value} is under {minimum}")
     return value
 
 
-def tables(path: str) -> dict[str, Any]:
+def validated_tables(path: str) -> dict[str, Any]:
     """Return the tables of a scenario file after validating it. Raises ScenarioError."""
     read_scenario(path)
     return tomllib.loads(Path(path).read_text(encoding="utf-8"))
 
 
-def chosen(args: dict[str, Any]) -> list[str]:
+def policies_of(args: dict[str, Any]) -> list[str]:
     """Return the policies that the arguments name, without duplicates."""
     names = args["--policy"] if isinstance(args["--policy"], list) else [args["--policy"]]
     return list(POLICIES) if "all" in names else list(dict.fromkeys(names))
@@ -138,8 +138,8 @@
 def seeds_of(args: dict[str, Any], raw: dict[str, Any]) -> list[int]:
     """Return the seeds that the arguments ask for, by default that of the scenario."""
     if args["--seeds"]:
-        return list(range(1, number(args, "--seeds") + 1))
-    return [number(args, "--seed", 0) if args["--seed"] else raw.get("seed", 1)]
+        return list(range(1, number_option(args, "--seeds") + 1))
+    return [number_option(args, "--seed", 0) if args["--seed"] else raw.get("seed", 1)]
 
 
 COLD_COLUMNS = (
@@ -154,22 +154,24 @@
 
 def do_cold(args: dict[str, Any]) -> int:
     """Run generated starts of cold servers; print a row for each number of balancers, and the failures."""
-    seed = number(args, "--seed", 0) if args["--seed"] else 1
+    seed = number_option(args, "--seed", 0) if args["--seed"] else 1
     results = cold.play_all(
-        cold.draw_starts(number(args, "--starts"), seed), number(args, "--jobs"), args["--quiet"]
+        cold.draw_starts(number_option(args, "--starts"), seed),
+        number_option(args, "--jobs"),
+        args["--quiet"],
     )
     rows, failed = cold.summarize_by_size(results), [result for result in results if result["fell"]]
-    show(COLD_COLUMNS, rows, args)
+    print_table(COLD_COLUMNS, rows, args)
     for result in failed[:MAX_FAILURES_SHOWN] if args["--json"] != "-" else ():
         print(
             f"fell: start {result['start']['seed']}, {result['start']['balancers']} balancers, "
             f"{result['window']} requests in a window, {result['nearest']:.2f} of the limit"
         )
-    put(args, {"sizes": rows, "fell": failed})
+    write_json(args, {"sizes": rows, "fell": failed})
     return 1 if failed else 0
 
 
-def put(args: dict[str, Any], value: Any) -> None:
+def write_json(args: dict[str, Any], value: Any) -> None:
     """Write a value as JSON to the destination of --json, if that is given."""
     if args["--json"] == "-":
         sys.stdout.buffer.write(experiment.encode_result(value))
@@ -177,7 +179,7 @@
         experiment.write_atomically(Path(args["--json"]).absolute(), experiment.encode_result(value))
 
 
-def show(columns: Any, rows: list[dict[str, Any]], args: dict[str, Any]) -> None:
+def print_table(columns: Any, rows: list[dict[str, Any]], args: dict[str, Any]) -> None:
     """Print a table of plain text, unless JSON goes to standard output."""
     if args["--json"] == "-":
         return
@@ -208,7 +210,7 @@
 
 def do_run(args: dict[str, Any]) -> int:
     """Run a scenario on virtual time for each policy and seed, and print the results."""
-    raw, policies = tables(args["FILE"]), chosen(args)
+    raw, policies = validated_tables(args["FILE"]), policies_of(args)
     seeds = seeds_of(args, raw)
     if args["--trace"]:
         if len(seeds) * len(policies) > 1:
@@ -219,10 +221,10 @@
     else:
         with folder_of(args) as folder:
             results = experiment.batch(
-                raw, seeds, policies, folder, number(args, "--jobs"), None, args["--quiet"]
+                raw, seeds, policies, folder, number_option(args, "--jobs"), None, args["--quiet"]
             )
     rows = experiment.summarize(results)
-    show(RUN_COLUMNS, rows, args)
+    print_table(RUN_COLUMNS, rows, args)
     failed = [result for result in results if not result["kept"]]
     for result in failed if args["--json"] != "-" else ():
         for rule, verdict in result["rules"].items():
@@ -231,7 +233,7 @@
                     f"rule {rule} broken {verdict['breaches']} times by {result['policy']}, seed "
                     f"{result['seed']}; first at {first['at']:.3f} s: {first['what']}"
                 )
-    put(args, {"figures": rows, "results": results})
+    write_json(args, {"figures": rows, "results": results})
     return int(any(result["policy"] == "bellrack" for result in failed))
 
 
@@ -255,29 +257,29 @@
     from bellrack.lab import live
 
     scenario = read_scenario(args["FILE"])
-    seed = number(args, "--seed", 0) if args["--seed"] else scenario.seed
+    seed = number_option(args, "--seed", 0) if args["--seed"] else scenario.seed
     result = live.run(scenario, seed, trace=args["--trace"], logs=args["--logs"], quiet=args["--quiet"])
-    show(RUN_COLUMNS, experiment.summarize([result]), args)
-    put(args, result)
+    print_table(RUN_COLUMNS, experiment.summarize([result]), args)
+    write_json(args, result)
     return int(not result["kept"])
 
 
-def results_at(place: str) -> list[dict[str, Any]]:
+def results_at(location: str) -> list[dict[str, Any]]:
     """Return the results at FOLDER or FOLDER:POLICY. Raises ScenarioError if there are none."""
-    folder, _, policy = place.partition(":")
+    folder, _, policy = location.partition(":")
     results = experiment.read_folder(Path(folder))
     found = [
         result for result in results if not policy or experiment.policy_label(result["policy"]) == policy
     ]
     if not found:
-        raise ScenarioError(f"{place}: no results of {policy}")
+        raise ScenarioError(f"{location}: no results of {policy}")
     return found
 
 
 def do_compare(args: dict[str, Any]) -> int:
     """Compare two sets of results and print a row for each metric."""
     rows = experiment.compare(results_at(args["FIRST"]), results_at(args["SECOND"]))
-    show(
+    print_table(
         (
             ("figure", "figure", "{}"),
             ("pairs", "pairs", "{}"),
@@ -291,13 +293,13 @@
         rows,
         args,
     )
-    put(args, rows)
+    write_json(args, rows)
     return 0
 
 
 def do_sweep(args: dict[str, Any]) -> int:
     """Run a scenario with several values of a key and print a row for each."""
-    raw = tables(args["FILE"])
+    raw = validated_tables(args["FILE"])
     key, equals, values = args["SETTING"].partition("=")
     if not equals or not values:
         raise ScenarioError(f"{args['SETTING']}: not of the form KEY=V1,V2,...")
@@ -307,28 +309,28 @@
             key,
             [experiment.value_of(value) for value in values.split(",")],
             seeds_of(args, raw),
-            chosen(args)[0],
+            policies_of(args)[0],
             folder,
-            number(args, "--jobs"),
+            number_option(args, "--jobs"),
             args["--quiet"],
         )
-    show((("value", key, "{}"), *RUN_COLUMNS[1:]), rows, args)
-    put(args, rows)
+    print_table((("value", key, "{}"), *RUN_COLUMNS[1:]), rows, args)
+    write_json(args, rows)
     return 0
 
 
 def do_shrink(args: dict[str, Any]) -> int:
     """Reduce a failing scenario, and print it or write it to a file."""
-    raw = tables(args["FILE"])
-    under = number(args, "--under", 0, float) if args["--under"] else None
+    raw = validated_tables(args["FILE"])
+    under = number_option(args, "--under", 0, float) if args["--under"] else None
     tell = (lambda text: None) if args["--quiet"] else (lambda text: print(text, file=sys.stderr))
-    reduced = experiment.shrink(raw, seeds_of(args, raw)[0], chosen(args)[0], under, tell)
+    reduced = experiment.shrink(raw, seeds_of(args, raw)[0], policies_of(args)[0], under, tell)
     text = tomli_w.dumps(reduced)
     if args["--out"]:
         experiment.write_atomically(Path(args["--out"]).absolute(), text.encode())
     elif args["--json"] != "-":
         print(text, end="")
-    put(args, reduced)
+    write_json(args, reduced)
     return 0
 
 
@@ -341,7 +343,7 @@
     experiment.write_atomically(path.absolute(), report.page(results).encode())
     if args["--json"] != "-":
         print(path)
-    put(args, experiment.summarize(results))
+    write_json(args, experiment.summarize(results))
     return 0
 
 
@@ -359,7 +361,7 @@
     run.refuse_if_too_large(scenario)
     if args["--json"] != "-":
         print(f"{args['FILE']}: " + ", ".join(f"{key} {value}" for key, value in size.items()))
-    put(args, size)
+    write_json(args, size)
     return 0
 
 
@@ -374,9 +376,9 @@
             raise ScenarioError(f"--size: {text!r} is not of the form 4x8, with 2 or more of each")
         sizes.append((int(numbers[0]), int(numbers[1])))
     rows = speed.measure_sizes(
-        tuple(sizes) or speed.SIZES, number(args, "--length", 1, float), args["--profile"]
+        tuple(sizes) or speed.SIZES, number_option(args, "--length", 1, float), args["--profile"]
     )
-    show(
+    print_table(
         (
             ("balancers", "balancers", "{}"),
             ("servers", "servers", "{}"),
@@ -397,7 +399,7 @@
         print(f"\n{row['balancers']} x {row['servers']}")
         for line in row["profile"]:
             print(f"  {line['share']:6.1%}  {line['function']}")
-    put(args, rows)
+    write_json(args, rows)
     return 0
 
 
@@ -407,7 +409,7 @@
     from bellrack.lab.scale.plan import read_plan
 
     plan = read_plan(args["FILE"])
-    seed = number(args, "--seed", 0) if args["--seed"] else plan.seed
+    seed = number_option(args, "--seed", 0) if args["--seed"] else plan.seed
     results: list[dict[str, Any]] = []
     try:
         if args["sweep"]:
@@ -420,16 +422,16 @@
             results.append(scale.play(plan, seed, args["--quiet"]))
     finally:
         if results:  # finished results are shown even if a later run failed
-            show_scale(results, args)
+            print_scale_results(results, args)
     return int(any(result["counts"]["tier"]["faults"] for result in results))
 
 
-def show_scale(results: list[dict[str, Any]], args: dict[str, Any]) -> None:
+def print_scale_results(results: list[dict[str, Any]], args: dict[str, Any]) -> None:
     """Print the results of scale runs with the fitted power laws, and write the report and the JSON."""
     from bellrack.lab.scale import run as scale
 
     fits = scale.fits(results)
-    show(scale.TABLE, [row for result in results for row in scale.table_rows(result)], args)
+    print_table(scale.TABLE, [row for result in results for row in scale.table_rows(result)], args)
     if args["--json"] != "-":
         for line in scale.fit_lines(fits):
             print(line)
@@ -437,4 +439,4 @@
         from bellrack.lab.scale import report
 
         experiment.write_atomically(Path(args["--report"]).absolute(), report.page(results, fits).encode())
-    put(args, {"results": results, "fits": fits} if args["sweep"] else results[0])
+    write_json(args, {"results": results, "fits": fits} if args["sweep"] else results[0])
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -55,6 +55,7 @@
 LAG_CHECK_INTERVAL_SECONDS = 0.05
 MAX_LOOP_LAG_SECONDS = 0.2  # with a larger lag of this process's event loop, the results are doubtful
 EXIT_TIMEOUT_SECONDS = 5.0  # for killed balancers at the end of a run
+# The platform's names of effects and of server states, and the negative answers of servers.
 EFFECTS = {model.REPEATABLE: "retryable", model.REFERENCED: "dedup", model.ONCE_ONLY: "fragile"}
 LIFECYCLES = {model.READY: "in_service", model.DRAINING: "terminating", model.GONE: "terminated"}
 FAILURE_ANSWERS = {model.FULL: "BUSY", model.ERROR: "ERR"}
@@ -359,7 +360,7 @@
     world: LiveWorld
 
     def on_server_first_line(self, conn: ServerConnection, line: str) -> None:
-        """Handle the first line at a server: PING of a health check, or OPEN of a call."""
+        """Handle the first line at a server: PING of a health check, OPEN of a call, or an invalid line."""
         words = line.split(" ")
         if words[0] == "PING":
             conn.send_line("PONG")
@@ -387,7 +388,7 @@
         )
         leg_record.link = conn
         self.record_sent(leg_record)
-        # Adds the delay of the scenario's network, as that of loopback is negligible.
+        # Adds the delay by which the network of the scenario is slower than loopback.
         self.world.event_queue.schedule_after(3 * leg_record.delay, RESULT, self.on_first_line, leg_record)
 
     def on_first_line(self, leg_record: LegRecord) -> None:
--- a/bellrack/lab/scenario.py
+++ b/bellrack/lab/scenario.py
@@ -273,7 +273,10 @@
 
 
 class ZoneLost(Trouble, tag="zone-lost"):
-    """The servers of a zone, and its balancers if `balancers` is set, vanish. They return, servers cold."""
+    """The servers of a zone, and its balancers if `balancers` is set, vanish and return after `lasts`.
+
+    The servers return cold.
+    """
 
     zone: str
     lasts: Seconds = 15.0
@@ -398,8 +401,8 @@
     def request_work(self, kind: Kind) -> float:
         """Return the core-seconds of a request of mean work to a server of this kind.
 
-        They are its set-up and a connection of mean load during the warm-up. So a cold server can accept new
-        connections only as fast as fills it over its warm-up.
+        These are the set-up and the load of a mean connection during the warm-up. So a cold server that takes
+        connections at its full rate is just filled at the end of its warm-up.
         """
         return kind.setup + self.load.mean * kind.warm_up
 
--- a/bellrack/lab/speed.py
+++ b/bellrack/lab/speed.py
@@ -23,7 +23,7 @@
 FUNCTIONS_SHOWN = 12  # in a profile
 
 
-def scenario_of(balancers: int, servers: int, seconds: float) -> dict[str, Any]:
+def scenario_tables(balancers: int, servers: int, seconds: float) -> dict[str, Any]:
     """Return the tables of a deployment of this size under a usual load, half of it in each of two zones."""
     rate = CONNECTIONS_PER_SERVER_SECOND * servers
     return {
@@ -51,7 +51,7 @@
 
 def measure(size: tuple[int, int], seconds: float = RUN_SECONDS, profile: bool = False) -> dict[str, Any]:
     """Run one size, and return its speed in wall-clock time and its peak memory, with a profile if asked."""
-    scenario = parse_scenario(scenario_of(*size, seconds))
+    scenario = parse_scenario(scenario_tables(*size, seconds))
     profiler = cProfile.Profile() if profile else None
     started = time.perf_counter()
     if profiler:
