--- a/bellrack/lab/cli.py
+++ b/bellrack/lab/cli.py
@@ -323,8 +323,8 @@
     """Reduce a failing scenario, and print it or write it to a file."""
     raw = validated_tables(args["FILE"])
     under = number_option(args, "--under", 0, float) if args["--under"] else None
-    tell = (lambda text: None) if args["--quiet"] else (lambda text: print(text, file=sys.stderr))
-    reduced = experiment.shrink(raw, seeds_of(args, raw)[0], policies_of(args)[0], under, tell)
+    report_progress = (lambda text: None) if args["--quiet"] else (lambda text: print(text, file=sys.stderr))
+    reduced = experiment.shrink(raw, seeds_of(args, raw)[0], policies_of(args)[0], under, report_progress)
     text = tomli_w.dumps(reduced)
     if args["--out"]:
         experiment.write_atomically(Path(args["--out"]).absolute(), text.encode())
--- a/bellrack/lab/experiment.py
+++ b/bellrack/lab/experiment.py
@@ -322,12 +322,12 @@
     seed: int,
     policy: str = "bellrack",
     under: float | None = None,
-    tell: Callable[[str], None] = lambda text: None,
+    report_progress: Callable[[str], None] = lambda text: None,
 ) -> dict[str, Any]:
     """Return a scenario, reduced step by step, that still fails.
 
-    `under` is the service below which a run counts as failed, beside a broken rule; `tell` receives a line of
-    progress for each step. Raises ScenarioError if the scenario does not fail.
+    `under` is the service below which a run also counts as failed; without it, only a broken rule does.
+    `report_progress` receives a line for each step. Raises ScenarioError if the scenario does not fail.
     """
     if not fails(raw, seed, policy, under):
         raise ScenarioError(
@@ -346,6 +346,6 @@
             with contextlib.suppress(ScenarioError):
                 if fails(candidate, seed, policy, under):
                     raw, found = candidate, True
-                    tell(f"{len(raw.get('trouble', []))} troubles, {len(tried)} tried")
+                    report_progress(f"{len(raw.get('trouble', []))} troubles, {len(tried)} tried")
                     break
     return raw
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -119,10 +119,10 @@
         self.client_conns: dict[Attempt, ClientConnection] = {}
         self.memory_kb = 0  # peak
 
-    def turn(self, what: Callable, *values: Any) -> None:
-        """Call `what(*values)` unless the balancer has stopped."""
+    def turn(self, callback: Callable, *values: Any) -> None:
+        """Call `callback(*values)` unless the balancer has stopped."""
         if self.alive:
-            what(*values)
+            callback(*values)
 
     # The process.
 
@@ -654,8 +654,8 @@
 
     # The run.
 
-    async def play(self, tell: Callable[[float], None]) -> None:  # type: ignore[override]
-        """Run the scenario. `tell` receives the progress in seconds.
+    async def play(self, report_progress: Callable[[float], None]) -> None:  # type: ignore[override]
+        """Run the scenario. `report_progress` receives the progress in seconds.
 
         Raises ScenarioError if balancers or the initial connections do not come up in time or a balancer ends
         by itself. An exception in the lab ends the run and is raised again.
@@ -697,7 +697,7 @@
         end = self.event_queue.started_at + self.scenario.length + self.scenario.tail
         while self.loop.time() < end and not self.failure.done():
             await asyncio.wait([self.failure], timeout=min(0.5, max(0.0, end - self.loop.time())))
-            tell(min(self.scenario.length + self.scenario.tail, self.now - START))
+            report_progress(min(self.scenario.length + self.scenario.tail, self.now - START))
             crashed = [
                 node.name
                 for node in self.nodes
