--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 import pytest
-from test_lab_live import children, gone, until
+from test_lab_live import all_ended, descendants, wait_until
 
 from bellrack.lab import cli
 from bellrack.lab.scale import figures, real, run
@@ -335,7 +335,7 @@
         start_new_session=True,
     )
     try:
-        started = until(lambda: children(process.pid), 60.0)
+        started = wait_until(lambda: descendants(process.pid), 60.0)
         os.kill(process.pid, signal.SIGINT)
         _, errors = process.communicate(timeout=60)
     finally:
@@ -394,7 +394,7 @@
     assert not any(node.counters["faults"] for node in tier.nodes.values())
     assert all(len(node.balancer.listing.ready) == 9 for node in tier.nodes.values())
     pids = [process.process.pid for process in tier.processes.values()]
-    assert len(pids) == 3 and gone(pids)
+    assert len(pids) == 3 and all_ended(pids)
 
 
 def test_real_run_over_the_memory_limit_kills_its_processes():
@@ -409,7 +409,7 @@
         with pytest.raises(ScenarioError, match="stopped"):
             real.play(real_plan(duration=60.0), 1, ShrinkingGuard(), progress.append)
         pids = [call.args[0].process.pid for call in kill.call_args_list]
-    assert len(pids) == 3 and gone(pids)
+    assert len(pids) == 3 and all_ended(pids)
 
 
 def test_interrupted_real_run_kills_its_processes(tmp_path):
@@ -429,7 +429,7 @@
         start_new_session=True,
     )
     try:
-        started = until(lambda: len(children(process.pid)) == 3 and children(process.pid), 60.0)
+        started = wait_until(lambda: len(descendants(process.pid)) == 3 and descendants(process.pid), 60.0)
         os.kill(process.pid, signal.SIGINT)
         _, errors = process.communicate(timeout=60)
     finally:
