--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -1,18 +1,19 @@
-"""What one role of a balancer costs, measured alone at several sizes, with its slope.
+"""Measures what each role of a balancer costs by itself, at several sizes, and fits how the cost grows.
 
 Usage:
   bellrack lab scale roles [--role=NAME]... [--json=FILE] [--quick]
   bellrack lab scale roles (-h | --help)
 
 Options:
-  --role=NAME  Only this role; may be given several times: data-path, discovery-client, discovery-service,
+  --role=NAME  Measure only this role; may be repeated: data-path, discovery-client, discovery-service,
                decisions, timers, state, aggregator, placements, configuration, shutdown, start.
   --json=FILE  Write sizes, values and fits as JSON; - for standard output, in place of the tables.
-  --quick      Small sizes and few repeats, to see that it runs; its figures are good for nothing else.
+  --quick      Use small sizes and few repeats, as a check that the command runs; its results mean nothing.
 
-Owns the measurements that docs/CAPACITY.md rests on. Processor time is the least of several repeats, memory
-is allocated (tracemalloc) or resident bytes, bytes and records are counted and repeat to the digit. It plays
-no deployment, judges nothing against a budget, and reads the clock of no wall.
+docs/CAPACITY.md is based on these measurements. Processor time is the minimum of several repeats. Memory is
+either allocated bytes (tracemalloc) or resident bytes. Bytes and records are counted and are exactly the same
+in each run. This module does not simulate a whole deployment, compare results with a budget, or measure
+wall-clock time.
 """
 
 from __future__ import annotations
@@ -50,22 +51,34 @@
 from bellrack.peers import aggregation, overload
 from bellrack.settings import parse_settings
 
-BALANCERS, SERVERS, CONNECTIONS, SHARDS = 4800, 6000, 50_000, 1_200_000  # the target; servers are assumed
-LIFE = 2.5  # seconds that a connection stands in plays of decisions: a sooner end counts as a failure
-SET_UPS = 28.0  # new connections a second and balancer: 50,000 that last half an hour
-GROUPS = 10  # of topics a server, in plays of the aggregator
-STANDING, CHURN = 30, 4  # connections that a balancer has there, and that come and go a second
-PER_BALANCER = 1.2  # servers a balancer, as in the rough play that this one repeats
-BEGUN = 1000.0  # on the clock of plays
-REPEATS, TRIES = 5, 8
-CLEARLY, EXACT = 0.7, 1e-9  # of the line's largest residual; both are nought up to this
-
-SERVER_SIZES, QUICK_SERVERS = (60, 200, 600, 2000, 6000), (20, 40, 80, 160)
+# The size of deployment to plan for. The number of servers is an assumption.
+TARGET_BALANCERS = 4800
+TARGET_SERVERS = 6000
+TARGET_CONNECTIONS = 50_000  # of one balancer
+TARGET_SHARDS = 1_200_000
+# How long a connection stays open in the measurement of decisions. One that ends earlier counts as a failure
+# of its server.
+CONNECTION_LIFE_SECONDS = 2.5
+SETUPS_PER_SECOND = 28.0  # new connections of one balancer: 50,000 connections that last half an hour each
+GROUPS_PER_SERVER = 10  # groups of calls, in the measurements of decisions and of the aggregator
+# In the measurement of the aggregator:
+CONNECTIONS_PER_BALANCER = 30
+CHURN_PER_SECOND = 4  # connections of each balancer that end and are replaced
+SERVERS_PER_BALANCER = 1.2  # as in the earlier, rougher simulation that this one repeats
+START_SECONDS = 1000.0  # the initial time of simulated clocks
+REPEATS = 5
+RESTART_TRIES = 8
+# A power law is preferred to a line if its largest residual is below this share of the line's.
+POWER_RESIDUAL_SHARE = 0.7
+RESIDUAL_ROUNDING = 1e-9  # residuals up to this count as zero
+
+SERVER_SIZES = (60, 200, 600, 2000, 6000)
+QUICK_SERVER_SIZES = (20, 40, 80, 160)
 
 
 @dataclass(frozen=True)
-class Figure:
-    """One cost at several sizes."""
+class Measurement:
+    """One cost at several sizes. The field names are keys of the JSON report."""
 
     role: str
     name: str
@@ -73,51 +86,57 @@
     of: str  # what the sizes count
     sizes: list[int]
     values: list[float]
-    counted: bool  # bytes and records: the same to the digit at each run
+    counted: bool  # bytes or records, which are exactly the same in each run
     fit: PowerFit | LineFit | None = None
 
-    def fitted(self) -> Figure:
-        """With a line, unless a power's largest residual is clearly less."""
+    def with_fit(self) -> Measurement:
+        """Returns a copy with a linear fit, or with a power law if that has a clearly smaller residual."""
         line = fit_line(self.sizes, self.values)
         power = fit_power(self.sizes, self.values) if min(self.values) > 0 else line
-        return replace(self, fit=power if power.residual < CLEARLY * line.residual - EXACT else line)
+        return replace(
+            self,
+            fit=(
+                power if power.residual < POWER_RESIDUAL_SHARE * line.residual - RESIDUAL_ROUNDING else line
+            ),
+        )
 
 
-def figure(
-    role: str, name: str, unit: str, of: str, sizes: Any, values: Any, counted: bool = False
-) -> Figure:
-    return Figure(role, name, unit, of, list(sizes), list(values), counted).fitted()
+def measurement(
+    role: str, name: str, unit: str, size_unit: str, sizes: Any, values: Any, counted: bool = False
+) -> Measurement:
+    """Returns a measurement with its fit. `size_unit` says what the sizes count."""
+    return Measurement(role, name, unit, size_unit, list(sizes), list(values), counted).with_fit()
 
 
-def processor_time(what: Callable[[], Any], repeats: int = REPEATS) -> float:
-    """Microseconds of processor time, the least of several repeats."""
+def processor_time_us(action: Callable[[], Any], repeats: int = REPEATS) -> float:
+    """Returns the processor time of `action()` in microseconds, the minimum of several repeats."""
     best = None
     for _ in range(repeats):
-        begun = time.process_time_ns()
-        what()
-        spent = time.process_time_ns() - begun
-        best = spent if best is None else min(best, spent)
+        started_ns = time.process_time_ns()
+        action()
+        spent_ns = time.process_time_ns() - started_ns
+        best = spent_ns if best is None else min(best, spent_ns)
     return (best or 0) / 1000
 
 
-def allocated(make: Callable[[], Any]) -> tuple[int, int]:
-    """Bytes that what it makes keeps, and the most that stood on the way."""
+def allocated_bytes(create: Callable[[], Any]) -> tuple[int, int]:
+    """Returns the bytes that the result of `create()` keeps allocated, and the peak while it was created."""
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
-        made = make()
+        created = create()
         kept, peak = tracemalloc.get_traced_memory()
-        del made
+        del created
         return kept - before, peak - before
     finally:
         tracemalloc.stop()
 
 
-# What is measured.
+# Inputs and objects to measure.
 
 
-def deployment(peers: int = 1, number: int = 0, **changes: Any) -> dict[str, Any]:
-    """Settings as a balancer is told them, with ten zones."""
+def deployment_settings(balancers: int = 1, number: int = 0, **changes: Any) -> dict[str, Any]:
+    """Returns the settings of balancer `number` of a tier, with ten zones. `changes` replaces entries."""
     return {
         "trafficTypes": [
             {
@@ -141,15 +160,17 @@
         "accounts": [{"name": "acme"}],
         "areas": [f"zone-{n}" for n in range(10)],
         "az": 0,
-        "peersTotal": peers,
+        "peersTotal": balancers,
         "slotNo": number,
         "discovery": "ask",
         "tickUs": 4000,
     } | changes
 
 
-def rows(count: int, port: int = 9000, state: str = model.READY, zones: int = 10) -> list[dict[str, Any]]:
-    """Entries of a list, as `lines.list_message` writes them."""
+def list_entries(
+    count: int, port: int = 9000, state: str = model.READY, zones: int = 10
+) -> list[dict[str, Any]]:
+    """Returns the entries of a list with `count` servers, as `lines.list_message` writes them."""
     return lines.list_message(
         (
             f"server-{n:06d}",
@@ -165,15 +186,15 @@
     )["instances"]
 
 
-def listing(count: int, state: str = model.READY, whole: bool = True, generation: int = 1) -> bytes:
-    """A list, or a change of the last of so many servers, as one line."""
-    listed = rows(count, state=state)
-    told = {"generation": generation, "reset": whole, "instances": listed if whole else listed[-1:]}
-    return json.dumps(told).encode() + b"\n"
+def list_line(count: int, state: str = model.READY, full: bool = True, generation: int = 1) -> bytes:
+    """Returns one line of discovery: the full list of `count` servers, or a change of the last of them."""
+    entries = list_entries(count, state=state)
+    message = {"generation": generation, "reset": full, "instances": entries if full else entries[-1:]}
+    return json.dumps(message).encode() + b"\n"
 
 
-def config_of(peers: int) -> dict[str, Any]:
-    """The object of a configuration file in a tier of so many."""
+def balancer_config(balancers: int) -> dict[str, Any]:
+    """Returns the configuration of one balancer in a tier of so many balancers."""
     return {
         "name": "b0",
         "listen": "10.0.0.1:7000",
@@ -181,16 +202,16 @@
         "seed": "1",
         "limits": {"sockets": 131072},
         "peer_listen": "10.0.0.1:7002",
-        "peers": [f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:7002" for n in range(peers)],
-        "settings": deployment(peers),
+        "peers": [f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:7002" for n in range(balancers)],
+        "settings": deployment_settings(balancers),
     }
 
 
-class Host:
-    """The host of decisions alone: does what it is told at once, and keeps what it was told of time."""
+class StubHost:
+    """A host without sockets and timers: it sends legs at once, and ignores timers and datagrams."""
 
     def __init__(self, settings: Settings):
-        self.now, self.settings = BEGUN, settings
+        self.now, self.settings = START_SECONDS, settings
         self.sent: list[Leg] = []
         self.balancer = Balancer(settings, 7, self)
 
@@ -213,23 +234,25 @@
     def set_timer(self, when: float, what: Any) -> None: ...
     def log(self, text: str) -> None: ...
 
-    def fleet(self, count: int, zones: int) -> list[Server]:
+    def list_servers(self, count: int, zones: int) -> list[Server]:
+        """Lists `count` servers in `zones` zones to the balancer, and returns them."""
         servers = [Server(lines.id_hash(f"server-{n:06d}"), n % zones, weight=1000.0) for n in range(count)]
         self.balancer.on_servers_listed(servers)
         return servers
 
-    def ask(self, group: int) -> Call:
+    def submit_call(self, group: int) -> Call:
+        """Passes a new call of this group to the balancer, and returns it."""
         call = Call(self.settings.types[0], self.now + 3.0, self.now, group=group)
         self.balancer.on_call(call)
         return call
 
-    def hears(self) -> None:
-        """An aggregator speaks: what is done once balancers tell one another is done."""
+    def receive_broadcast(self) -> None:
+        """Receives a broadcast of an aggregator, after which the balancer does all that depends on one."""
         for data in aggregation.pack(aggregation.BROADCAST, [(aggregation.SETUP_TIME, 0, 20.0)]):
             self.balancer.on_datagram(0, data)
 
-    def holds(self, servers: list[Server], count: int) -> None:
-        """So many connections stand, evenly, each of a group of its own."""
+    def resume_connections(self, servers: list[Server], count: int) -> None:
+        """Resumes `count` connections, spread evenly over the servers, each in a group of its own."""
         for n in range(count):
             call = Call(self.settings.types[0], self.now, self.now, group=n + 1)
             leg = Leg(call, servers[n % len(servers)], self.now - 60, standing=True)
@@ -237,16 +260,18 @@
             self.balancer.on_resumed(leg)
 
 
-def host_of(peers: int = 1, number: int = 0, **changes: Any) -> Host:
-    return Host(parse_settings(deployment(peers, number, **changes)))
+def create_host(balancers: int = 1, number: int = 0, **changes: Any) -> StubHost:
+    """Returns a host of balancer `number` of a tier; see `deployment_settings`."""
+    return StubHost(parse_settings(deployment_settings(balancers, number, **changes)))
 
 
-class Fed(DiscoveryRequest):
-    """A question whose answer is put into its ring, in place of a connection."""
+class FedDiscoveryRequest(DiscoveryRequest):
+    """A discovery request without a connection: `feed` writes the response into its receive ring."""
 
     def open(self, address: tuple[str, int], wait: float) -> None: ...
 
     def feed(self, data: bytes) -> None:
+        """Processes `data` as if it had been received."""
         view = memoryview(data)
         while view:
             space = self.ring.writable_space()
@@ -257,12 +282,12 @@
             view = view[count:]
 
 
-class Alone:
-    """A node without sockets; a context."""
+class SocketlessNode:
+    """A context manager for a node without sockets, in a tier of `balancers`."""
 
-    def __init__(self, peers: int = 1):
+    def __init__(self, balancers: int = 1):
         self.loop = asyncio.new_event_loop()
-        self.node = Node(parse_config(config_of(peers)), self.loop)
+        self.node = Node(parse_config(balancer_config(balancers)), self.loop)
 
     def __enter__(self) -> Node:
         return self.node
@@ -271,161 +296,177 @@
         self.loop.close()
 
 
-def watching(node: Node) -> Fed:
-    """A watch whose head has come."""
-    question = Fed(node, ("127.0.0.1", 1), True)
-    node.discovery.current = question
-    question.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-    return question
+def open_watch(node: Node) -> FedDiscoveryRequest:
+    """Opens a watch whose response head has been received."""
+    request = FedDiscoveryRequest(node, ("127.0.0.1", 1), True)
+    node.discovery.current = request
+    request.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    return request
 
 
-def chunk(line: bytes) -> bytes:
-    return b"%x\r\n" % len(line) + line + b"\r\n"
+def http_chunk(body: bytes) -> bytes:
+    """Returns `body` as one chunk of a chunked HTTP response."""
+    return b"%x\r\n" % len(body) + body + b"\r\n"
 
 
-# Roles.
+# The roles. Each function yields the measurements of one role; `quick`: small sizes and few repeats.
 
 
-def data_path(quick: bool) -> Iterator[Figure]:
+def data_path(quick: bool) -> Iterator[Measurement]:
+    """Measures a process that relays lines: memory by connections, processor time by lines."""
     sizes = [20, 40, 60, 80] if quick else [200, 800, 1400, 2000]
-    counts = [200, 400, 600, 800] if quick else [4000, 8000, 16000, 32000]
-
-    async def play() -> tuple[list[int], dict[int, list[int]]]:
-        around = stubs.StandIns(deployment(), rows)
-        async with around:
-            memory = await stubs.idle_pairs(around, sizes)
-            child = around.children[0]
-            return memory, {size: await stubs.relayed(around, child, counts, size) for size in (100, 1000)}
-
-    memory, spent = asyncio.run(play())
-    yield figure("data-path", "resident memory", "B", "standing connections", sizes, memory)
-    for size, values in spent.items():
-        yield figure(
+    line_counts = [200, 400, 600, 800] if quick else [4000, 8000, 16000, 32000]
+
+    async def measure() -> tuple[list[int], dict[int, list[int]]]:
+        environment = stubs.StubEnvironment(deployment_settings(), list_entries)
+        async with environment:
+            memory = await stubs.memory_by_connections(environment, sizes)
+            child = environment.children[0]
+            return memory, {
+                size: await stubs.relay_time_ns(environment, child, line_counts, size) for size in (100, 1000)
+            }
+
+    memory, relay_ns = asyncio.run(measure())
+    yield measurement("data-path", "resident memory", "B", "standing connections", sizes, memory)
+    for size, values in relay_ns.items():
+        yield measurement(
             "data-path",
             f"processor time, lines of {size} B",
             "us",
             "lines passed on",
-            counts,
+            line_counts,
             [value / 1000 for value in values],
         )
 
 
-def discovery_client(quick: bool) -> Iterator[Figure]:
-    sizes = QUICK_SERVERS if quick else SERVER_SIZES
+def discovery_client(quick: bool) -> Iterator[Measurement]:
+    """Measures how a node parses and applies the list of servers and its changes."""
+    sizes = QUICK_SERVER_SIZES if quick else SERVER_SIZES
     repeats = 1 if quick else 3
-    role, of = "discovery-client", "servers"
-    whole, change, kept, peak, first, later = [], [], [], [], [], []
+    role, size_unit = "discovery-client", "servers"
+    list_bytes, change_bytes, kept_bytes, peak_bytes, list_us, change_us = [], [], [], [], [], []
     for count in sizes:
-        text, news = listing(count), listing(count, model.DRAINING, whole=False, generation=2)
-        whole.append(len(text))
-        change.append(len(chunk(news)))
+        full_list, change = (
+            list_line(count),
+            list_line(count, model.DRAINING, full=False, generation=2),
+        )
+        list_bytes.append(len(full_list))
+        change_bytes.append(len(http_chunk(change)))
 
-        def take(text: bytes = text) -> Node:
-            with Alone() as node:
-                watching(node).feed(chunk(text))
+        def apply_list(full_list: bytes = full_list) -> Node:
+            with SocketlessNode() as node:
+                open_watch(node).feed(http_chunk(full_list))
                 if not node.servers:
-                    raise stubs.ScaleError("a list was not taken in")
+                    raise stubs.ScaleError("the node did not accept a list of servers")
                 return node
 
-        with Alone() as node:  # what it costs to be there at all
-            watching(node)
-            bare = processor_time(lambda: Alone().__exit__(), repeats)
-        first.append(max(0.0, processor_time(take, repeats) - bare))
-        with Alone() as node:
-            question = watching(node)
-            question.feed(chunk(text))
-            again = partial(question.feed, chunk(news))
-            later.append(processor_time(again, 3 * repeats))
-        stays, most = allocated(take)
-        kept.append(stays)
-        peak.append(most)
-    yield figure(role, "bytes of a whole list", "B", of, sizes, whole, True)
-    yield figure(role, "bytes of a change of one server", "B", of, sizes, change, True)
-    yield figure(role, "processor time, whole list parsed and taken in", "us", of, sizes, first)
-    yield figure(role, "processor time, change of one server", "us", of, sizes, later)
-    yield figure(role, "memory kept", "B", of, sizes, kept)
-    yield figure(role, "memory at its most while a list is taken in", "B", of, sizes, peak)
+        with SocketlessNode() as node:  # the cost of creating a node, which is subtracted
+            open_watch(node)
+            node_us = processor_time_us(lambda: SocketlessNode().__exit__(), repeats)
+        list_us.append(max(0.0, processor_time_us(apply_list, repeats) - node_us))
+        with SocketlessNode() as node:
+            request = open_watch(node)
+            request.feed(http_chunk(full_list))
+            apply_change = partial(request.feed, http_chunk(change))
+            change_us.append(processor_time_us(apply_change, 3 * repeats))
+        kept, peak = allocated_bytes(apply_list)
+        kept_bytes.append(kept)
+        peak_bytes.append(peak)
+    yield measurement(role, "bytes of a whole list", "B", size_unit, sizes, list_bytes, True)
+    yield measurement(role, "bytes of a change of one server", "B", size_unit, sizes, change_bytes, True)
+    yield measurement(role, "processor time, whole list parsed and taken in", "us", size_unit, sizes, list_us)
+    yield measurement(role, "processor time, change of one server", "us", size_unit, sizes, change_us)
+    yield measurement(role, "memory kept", "B", size_unit, sizes, kept_bytes)
+    yield measurement(role, "memory at its most while a list is taken in", "B", size_unit, sizes, peak_bytes)
     seconds = [60, 120, 240, 480]
-    yield figure(
+    yield measurement(
         role,
         "bytes of an idle watch",
         "B",
         "seconds",
         seconds,
-        [len(chunk(b"\n")) * (second // 2) for second in seconds],
+        [len(http_chunk(b"\n")) * (second // 2) for second in seconds],
         True,
     )
 
 
-def discovery_service(quick: bool) -> Iterator[Figure]:
-    """No service of ours: what its watches must be sent, by count."""
-    watches = [60, 600, 2400, BALANCERS]
-    change = len(chunk(listing(SERVERS, model.DRAINING, whole=False, generation=2)))
-    whole, idle = len(listing(SERVERS)), len(chunk(b"\n"))
-    role, of = "discovery-service", "watches"
-    yield figure(role, "bytes out of a change to all", "B", of, watches, [change * n for n in watches], True)
-    yield figure(
+def discovery_service(quick: bool) -> Iterator[Measurement]:
+    """Counts the bytes that a discovery service sends to its watches. No service is run for it."""
+    watches = [60, 600, 2400, TARGET_BALANCERS]
+    change = len(http_chunk(list_line(TARGET_SERVERS, model.DRAINING, full=False, generation=2)))
+    full_list, idle = len(list_line(TARGET_SERVERS)), len(http_chunk(b"\n"))
+    role, size_unit = "discovery-service", "watches"
+    yield measurement(
+        role, "bytes out of a change to all", "B", size_unit, watches, [change * n for n in watches], True
+    )
+    yield measurement(
         role,
-        f"bytes out of a whole list of {SERVERS} servers to all",
+        f"bytes out of a whole list of {TARGET_SERVERS} servers to all",
         "B",
-        of,
+        size_unit,
         watches,
-        [whole * n for n in watches],
+        [full_list * n for n in watches],
         True,
     )
-    yield figure(
+    yield measurement(
         role,
         "bytes out a second while nothing changes",
         "B/s",
-        of,
+        size_unit,
         watches,
-        [idle / 2 * n for n in watches],
+        [idle / 2 * n for n in watches],  # discovery sends an empty line every 2 s
         True,
     )
 
 
-def decision_time(count: int, zones: int, decided: int) -> float:
-    """Microseconds a decision: a call with a group arrives each 1/SET_UPS s, stands and ends after LIFE s."""
-    host = host_of()
-    host.fleet(count, zones)
-    chance, spent, standing = random.Random(5), 0, deque()
-    for number in range(decided + 10):
-        group = chance.randrange(1, GROUPS * count)
-        begun = time.process_time_ns()
-        call = host.ask(group)
-        spent += (time.process_time_ns() - begun) if number >= 10 else 0
+def decision_time_us(servers: int, zones: int, decision_count: int) -> float:
+    """Returns the mean processor time of a decision in microseconds.
+
+    A call with a group arrives SETUPS_PER_SECOND times a second, is established at once and ends after
+    CONNECTION_LIFE_SECONDS. The first ten decisions are not counted. Raises ScaleError if the balancer finds
+    no server for a call.
+    """
+    host = create_host()
+    host.list_servers(servers, zones)
+    random_stream, spent_ns, established_legs = random.Random(5), 0, deque()
+    for number in range(decision_count + 10):
+        group = random_stream.randrange(1, GROUPS_PER_SERVER * servers)
+        started_ns = time.process_time_ns()
+        call = host.submit_call(group)
+        spent_ns += (time.process_time_ns() - started_ns) if number >= 10 else 0
         if not call.legs:
-            raise stubs.ScaleError(f"a call found no room among {count} servers")
+            raise stubs.ScaleError(f"no capacity for a call among {servers} servers")
         leg = call.legs[0]
         leg.established = True
         host.balancer.on_established(leg)
-        standing.append(leg)
-        while standing[0].sent < host.now - LIFE:
-            leg = standing.popleft()
+        established_legs.append(leg)
+        while established_legs[0].sent < host.now - CONNECTION_LIFE_SECONDS:
+            leg = established_legs.popleft()
             leg.call.done, leg.result = True, Result(model.COMPLETED)
             host.balancer.on_leg_ended(leg, leg.result)
-        host.now += 1 / SET_UPS
-    return spent / decided / 1000
+        host.now += 1 / SETUPS_PER_SECOND
+    return spent_ns / decision_count / 1000
 
 
-def decisions(quick: bool) -> Iterator[Figure]:
+def decisions(quick: bool) -> Iterator[Measurement]:
+    """Measures the choice of a server for a call, by the number of servers."""
     sizes = (10, 20, 40, 80) if quick else (10, 60, 200, 600, 1000, 2000, 6000)
     for zones in (1, 10):
-        yield figure(
+        yield measurement(
             "decisions",
             f"processor time a decision, servers in {zones} zone{'s' * (zones > 1)}",
             "us",
             "servers",
             sizes,
             [
-                min(decision_time(n, zones, 20 if quick else 60) for _ in range(1 if quick else 3))
+                min(decision_time_us(n, zones, 20 if quick else 60) for _ in range(1 if quick else 3))
                 for n in sizes
             ],
         )
 
 
-class StandingLink:
-    """What looks see of a connection to a server."""
+class StubServerConnection:
+    """The attributes of a server connection that the node's periodic check reads."""
 
     is_silent = ServerConnection.is_silent
 
@@ -433,191 +474,222 @@
         self.node, self.client, self.unanswered = node, SimpleNamespace(blocked=False), deque(maxlen=64)
 
 
-def looked_after(servers: int, connections: int) -> Alone:
-    """A node that holds connections, as its looks see them."""
-    alone = Alone()
-    node = alone.node
-    node.server_list.on_list(lines.parse_list(json.loads(listing(servers))))
-    legs = list(node.servers.values())
+def node_with_connections(servers: int, connections: int) -> SocketlessNode:
+    """Returns a node that holds `connections` stub connections, spread evenly over `servers` servers."""
+    context = SocketlessNode()
+    node = context.node
+    node.server_list.on_list(lines.parse_list(json.loads(list_line(servers))))
+    listed = list(node.servers.values())
     for n in range(connections):
-        legs[n % servers].host_record.connections[StandingLink(node)] = None
-    return alone
+        listed[n % servers].host_record.connections[StubServerConnection(node)] = None
+    return context
 
 
-def timers(quick: bool) -> Iterator[Figure]:
-    sizes = QUICK_SERVERS if quick else SERVER_SIZES
+def timers(quick: bool) -> Iterator[Measurement]:
+    """Measures the periodic work: rebalancing, the report to the aggregator, and the check of the servers."""
+    sizes = QUICK_SERVER_SIZES if quick else SERVER_SIZES
     repeats = 1 if quick else REPEATS
-    tidy, tell, look = [], [], []
+    rebalance_us, report_us, check_us = [], [], []
 
-    def told(host: Host) -> Callable[[], None]:
-        def turn() -> None:
-            for server in host.balancer.fleet[: int(SET_UPS)]:  # whose counts change in half a second
+    def publish_action(host: StubHost) -> Callable[[], None]:
+        def publish() -> None:
+            # The servers whose connection counts change in half a second.
+            for server in host.balancer.fleet[: int(SETUPS_PER_SECOND)]:
                 host.balancer.overload.exchange.set_held(server.id_hash, 1, 0, 0)
             host.now += overload.REPUBLISH_SECONDS
-            host.hears()
+            host.receive_broadcast()
             host.balancer.on_timer("publish")
 
-        return turn
+        return publish
 
     for count in sizes:
-        host = host_of(BALANCERS, 9)
-        host.holds(host.fleet(count, 10), count)
-        host.hears()
-        tidy.append(processor_time(lambda host=host: host.balancer.on_timer("rebalance"), repeats))
-        tell.append(processor_time(told(host), repeats))
-        with looked_after(count, count) as node:
-            look.append(processor_time(node.server_watch.check, repeats))
-    of = "servers, a connection each"
-    yield figure("timers", "processor time of a second's tidy", "us", of, sizes, tidy)
-    yield figure("timers", "processor time of a half-second's report", "us", of, sizes, tell)
-    yield figure("timers", "processor time of a second's look", "us", of, sizes, look)
-    held = (200, 400, 800, 1600) if quick else (2000, 5000, 10000, 20000, CONNECTIONS)
-    tidy, tell, look, servers = [], [], [], 60 if quick else 600
-    for count in held:
-        host = host_of(BALANCERS, 9)
-        host.holds(host.fleet(servers, 10), count)
-        host.hears()
-        tidy.append(processor_time(lambda host=host: host.balancer.on_timer("rebalance"), repeats))
-        tell.append(processor_time(told(host), repeats))
-        with looked_after(servers, count) as node:
-            look.append(processor_time(node.server_watch.check, repeats))
-    of = f"standing connections, {servers} servers"
-    yield figure("timers", "processor time of a second's tidy", "us", of, held, tidy)
-    yield figure("timers", "processor time of a half-second's report", "us", of, held, tell)
-    yield figure("timers", "processor time of a second's look", "us", of, held, look)
-
-
-def state(quick: bool) -> Iterator[Figure]:
-    sizes = QUICK_SERVERS if quick else SERVER_SIZES
-
-    def taken_in(count: int) -> Any:
-        alone = Alone()
-        alone.node.server_list.on_list(lines.parse_list(json.loads(listing(count))))
-        alone.loop.close()
-        return alone
-
-    def queued(count: int) -> int:
-        host = host_of()
-        for server in host.fleet(count, 10):
+        host = create_host(TARGET_BALANCERS, 9)
+        host.resume_connections(host.list_servers(count, 10), count)
+        host.receive_broadcast()
+        rebalance_us.append(processor_time_us(lambda host=host: host.balancer.on_timer("rebalance"), repeats))
+        report_us.append(processor_time_us(publish_action(host), repeats))
+        with node_with_connections(count, count) as node:
+            check_us.append(processor_time_us(node.server_watch.check, repeats))
+    size_unit = "servers, a connection each"
+    yield measurement("timers", "processor time of a second's tidy", "us", size_unit, sizes, rebalance_us)
+    yield measurement("timers", "processor time of a half-second's report", "us", size_unit, sizes, report_us)
+    yield measurement("timers", "processor time of a second's look", "us", size_unit, sizes, check_us)
+    connection_counts = (200, 400, 800, 1600) if quick else (2000, 5000, 10000, 20000, TARGET_CONNECTIONS)
+    rebalance_us, report_us, check_us, servers = [], [], [], 60 if quick else 600
+    for count in connection_counts:
+        host = create_host(TARGET_BALANCERS, 9)
+        host.resume_connections(host.list_servers(servers, 10), count)
+        host.receive_broadcast()
+        rebalance_us.append(processor_time_us(lambda host=host: host.balancer.on_timer("rebalance"), repeats))
+        report_us.append(processor_time_us(publish_action(host), repeats))
+        with node_with_connections(servers, count) as node:
+            check_us.append(processor_time_us(node.server_watch.check, repeats))
+    size_unit = f"standing connections, {servers} servers"
+    yield measurement(
+        "timers", "processor time of a second's tidy", "us", size_unit, connection_counts, rebalance_us
+    )
+    yield measurement(
+        "timers", "processor time of a half-second's report", "us", size_unit, connection_counts, report_us
+    )
+    yield measurement(
+        "timers", "processor time of a second's look", "us", size_unit, connection_counts, check_us
+    )
+
+
+def state(quick: bool) -> Iterator[Measurement]:
+    """Measures the memory of listed servers, of queued calls and of known peers."""
+    sizes = QUICK_SERVER_SIZES if quick else SERVER_SIZES
+
+    def node_with_list(count: int) -> Any:
+        context = SocketlessNode()
+        context.node.server_list.on_list(lines.parse_list(json.loads(list_line(count))))
+        context.loop.close()
+        return context
+
+    def queued_call_bytes(count: int) -> int:
+        host = create_host()
+        for server in host.list_servers(count, 10):
             server.local_state.limit, server.local_state.limit_cut_at = 0.0, host.now
-        host.ask(1).host_record = host  # all that is made once
+        host.submit_call(1).host_record = host  # the first call creates what later calls share
         number = 20
-        return allocated(lambda: [host.ask(n + 2) for n in range(number)])[0] // number
+        return allocated_bytes(lambda: [host.submit_call(n + 2) for n in range(number)])[0] // number
 
-    yield figure(
+    yield measurement(
         "state",
         "memory of servers",
         "B",
         "servers",
         sizes,
-        [allocated(lambda n=n: taken_in(n))[0] for n in sizes],
+        [allocated_bytes(lambda n=n: node_with_list(n))[0] for n in sizes],
     )
-    yield figure("state", "memory of one queued request", "B", "servers", sizes, [queued(n) for n in sizes])
-    peers = (60, 120, 240, 480) if quick else (60, 600, 1200, 2400, BALANCERS)
+    yield measurement(
+        "state", "memory of one queued request", "B", "servers", sizes, [queued_call_bytes(n) for n in sizes]
+    )
+    peer_counts = (60, 120, 240, 480) if quick else (60, 600, 1200, 2400, TARGET_BALANCERS)
 
-    def known(count: int) -> Any:
-        config = parse_config(config_of(count))
+    def peer_socket(count: int) -> Any:
+        config = parse_config(balancer_config(count))
         return config, PeerSocket(SimpleNamespace(config=config))
 
-    yield figure(
+    yield measurement(
         "state",
         "memory of known peers",
         "B",
         "balancers",
-        peers,
-        [allocated(lambda n=n: known(n))[0] for n in peers],
+        peer_counts,
+        [allocated_bytes(lambda n=n: peer_socket(n))[0] for n in peer_counts],
     )
 
 
-class Tier:
-    """The sums of a tier on virtual time: one aggregator, one that hears it, and all that report."""
+class AggregationSimulation:
+    """Simulates the aggregation in a tier on virtual time.
+
+    Member 0 is the aggregator and member 1 processes all broadcasts. The others only report.
+    """
 
     def __init__(self, balancers: int, seed: int = 3):
-        self.chance, self.now = random.Random(seed), BEGUN
-        self.servers = [lines.id_hash(f"server-{n:06d}") for n in range(round(PER_BALANCER * balancers))]
-        self.listed = dict.fromkeys((mark & aggregation.SHORT_ID_MASK for mark in self.servers), True)
-        self.out: deque[tuple[int, int | None, bytes]] = deque()
-        self.all = [
-            aggregation.Aggregation(n, balancers, lambda peer, data, n=n: self.out.append((n, peer, data)))
+        self.random_stream, self.now = random.Random(seed), START_SECONDS
+        self.servers = [
+            lines.id_hash(f"server-{n:06d}") for n in range(round(SERVERS_PER_BALANCER * balancers))
+        ]
+        self.listed = dict.fromkeys((id_hash & aggregation.SHORT_ID_MASK for id_hash in self.servers), True)
+        # Datagrams on their way: sender, receiver (None: all others), payload.
+        self.in_flight: deque[tuple[int, int | None, bytes]] = deque()
+        self.members = [
+            aggregation.Aggregation(
+                n, balancers, lambda peer, data, n=n: self.in_flight.append((n, peer, data))
+            )
             for n in range(balancers)
         ]
-        self.reports = self.report_bytes = self.broadcast_bytes = self.replies = 0
-        self.spent = self.heard = 0  # nanoseconds of the aggregator, and of who hears it
-        self.standing: list[list[tuple[int, int]]] = [[] for _ in self.all]
-        for own in range(balancers):
-            for _ in range(STANDING):
-                self.set_up(own)
-
-    def set_up(self, own: int) -> None:
-        server = self.chance.choice(self.servers)
-        group = self.chance.randrange(1, GROUPS * len(self.servers))
-        self.standing[own].append((server, group))
-        self.counted(own, server, group)
-
-    def end(self, own: int) -> None:
-        held = self.standing[own]
-        self.counted(own, *held.pop(self.chance.randrange(len(held))))
-
-    def counted(self, own: int, server: int, group: int) -> None:
-        held = self.standing[own]
-        self.all[own].set_held(
+        # Counts of report datagrams, and of bytes.
+        self.reports = self.report_bytes = self.broadcast_bytes = self.reply_bytes = 0
+        self.aggregator_ns = self.receiver_ns = 0  # processor time of members 0 and 1
+        # The server and group of each connection, by member.
+        self.connections: list[list[tuple[int, int]]] = [[] for _ in self.members]
+        for number in range(balancers):
+            for _ in range(CONNECTIONS_PER_BALANCER):
+                self.open_connection(number)
+
+    def open_connection(self, number: int) -> None:
+        """Opens a connection of this member, at a random server and in a random group."""
+        server = self.random_stream.choice(self.servers)
+        group = self.random_stream.randrange(1, GROUPS_PER_SERVER * len(self.servers))
+        self.connections[number].append((server, group))
+        self.update_held(number, server, group)
+
+    def close_connection(self, number: int) -> None:
+        """Closes a random connection of this member."""
+        held = self.connections[number]
+        self.update_held(number, *held.pop(self.random_stream.randrange(len(held))))
+
+    def update_held(self, number: int, server: int, group: int) -> None:
+        """Tells the member's aggregation how many connections it holds at this server, and of the group."""
+        held = self.connections[number]
+        self.members[number].set_held(
             server, sum(one == server for one, _ in held), group, held.count((server, group))
         )
 
-    def turn(self) -> None:
-        """Half a second: what changes, what is said, what the aggregator and one other make of it."""
+    def step(self) -> None:
+        """Simulates one broadcast interval: connections change, the members report, and the aggregator and
+        member 1 process what they receive."""
         self.now += aggregation.BROADCAST_INTERVAL_SECONDS
-        quiet = next(aggregation.pack(aggregation.BROADCAST, []))
-        for own, one in enumerate(self.all[1:], 1):
-            for _ in range(int(CHURN * aggregation.BROADCAST_INTERVAL_SECONDS)):
-                self.end(own)
-                self.set_up(own)
-                one.report(aggregation.SETUP_TIME, self.standing[own][-1][0], 20.0)
-            if own > 1:
-                one.on_datagram(
-                    self.now, 0, quiet, {}
-                )  # that somebody speaks; what is said one hears for all
-            one.on_period(self.now, 0.02)
-        aggregator, hears = self.all[0], self.all[1]
-        arrived = [(peer, data) for peer, to, data in self.out if to == 0]
-        self.out.clear()
-        begun = time.process_time_ns()
-        for peer, data in arrived:
-            aggregator.on_datagram(self.now, peer, data, self.listed)
+        empty_broadcast = next(aggregation.pack(aggregation.BROADCAST, []))
+        for number, member in enumerate(self.members[1:], 1):
+            for _ in range(int(CHURN_PER_SECOND * aggregation.BROADCAST_INTERVAL_SECONDS)):
+                self.close_connection(number)
+                self.open_connection(number)
+                member.report(aggregation.SETUP_TIME, self.connections[number][-1][0], 20.0)
+            if number > 1:
+                # Shows that there is an aggregator. Only member 1 processes the content of broadcasts.
+                member.on_datagram(self.now, 0, empty_broadcast, {})
+            member.on_period(self.now, 0.02)
+        aggregator, receiver = self.members[0], self.members[1]
+        arrived = [(sender, data) for sender, to, data in self.in_flight if to == 0]
+        self.in_flight.clear()
+        started_ns = time.process_time_ns()
+        for sender, data in arrived:
+            aggregator.on_datagram(self.now, sender, data, self.listed)
         aggregator.on_period(self.now, 0.02)
-        self.spent += time.process_time_ns() - begun
+        self.aggregator_ns += time.process_time_ns() - started_ns
         self.reports += len(arrived)
         self.report_bytes += sum(len(data) for _, data in arrived)
-        said = [data for _, to, data in self.out if to is None]
-        self.replies += sum(len(data) for _, to, data in self.out if to is not None)
-        self.broadcast_bytes += sum(map(len, said))
-        self.out.clear()
-        begun = time.process_time_ns()
-        for data in said:
-            hears.on_datagram(self.now, 0, data, self.listed)
-        self.heard += time.process_time_ns() - begun
-
-    def play(self, seconds: float, warm: float = 10.0) -> dict[str, float]:
-        """A second's costs, once it has run warm."""
-        while self.now < BEGUN + warm:
-            self.turn()
-        self.reports = self.report_bytes = self.broadcast_bytes = self.replies = 0
-        self.spent = self.heard = 0  # nanoseconds of the aggregator, and of who hears it
+        broadcasts = [data for _, to, data in self.in_flight if to is None]
+        self.reply_bytes += sum(len(data) for _, to, data in self.in_flight if to is not None)
+        self.broadcast_bytes += sum(map(len, broadcasts))
+        self.in_flight.clear()
+        started_ns = time.process_time_ns()
+        for data in broadcasts:
+            receiver.on_datagram(self.now, 0, data, self.listed)
+        self.receiver_ns += time.process_time_ns() - started_ns
+
+    def run(self, seconds: float, warm_up_seconds: float = 10.0) -> dict[str, float]:
+        """Runs for `seconds` of virtual time after a warm-up, and returns the costs of one second.
+
+        "spent" and "heard" are processor time in microseconds, of the aggregator and of member 1; "datagrams"
+        is a count, and the others are bytes.
+        """
+        while self.now < START_SECONDS + warm_up_seconds:
+            self.step()
+        self.reports = self.report_bytes = self.broadcast_bytes = self.reply_bytes = 0
+        self.aggregator_ns = self.receiver_ns = 0
         for _ in range(int(seconds / aggregation.BROADCAST_INTERVAL_SECONDS)):
-            self.turn()
+            self.step()
         return {
             "datagrams": self.reports / seconds,
             "in": self.report_bytes / seconds,
             "plain": self.broadcast_bytes / seconds,
-            "spent": self.spent / seconds / 1000,
-            "heard": self.heard / seconds / 1000,
-            "out": (self.broadcast_bytes * (len(self.all) - 1) + self.replies) / seconds,
+            "spent": self.aggregator_ns / seconds / 1000,
+            "heard": self.receiver_ns / seconds / 1000,
+            "out": (self.broadcast_bytes * (len(self.members) - 1) + self.reply_bytes) / seconds,
         }
 
 
-def aggregator(quick: bool) -> Iterator[Figure]:
+def aggregator(quick: bool) -> Iterator[Measurement]:
+    """Measures the aggregator of a tier, and a balancer that receives its broadcasts."""
     sizes = (8, 12, 16, 24) if quick else (50, 100, 200, 400, 800)
-    played = [Tier(n).play(2.0, 3.0) if quick else Tier(n).play(10.0) for n in sizes]
+    results = [
+        AggregationSimulation(n).run(2.0, 3.0) if quick else AggregationSimulation(n).run(10.0) for n in sizes
+    ]
     for key, name, unit, counted in (
         ("datagrams", "datagrams in", "1/s", True),
         ("in", "bytes in", "B/s", True),
@@ -626,238 +698,277 @@
         ("spent", "processor time", "us/s", False),
         ("heard", "processor time of hearing it at a plain balancer", "us/s", False),
     ):
-        yield figure("aggregator", name, unit, "balancers", sizes, [one[key] for one in played], counted)
+        yield measurement(
+            "aggregator", name, unit, "balancers", sizes, [result[key] for result in results], counted
+        )
 
-    def kept(count: int) -> int:
-        tier = Tier(count)
+    def record_bytes(count: int) -> int:
+        simulation = AggregationSimulation(count)
         for _ in range(12):
-            tier.turn()
-        one = tier.all[0]
-        return deep(one.reports) + deep(one.totals) + deep(one.reported_pairs) + deep(one.placements)
+            simulation.step()
+        member = simulation.members[0]
+        return (
+            deep_size(member.reports)
+            + deep_size(member.totals)
+            + deep_size(member.reported_pairs)
+            + deep_size(member.placements)
+        )
+
+    yield measurement(
+        "aggregator", "memory of its records", "B", "balancers", sizes, [record_bytes(n) for n in sizes]
+    )
 
-    yield figure("aggregator", "memory of its records", "B", "balancers", sizes, [kept(n) for n in sizes])
 
+def deep_size(value: Any, seen: set[int] | None = None) -> int:
+    """Returns the bytes of a container and of all that it contains, each object counted once.
 
-def deep(value: Any, seen: set[int] | None = None) -> int:
-    """Bytes of a container and of all it holds, each object once."""
+    `seen`: the ids of objects that are counted already."""
     seen = set() if seen is None else seen
     if id(value) in seen:
         return 0
     seen.add(id(value))
     size = sys.getsizeof(value)
     if isinstance(value, dict):
-        size += sum(deep(key, seen) + deep(one, seen) for key, one in value.items())
+        size += sum(deep_size(key, seen) + deep_size(item, seen) for key, item in value.items())
     elif isinstance(value, list | tuple | set | frozenset | deque):
-        size += sum(deep(one, seen) for one in value)
+        size += sum(deep_size(item, seen) for item in value)
     return size
 
 
-def unspoken(count: int) -> int:
-    """Servers of so many of which balancers cannot speak, as another one has the same short identifier."""
-    host = host_of(3)
-    host.fleet(count, 10)
+def shared_short_ids(count: int) -> int:
+    """Returns how many of `count` servers share their short id with another one. Balancers leave such servers
+    out of their records."""
+    host = create_host(3)
+    host.list_servers(count, 10)
     return count - sum(server is not None for server in host.balancer.overload.servers.values())
 
 
-def unspoken_by_formula(count: int) -> float:
+def expected_shared_short_ids(count: int) -> float:
+    """Returns the expected value of `shared_short_ids` for uniformly distributed ids."""
     return count * (1 - (1 - 1 / (aggregation.SHORT_ID_MASK + 1)) ** (count - 1))
 
 
-def placed(count: int, own: int) -> aggregation.Aggregation:
-    """The records of the aggregator (0), or of who hears it: so many pairs, each at two balancers."""
-    out: list[bytes] = []
-    one = aggregation.Aggregation(own, BALANCERS, lambda peer, data: out.append(data))
-    if own:
-        one.on_datagram(BEGUN, 0, next(aggregation.pack(aggregation.BROADCAST, [])), {})
+def aggregation_with_placements(count: int, number: int) -> aggregation.Aggregation:
+    """Returns the records of member `number` after it has received `count` placements.
+
+    Member 0 is the aggregator, and receives each pair of server and group from as many balancers as make it a
+    placement. Any other member receives the placements from the aggregator.
+    """
+    sent: list[bytes] = []
+    member = aggregation.Aggregation(number, TARGET_BALANCERS, lambda peer, data: sent.append(data))
+    if number:
+        member.on_datagram(START_SECONDS, 0, next(aggregation.pack(aggregation.BROADCAST, [])), {})
     else:
-        one.aggregator = 0
+        member.aggregator = 0
     pairs = [(n % 6000, n // 6000 * 6007 + n % 6000 + 1) for n in range(count)]
     for first in range(0, count, aggregation.MAX_PAIRS):
-        some = pairs[first : first + aggregation.MAX_PAIRS]
-        for copy in range(aggregation.MIN_HOLDERS if not own else 1):
+        batch = pairs[first : first + aggregation.MAX_PAIRS]
+        for copy in range(aggregation.MIN_HOLDERS if not number else 1):
             for data in aggregation.pack_pairs(
-                aggregation.PLACEMENTS if own else aggregation.GROUPS, some, [1] * len(some)
+                aggregation.PLACEMENTS if number else aggregation.GROUPS, batch, [1] * len(batch)
             ):
-                peer = first // aggregation.MAX_PAIRS * aggregation.MIN_HOLDERS + copy + 1
-                one.on_datagram(BEGUN, 0 if own else peer, data, {})
-    if not own:
-        one.on_period(BEGUN, 0.02)
-    return one
+                sender = first // aggregation.MAX_PAIRS * aggregation.MIN_HOLDERS + copy + 1
+                member.on_datagram(START_SECONDS, 0 if number else sender, data, {})
+    if not number:
+        member.on_period(START_SECONDS, 0.02)
+    return member
 
 
-def placements(quick: bool) -> Iterator[Figure]:
+def placements(quick: bool) -> Iterator[Measurement]:
+    """Measures the records of where groups are placed, and counts servers that share a short id."""
     sizes = (500, 1000, 1500, 2000) if quick else (2000, 5000, 10000, 20000)
 
-    for own, whose in ((0, "at the aggregator"), (5, "at a balancer")):
-        yield figure(
+    for number, place in ((0, "at the aggregator"), (5, "at a balancer")):
+        yield measurement(
             "placements",
-            f"memory of placements {whose}",
+            f"memory of placements {place}",
             "B",
             "placements",
             sizes,
-            [allocated(lambda n=n, own=own: placed(n, own))[0] for n in sizes],
+            [
+                allocated_bytes(lambda n=n, number=number: aggregation_with_placements(n, number))[0]
+                for n in sizes
+            ],
         )
-    asked = (1000, 5000, 10000, 15000, 20000, 20100)
-    known = [placed(n, 5) for n in asked]
-    yield Figure(
+    received_counts = (1000, 5000, 10000, 15000, 20000, 20100)
+    members = [aggregation_with_placements(n, 5) for n in received_counts]
+    yield Measurement(
         "placements",
         "placements known of so many told",
         "1",
         "placements told",
-        list(asked),
-        [len(one.placements) for one in known],
+        list(received_counts),
+        [len(member.placements) for member in members],
         True,
     )
-    news = next(
+    broadcast = next(
         aggregation.pack_pairs(
             aggregation.PLACEMENTS,
             [(n, 65000) for n in range(aggregation.MAX_PAIRS)],
             [1] * aggregation.MAX_PAIRS,
         )
     )
-    yield Figure(
+    yield Measurement(
         "placements",
         "processor time of one more broadcast of 63 placements",
         "us",
         "placements told before",
-        list(asked),
-        [processor_time(lambda one=one: one.on_datagram(BEGUN, 0, news, {}), 1) for one in known],
+        list(received_counts),
+        [
+            processor_time_us(lambda member=member: member.on_datagram(START_SECONDS, 0, broadcast, {}), 1)
+            for member in members
+        ],
         False,
     )
-    servers = (600, 2400, 5000, SERVERS)
-    yield Figure(
+    server_counts = (600, 2400, 5000, TARGET_SERVERS)
+    yield Measurement(
         "placements",
         "servers that share a short identifier, by count",
         "1",
         "servers",
-        list(servers),
-        [unspoken(n) for n in servers],
+        list(server_counts),
+        [shared_short_ids(n) for n in server_counts],
         True,
     )
-    yield Figure(
+    yield Measurement(
         "placements",
         "the same by formula",
         "1",
         "servers",
-        list(servers),
-        [round(unspoken_by_formula(n), 1) for n in servers],
+        list(server_counts),
+        [round(expected_shared_short_ids(n), 1) for n in server_counts],
         True,
     )
 
 
-def configuration(quick: bool) -> Iterator[Figure]:
-    sizes = (60, 120, 240, 480) if quick else (60, 600, 1200, 2400, BALANCERS)
-    size, spent = [], []
+def configuration(quick: bool) -> Iterator[Measurement]:
+    """Measures the configuration file by the number of balancers that it names."""
+    sizes = (60, 120, 240, 480) if quick else (60, 600, 1200, 2400, TARGET_BALANCERS)
+    file_bytes, reread_us = [], []
     with tempfile.TemporaryDirectory(prefix="bellrack-scale-") as folder:
         path = Path(folder) / "config.json"
         for count in sizes:
-            text = json.dumps(config_of(count))
+            text = json.dumps(balancer_config(count))
             path.write_text(text, encoding="utf-8")
-            size.append(len(text))
+            file_bytes.append(len(text))
             config = read_config(str(path))
-            spent.append(processor_time(lambda config=config: reread(config), 1 if quick else REPEATS))
-    of = "balancers named in it"
-    yield figure("configuration", "bytes of the file", "B", of, sizes, size, True)
-    yield figure("configuration", "processor time to read it again", "us", of, sizes, spent)
-
-
-def shutdown(quick: bool) -> Iterator[Figure]:
-    """What a process tells the one that comes after it, and hands over."""
-    servers = QUICK_SERVERS if quick else SERVER_SIZES
-    told, spent = [], []
-    for count in servers:
-        with Alone() as node:
-            node.server_list.on_list(lines.parse_list(json.loads(listing(count))))
-            told.append(len(json.dumps(node.hot_restart.snapshot())))
-            spent.append(
-                processor_time(lambda node=node: json.dumps(node.hot_restart.snapshot()), 1 if quick else 3)
+            reread_us.append(processor_time_us(lambda config=config: reread(config), 1 if quick else REPEATS))
+    size_unit = "balancers named in it"
+    yield measurement("configuration", "bytes of the file", "B", size_unit, sizes, file_bytes, True)
+    yield measurement("configuration", "processor time to read it again", "us", size_unit, sizes, reread_us)
+
+
+def shutdown(quick: bool) -> Iterator[Measurement]:
+    """Measures a hot restart: the state that a process sends its successor, and the connections that it hands
+    over."""
+    sizes = QUICK_SERVER_SIZES if quick else SERVER_SIZES
+    snapshot_bytes, snapshot_us = [], []
+    for count in sizes:
+        with SocketlessNode() as node:
+            node.server_list.on_list(lines.parse_list(json.loads(list_line(count))))
+            snapshot_bytes.append(len(json.dumps(node.hot_restart.snapshot())))
+            snapshot_us.append(
+                processor_time_us(
+                    lambda node=node: json.dumps(node.hot_restart.snapshot()), 1 if quick else 3
+                )
             )
     role = "shutdown"
-    yield figure(role, "bytes told with the listening socket", "B", "servers", servers, told, True)
-    yield figure(role, "processor time to tell it", "us", "servers", servers, spent)
-    ids = (200, 400, 800, 1600) if quick else (2000, 5000, 20000, CONNECTIONS)
-    told = []
-    for count in ids:
-        with Alone() as node:
+    yield measurement(
+        role, "bytes told with the listening socket", "B", "servers", sizes, snapshot_bytes, True
+    )
+    yield measurement(role, "processor time to tell it", "us", "servers", sizes, snapshot_us)
+    id_counts = (200, 400, 800, 1600) if quick else (2000, 5000, 20000, TARGET_CONNECTIONS)
+    snapshot_bytes = []
+    for count in id_counts:
+        with SocketlessNode() as node:
             node.limits.open_ids = {f"c{n:08d}": None for n in range(count)}
-            told.append(len(json.dumps(node.hot_restart.snapshot())))
-    yield figure(
+            snapshot_bytes.append(len(json.dumps(node.hot_restart.snapshot())))
+    yield measurement(
         role,
         "bytes told with the listening socket, ids of 9 letters",
         "B",
         "standing connections",
-        ids,
-        told,
+        id_counts,
+        snapshot_bytes,
         True,
     )
-    pairs = (20, 40, 60, 80) if quick else (200, 800, 1400, 2000)
+    connection_counts = (20, 40, 60, 80) if quick else (200, 800, 1400, 2000)
 
-    async def play(count: int) -> tuple[int, int, int]:
-        async with stubs.StandIns(deployment(), rows) as around:
-            return await stubs.handed_over(around, count)
+    async def measure(count: int) -> tuple[int, int, int]:
+        async with stubs.StubEnvironment(deployment_settings(), list_entries) as environment:
+            return await stubs.hand_off_costs(environment, count)
 
-    over = [asyncio.run(play(count)) for count in pairs]
-    yield figure(
+    hand_offs = [asyncio.run(measure(count)) for count in connection_counts]
+    yield measurement(
         role,
         "processor time of the process that goes",
         "us",
         "connections standing",
-        pairs,
-        [one[0] / 1000 for one in over],
+        connection_counts,
+        [hand_off[0] / 1000 for hand_off in hand_offs],
     )
-    came = [one[2] for one in over]
-    if len(set(came)) == len(came):
-        yield figure(
+    taken_over = [hand_off[2] for hand_off in hand_offs]
+    if len(set(taken_over)) == len(taken_over):
+        yield measurement(
             role,
             "processor time of the process that comes",
             "us",
             "connections that came over",
-            came,
-            [one[1] / 1000 for one in over],
+            taken_over,
+            [hand_off[1] / 1000 for hand_off in hand_offs],
         )
-    yield Figure(role, "connections that came over", "1", "connections standing", list(pairs), came, False)
-    yield from restarts(quick)
+    yield Measurement(
+        role,
+        "connections that came over",
+        "1",
+        "connections standing",
+        list(connection_counts),
+        taken_over,
+        False,
+    )
+    yield from hot_restarts(quick)
 
 
-def restarts(quick: bool) -> Iterator[Figure]:
-    """How often a process that is started beside one that serves takes over from it."""
-    tries, sizes = (1, (2, 4, 8, 16)) if quick else (TRIES, (2, 100, 600, 1000, 3000))
+def hot_restarts(quick: bool) -> Iterator[Measurement]:
+    """Counts how often a process that is started beside a serving one takes over its listening socket."""
+    tries, sizes = (1, (2, 4, 8, 16)) if quick else (RESTART_TRIES, (2, 100, 600, 1000, 3000))
 
-    async def play(count: int) -> bool:
-        async with stubs.StandIns(deployment(), rows, servers=count) as around:
-            return await stubs.met(around)
+    async def attempt(count: int) -> bool:
+        async with stubs.StubEnvironment(deployment_settings(), list_entries, servers=count) as environment:
+            return await stubs.successor_gets_listening_socket(environment)
 
-    yield Figure(
+    yield Measurement(
         "shutdown",
         f"hot restarts that came about, of {tries}",
         "1",
         "servers",
         list(sizes),
-        [sum(asyncio.run(play(count)) for _ in range(tries)) for count in sizes],
+        [sum(asyncio.run(attempt(count)) for _ in range(tries)) for count in sizes],
         False,
     )
 
 
-def start(quick: bool) -> Iterator[Figure]:
-    sizes = QUICK_SERVERS if quick else SERVER_SIZES
+def start(quick: bool) -> Iterator[Measurement]:
+    """Measures a process that has started, serves and has its list of servers."""
+    sizes = QUICK_SERVER_SIZES if quick else SERVER_SIZES
 
-    async def play(count: int) -> tuple[int, int]:
-        async with stubs.StandIns(deployment(), rows, servers=count) as around:
-            return await stubs.started(around)
+    async def measure(count: int) -> tuple[int, int]:
+        async with stubs.StubEnvironment(deployment_settings(), list_entries, servers=count) as environment:
+            return await stubs.start_costs(environment)
 
-    found = [min(asyncio.run(play(count)) for _ in range(1 if quick else 3)) for count in sizes]
-    yield figure(
+    results = [min(asyncio.run(measure(count)) for _ in range(1 if quick else 3)) for count in sizes]
+    yield measurement(
         "start",
         "processor time until it serves and has its list",
         "us",
         "servers",
         sizes,
-        [one[0] / 1000 for one in found],
+        [result[0] / 1000 for result in results],
     )
-    yield figure("start", "resident memory", "B", "servers", sizes, [one[1] for one in found])
+    yield measurement("start", "resident memory", "B", "servers", sizes, [result[1] for result in results])
 
 
-ROLES: dict[str, Callable[[bool], Iterator[Figure]]] = {
+ROLES: dict[str, Callable[[bool], Iterator[Measurement]]] = {
     "data-path": data_path,
     "discovery-client": discovery_client,
     "discovery-service": discovery_service,
@@ -875,8 +986,8 @@
 # The command.
 
 
-def build() -> str:
-    """The commit that is measured; "unknown" outside a repository."""
+def commit_id() -> str:
+    """Returns the short id of the commit that is measured; "unknown" outside a repository."""
     try:
         return subprocess.run(
             ["git", "rev-parse", "--short", "HEAD"],
@@ -889,35 +1000,45 @@
         return "unknown"
 
 
-def shown(one: Figure) -> str:
-    """A figure as lines of plain text."""
-    head = f"{one.role}: {one.name} [{one.unit}] by {one.of}{', counted' if one.counted else ''}"
-    text = f"{head}\n  " + "  ".join(f"{size}: {value:.6g}" for size, value in zip(one.sizes, one.values))
-    if one.fit:
+def as_text(result: Measurement) -> str:
+    """Formats a measurement as lines of plain text."""
+    head = (
+        f"{result.role}: {result.name} [{result.unit}] by {result.of}{', counted' if result.counted else ''}"
+    )
+    text = f"{head}\n  " + "  ".join(
+        f"{size}: {value:.6g}" for size, value in zip(result.sizes, result.values)
+    )
+    if result.fit:
         text += (
-            f"\n  fit {one.fit.formula()}, error {one.fit.error:.2g}, largest residual {one.fit.residual:.1%}"
+            f"\n  fit {result.fit.formula()}, error {result.fit.error:.2g}, "
+            f"largest residual {result.fit.residual:.1%}"
         )
     return text
 
 
-def plain(one: Figure) -> dict[str, Any]:
-    told = asdict(one)
-    if one.fit:
-        told["fit"] |= {"form": one.fit.form, "formula": one.fit.formula()}
-    return told
+def as_json(result: Measurement) -> dict[str, Any]:
+    """Returns a measurement as an object of the JSON report."""
+    fields = asdict(result)
+    if result.fit:
+        fields["fit"] |= {"form": result.fit.form, "formula": result.fit.formula()}
+    return fields
 
 
 def main(argv: list[str]) -> int:
-    """Run the command; the exit code: 0, 2 for what cannot be done. `argv` is what follows `roles`."""
+    """Runs the command with the arguments after `roles`.
+
+    Returns the exit code: 0, or 2 if a role is unknown or could not be measured.
+    """
     args = docopt(__doc__, argv=["lab", "scale", "roles", *argv])
     names = args["--role"] or list(ROLES)
     if unknown := [name for name in names if name not in ROLES]:
         print(
-            f"bellrack lab scale roles: no role {unknown[0]!r}; there are {', '.join(ROLES)}", file=sys.stderr
+            f"bellrack lab scale roles: no role {unknown[0]!r}; the roles are {', '.join(ROLES)}",
+            file=sys.stderr,
         )
         return 2
     report = {
-        "build": build(),
+        "build": commit_id(),
         "date": datetime.now(UTC).strftime("%Y-%m-%d"),
         "quick": bool(args["--quick"]),
         "figures": [],
@@ -925,10 +1046,10 @@
     }
     for name in names:
         try:
-            for one in ROLES[name](bool(args["--quick"])):
-                report["figures"].append(plain(one))
+            for result in ROLES[name](bool(args["--quick"])):
+                report["figures"].append(as_json(result))
                 if args["--json"] != "-":
-                    print(shown(one), flush=True)
+                    print(as_text(result), flush=True)
         except (stubs.ScaleError, OSError) as error:
             report["not measured"].append({"role": name, "why": str(error)})
             print(f"{name}: not measured: {error}", file=sys.stderr)
