--- a/bellrack/lab/scale/roles.py
+++ b/bellrack/lab/scale/roles.py
@@ -255,7 +255,7 @@
         """Resumes `count` connections, spread evenly over the servers, each in a group of its own."""
         for n in range(count):
             call = Call(self.settings.types[0], self.now, self.now, group=n + 1)
-            leg = Leg(call, servers[n % len(servers)], self.now - 60, standing=True)
+            leg = Leg(call, servers[n % len(servers)], self.now - 60, established=True)
             call.legs.append(leg)
             self.balancer.on_resumed(leg)
 
