--- a/bellrack/lab/scale/real.py
+++ b/bellrack/lab/scale/real.py
@@ -83,7 +83,7 @@
         self.send_line({"OPEN": f"UP {rest.partition(' ')[0]}", "PING": "PONG"}.get(word, "OK"))
 
 
-class Process:
+class BalancerProcess:
     """A real balancer."""
 
     def __init__(self, number: int, listen: tuple[str, int], peer_listen: tuple[str, int]):
@@ -156,7 +156,7 @@
         first = 0 if plan.real_first else plan.balancers
         self.real = list(range(first, first + plan.real))
         self.hollow = [number for number in range(plan.total_balancers) if number not in self.real]
-        self.processes: dict[int, Process] = {}
+        self.processes: dict[int, BalancerProcess] = {}
         self.ears: dict[int, Ear] = {}  # of hollow balancers; of real ones their fronts
         self.senders: dict[tuple[str, int], int] = {}  # numbers, by each address under which one sends
         self.relay: Ear | None = None
@@ -187,7 +187,7 @@
             self.senders[ear.address] = number
         ports = free_ports(len(self.real))
         for number, port in zip(self.real, ports):
-            self.processes[number] = Process(number, (HOST, self.a_port()), (HOST, port))
+            self.processes[number] = BalancerProcess(number, (HOST, self.a_port()), (HOST, port))
             self.senders[HOST, port] = number
         peers = [self.address(number) for number in range(self.plan.total_balancers)]
         self.configuration = configuration_factory(
@@ -263,7 +263,7 @@
         node.start()
         return node
 
-    def told_to(self, process: Process) -> dict[str, Any]:
+    def told_to(self, process: BalancerProcess) -> dict[str, Any]:
         """The configuration of a real one."""
         number = process.number
 
@@ -284,7 +284,7 @@
             "settings": balancer_settings(self.plan, self.zone(number), number),
         }
 
-    async def starts(self, process: Process) -> None:
+    async def starts(self, process: BalancerProcess) -> None:
         await process.start(self.told_to(process))
         await process.ready()
 
@@ -299,13 +299,13 @@
             if lasts:
                 self.start_task(self.returns(process, lasts))
 
-    async def returns(self, process: Process, lasts: float) -> None:
+    async def returns(self, process: BalancerProcess, lasts: float) -> None:
         await process.gone()
         await asyncio.sleep(lasts)
         self.restarts += 1
         await self.starts(process)
 
-    async def client(self, process: Process, index: int) -> None:
+    async def client(self, process: BalancerProcess, index: int) -> None:
         """One that stands for its life and comes again."""
         draw, turn = self.streams[f"client {process.number}-{index}"], 0
         while True:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -396,7 +396,9 @@
                 self.limit_mb = 0.0  # from the second look on
 
     seen = []
-    with mock.patch.object(real.Process, "kill", autospec=True, side_effect=real.Process.kill) as kill:
+    with mock.patch.object(
+        real.BalancerProcess, "kill", autospec=True, side_effect=real.BalancerProcess.kill
+    ) as kill:
         with pytest.raises(ScenarioError, match="stopped"):
             real.play(real_plan(duration=60.0), 1, Mean(), seen.append)
         pids = [call.args[0].process.pid for call in kill.call_args_list]
