--- a/bellrack/lab/scale/stubs.py
+++ b/bellrack/lab/scale/stubs.py
@@ -229,7 +229,7 @@
             )
             if self.any_failed or len(self.server_transports) != self.clients_opened:
                 raise ScaleError(
-                    f"{self.clients_opened} connections requested, {len(self.server_transports)} established"
+                    f"{self.clients_opened} connections requested, {len(self.server_transports)} stand"
                 )
         self.lines_received = 0
 
