--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -405,7 +405,9 @@
                 self.limit_mb = 0.0  # from the second check on
 
     progress = []
-    with mock.patch.object(real.Process, "kill", autospec=True, side_effect=real.Process.kill) as kill:
+    with mock.patch.object(
+        real.BalancerProcess, "kill", autospec=True, side_effect=real.BalancerProcess.kill
+    ) as kill:
         with pytest.raises(ScenarioError, match="stopped"):
             real.play(real_plan(duration=60.0), 1, ShrinkingGuard(), progress.append)
         pids = [call.args[0].process.pid for call in kill.call_args_list]
