--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -248,7 +248,7 @@
 
     with mock.patch.object(subprocess.Popen, "communicate", interrupt), pytest.raises(KeyboardInterrupt):
         run.run_child("run", plan(duration=3600.0), 1, True)
-    assert len(pids) == 1 and gone(pids)  # while this process still runs
+    assert len(pids) == 1 and all_ended(pids)  # while this process still runs
 
 
 def test_failed_child_reports_its_error():
@@ -341,7 +341,7 @@
     finally:
         process.kill()
     assert process.returncode == 130 and b"interrupted" in errors and b"Traceback" not in errors
-    assert gone(started)
+    assert all_ended(started)
 
 
 def real_plan(**changes):
@@ -437,4 +437,4 @@
     finally:
         process.kill()
     assert process.returncode == 130 and b"interrupted" in errors and b"Traceback" not in errors
-    assert gone(started)
+    assert all_ended(started)
