--- a/bellrack/lab/discovery_model.py
+++ b/bellrack/lab/discovery_model.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from bellrack import model
-from bellrack.lab.event_queue import NEWS, TROUBLE
+from bellrack.lab.event_queue import LIST_UPDATE, TROUBLE
 
 if TYPE_CHECKING:
     from bellrack.lab.machine import Machine
@@ -46,9 +46,9 @@
             for node in list(self.watching):
                 self.tell(node, [machine], False)
         within = self.world.scenario.rules.ask_within
-        self.world.event_queue.schedule_after(within, NEWS, self.counts, machine, state, since, False)
+        self.world.event_queue.schedule_after(within, LIST_UPDATE, self.counts, machine, state, since, False)
         self.world.event_queue.schedule_after(
-            AFTER_FAILURE * within, NEWS, self.counts, machine, state, since, True
+            AFTER_FAILURE * within, LIST_UPDATE, self.counts, machine, state, since, True
         )
 
     def counts(self, machine: Machine, state: str, since: float, even_so: bool) -> None:
@@ -67,7 +67,7 @@
         node.line_at = max(node.line_at, self.world.now + wait)
         rows = [(machine, *self.known[machine]) for machine in machines]
         self.lines += len(rows)
-        self.world.event_queue.schedule_at(node.line_at, NEWS, node.apply_list, rows, whole)
+        self.world.event_queue.schedule_at(node.line_at, LIST_UPDATE, node.apply_list, rows, whole)
 
     def rows(self) -> list[tuple[Machine, str, float]]:
         return [(machine, *known) for machine, known in self.known.items()]
@@ -77,7 +77,7 @@
             self.watching.pop(node, None)
         elif self.down:
             self.world.event_queue.schedule_after(
-                self.world.client_delay() * 2, NEWS, node.on_discovery_failure
+                self.world.client_delay() * 2, LIST_UPDATE, node.on_discovery_failure
             )
         elif node not in self.watching:
             self.watching[node] = None
@@ -86,7 +86,7 @@
     def fetch(self, node: VirtualNode) -> None:
         if self.down:
             self.world.event_queue.schedule_after(
-                self.world.client_delay() * 2, NEWS, node.on_discovery_failure
+                self.world.client_delay() * 2, LIST_UPDATE, node.on_discovery_failure
             )
         else:
             self.tell(node, list(self.known), True)
@@ -98,7 +98,7 @@
             watching, self.watching = list(self.watching), {}
             for node in watching:
                 self.world.event_queue.schedule_after(
-                    self.world.client_delay(), NEWS, node.on_discovery_failure
+                    self.world.client_delay(), LIST_UPDATE, node.on_discovery_failure
                 )
 
 
--- a/bellrack/lab/legs.py
+++ b/bellrack/lab/legs.py
@@ -22,7 +22,7 @@
 CONNECT, LINE = 2, 3  # one-way delays until a connection is up, and until its first line has come
 
 
-class Setups:
+class ServerLegs:
     """Set-ups and standing connections at the servers. A face defines how results reach a balancer:
     `report_result`, `report_up`, `report_end`."""
 
@@ -196,7 +196,7 @@
         self.report_end(leg_record, False)
 
 
-class Legs(Setups):
+class Legs(ServerLegs):
     """On virtual time."""
 
     def goes(self, leg_record: LegRecord, until: float) -> None:
--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -26,8 +26,8 @@
 from bellrack.lab import run as runs
 from bellrack.lab import scenario as forms
 from bellrack.lab.clients import Attempt
-from bellrack.lab.event_queue import ARRIVAL, LOOK, RESULT, START, EventQueue
-from bellrack.lab.legs import Setups
+from bellrack.lab.event_queue import ARRIVAL, RESULT, SAMPLE, START, EventQueue
+from bellrack.lab.legs import ServerLegs
 from bellrack.lab.machine import Machine
 from bellrack.lab.node import BalancerRecord, LegRecord
 from bellrack.lab.rule_checker import RuleChecker
@@ -41,7 +41,7 @@
     ServerConnection,
     free_ports,
 )
-from bellrack.lab.world import DATAGRAM, REORDERED, World
+from bellrack.lab.world import MAX_DATAGRAM_BYTES, REORDER_DELAY_FACTOR, World
 
 A_PAIR = 2  # descriptors of ours for a standing connection: its client's and its server's
 SPARE = 256  # descriptors kept for all else
@@ -330,7 +330,7 @@
         return leg_record
 
 
-class LiveLegs(Setups):
+class LiveLegs(ServerLegs):
     """Set-ups at servers behind sockets."""
 
     world: LiveWorld
@@ -514,9 +514,11 @@
         self.counters["datagrams"] += 1
         self.counters["datagram_bytes"] += len(data)
         way = self.nodes[relay.sender].zone, self.nodes[relay.receiver].zone
-        if len(data) > DATAGRAM or stream.bernoulli(form.loss) or way in self.partitioned:
+        if len(data) > MAX_DATAGRAM_BYTES or stream.bernoulli(form.loss) or way in self.partitioned:
             return
-        wait = stream.uniform_between(form.delay) * (REORDERED if stream.bernoulli(form.reorder) else 1)
+        wait = stream.uniform_between(form.delay) * (
+            REORDER_DELAY_FACTOR if stream.bernoulli(form.reorder) else 1
+        )
         back = self.relays[relay.receiver, relay.sender].transport
         for _ in range(1 + stream.bernoulli(form.twice)):
             self.event_queue.schedule_after(
@@ -586,7 +588,7 @@
 
     def on_hang(self, machine: Machine) -> None:
         super().on_hang(machine)
-        self.event_queue.schedule_at(machine.hung_until, LOOK, self.speaks_again, machine)
+        self.event_queue.schedule_at(machine.hung_until, SAMPLE, self.speaks_again, machine)
 
     def speaks_again(self, machine: Machine) -> None:
         for line in list(self.server_lines[machine]):
@@ -630,7 +632,7 @@
         self.unix = time.time() - START
         self.event_queue.begin()
         self.schedule_start()
-        self.event_queue.schedule_at(START, LOOK, self.look_at_self, self.loop.time())
+        self.event_queue.schedule_at(START, SAMPLE, self.look_at_self, self.loop.time())
         end = self.event_queue.begun + self.scenario.length + self.scenario.tail
         while self.loop.time() < end and not self.failure.done():
             await asyncio.wait([self.failure], timeout=min(0.5, max(0.0, end - self.loop.time())))
@@ -651,7 +653,7 @@
     def look_at_self(self, due: float) -> None:
         """How late is our own loop?"""
         self.lag = max(self.lag, self.loop.time() - due)
-        self.event_queue.schedule_after(LAG_EACH, LOOK, self.look_at_self, self.loop.time() + LAG_EACH)
+        self.event_queue.schedule_after(LAG_EACH, SAMPLE, self.look_at_self, self.loop.time() + LAG_EACH)
 
     async def finish(self) -> None:
         """End all that was started, whatever has happened."""
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -11,7 +11,7 @@
 
 from bellrack import model
 from bellrack.accounting import Accounting
-from bellrack.lab.event_queue import ARRIVAL, NEWS, RESULT, TIMER
+from bellrack.lab.event_queue import ARRIVAL, LIST_UPDATE, RESULT, TIMER
 from bellrack.model import Call, Leg, Result, Server, Settings
 from bellrack.net import shutdown
 
@@ -183,8 +183,8 @@
         self.balancer.on_timer(what)
 
     def log(self, text: str) -> None:
-        if len(self.world.logged) < LOGGED:
-            self.world.logged.append((self.now, self.name, text))
+        if len(self.world.log_lines) < LOGGED:
+            self.world.log_lines.append((self.now, self.name, text))
 
     # What happens to it.
 
@@ -302,7 +302,7 @@
         self.discovery_failed = True
         self.turn(self.balancer.on_discovery_failed)
         if self.alive and not self.settings.asks:
-            self.world.event_queue.schedule_after(WATCH_AGAIN, NEWS, self.turn, self.watch)
+            self.world.event_queue.schedule_after(WATCH_AGAIN, LIST_UPDATE, self.turn, self.watch)
 
     # Its beginning and its end.
 
--- a/bellrack/lab/run.py
+++ b/bellrack/lab/run.py
@@ -17,7 +17,7 @@
 from bellrack.lab import baselines
 from bellrack.lab.rule_checker import Breach, RuleChecker
 from bellrack.lab.scenario import Scenario, ScenarioError, balancer_names, parse_scenario, server_names
-from bellrack.lab.service_record import time_of
+from bellrack.lab.service_record import seconds_since_start
 from bellrack.lab.world import World
 
 VERSION = 1  # of the result's form
@@ -67,7 +67,9 @@
             "kept": not count,
             "breaches": count,
             "first": [
-                {"at": time_of(b.at), "what": b.what, "call": b.call} for b in breaches if b.rule == rule
+                {"at": seconds_since_start(b.at), "what": b.what, "call": b.call}
+                for b in breaches
+                if b.rule == rule
             ][:SHOWN],
         }
         for rule, count in rule_checker.counts.items()
@@ -130,7 +132,7 @@
             for trouble in scenario.trouble
         ],
         "servers": [machine.name for machine in world.machines],
-        "log": [[time_of(at), name, text] for at, name, text in world.logged],
+        "log": [[seconds_since_start(at), name, text] for at, name, text in world.log_lines],
     }
 
 
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bellrack.lab.event_queue import NEWS, RESULT, START, TIMER, EventQueue
+from bellrack.lab.event_queue import LIST_UPDATE, RESULT, START, TIMER, EventQueue
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.discovery_stub import CountedWatch, DiscoveryStub
 from bellrack.lab.scale.guard import MemoryGuard
@@ -243,7 +243,7 @@
         node = getattr(question, "node", question)
         zone = self.zone(node.number)
         if isinstance(question, LeanBalancer):
-            self.loop.schedule_after(2 * self.delay(zone, 0), NEWS, self.lean_watch, question)
+            self.loop.schedule_after(2 * self.delay(zone, 0), LIST_UPDATE, self.lean_watch, question)
             return
         ours, theirs = Stream(self, question, zone), Stream(self, CountedWatch(self.discovery_stub), 0)
         ours.other, theirs.other = theirs, ours
@@ -261,7 +261,7 @@
         when = self.now + self.delay(one, other)
         if self.partitioned(one, other):
             when += max(self.cut_until.get(self.region(zone), 0.0) for zone in (one, other)) - self.now
-        self.loop.schedule_at(when, NEWS, what, *values)
+        self.loop.schedule_at(when, LIST_UPDATE, what, *values)
 
     def lean_watch(self, node: LeanBalancer) -> None:
         if node.alive and node is self.nodes[node.number]:
@@ -273,7 +273,9 @@
         count = len(line) + len(b"%x\r\n\r\n" % len(line))
         self.discovery_stub.measurements.bytes_out += count
         self.discovery_stub.measurements.lines += 1
-        self.loop.schedule_after(self.delay(0, self.zone(node.number)), NEWS, node.queue, node.takes, count)
+        self.loop.schedule_after(
+            self.delay(0, self.zone(node.number)), LIST_UPDATE, node.queue, node.takes, count
+        )
 
     def tell_change(self, number: int, state: str) -> None:
         line = self.discovery_stub.change(number, state)
--- a/bellrack/lab/service_record.py
+++ b/bellrack/lab/service_record.py
@@ -142,6 +142,6 @@
         }
 
 
-def time_of(now: float) -> float:
+def seconds_since_start(now: float) -> float:
     """Seconds since the run began, for people."""
     return round(now - START, 6)
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -15,8 +15,8 @@
 from bellrack.lab import scenario as forms
 from bellrack.lab.clients import Attempt, Clients
 from bellrack.lab.discovery_model import DiscoveryModel, Front
-from bellrack.lab.event_queue import LOOK, RESULT, START, TROUBLE, EventQueue
-from bellrack.lab.legs import Legs, Setups
+from bellrack.lab.event_queue import RESULT, SAMPLE, START, TROUBLE, EventQueue
+from bellrack.lab.legs import Legs, ServerLegs
 from bellrack.lab.machine import Machine, SessionStore
 from bellrack.lab.node import LegRecord, VirtualNode
 from bellrack.lab.scenario import Scenario
@@ -29,14 +29,14 @@
 
 NOTICE = 1 / 3  # of the shortest message aim: delays beyond it are told
 NOTICES = 1.0  # seconds between them
-DATAGRAM = 256  # bytes
-REORDERED = 10  # times as long on its way as others
+MAX_DATAGRAM_BYTES = 256  # bytes
+REORDER_DELAY_FACTOR = 10  # times as long on its way as others
 LOTS = 64  # orders of servers among which those without a group are dealt out
 GATHER = 1.25  # standing connections lie with their groups, no server this far over the mean
 
 
 class World:
-    legs_class: type[Setups] = Legs
+    legs_class: type[ServerLegs] = Legs
 
     def __init__(
         self,
@@ -48,7 +48,7 @@
         self.scenario, self.seed = scenario, seed
         self.streams, self.event_queue, self.trace = RandomStreams(seed), event_queue or EventQueue(), Trace()
         self.counters: Counter = Counter()
-        self.logged: list[tuple[float, str, str]] = []
+        self.log_lines: list[tuple[float, str, str]] = []
         self.jitter, self.down_since = self.streams["net"], {}
         self.machines = self.make_machines()
         self.marks = {machine: lines.id_hash(machine.name) for machine in self.machines}
@@ -149,8 +149,8 @@
         for trouble in self.scenario.trouble:
             self.event_queue.schedule_at(START + trouble.at, TROUBLE, self.begin_trouble, trouble)
         self.clients.begin()
-        self.event_queue.schedule_at(START + EACH, LOOK, self.look)
-        self.event_queue.schedule_at(START + NOTICES, LOOK, self.notices)
+        self.event_queue.schedule_at(START + EACH, SAMPLE, self.look)
+        self.event_queue.schedule_at(START + NOTICES, SAMPLE, self.notices)
 
     def create_standing_connections(self) -> None:
         """Connections that stood before: in their zones, with their groups, no server far over the mean."""
@@ -199,7 +199,7 @@
             self.answers.append(
                 {how: self.counters[how] for how in ("completed", "rejected", "released", "gave_up")}
             )
-        self.event_queue.schedule_after(EACH, LOOK, self.look)
+        self.event_queue.schedule_after(EACH, SAMPLE, self.look)
 
     def notices(self) -> None:
         """Servers tell late messages once a second, on one connection of each balancer."""
@@ -219,7 +219,7 @@
                         )
             self.late[machine] = late
         if self.now < START + self.scenario.length + self.scenario.tail:
-            self.event_queue.schedule_after(NOTICES, LOOK, self.notices)
+            self.event_queue.schedule_after(NOTICES, SAMPLE, self.notices)
 
     def report_delay(self, leg_record: LegRecord, delay: float) -> None:
         if not leg_record.over:
@@ -235,7 +235,7 @@
     def post(self, sender: VirtualNode, peer: int | None, data: bytes) -> None:
         """A datagram to one balancer or to all others."""
         form, stream = self.scenario.datagrams, self.streams["datagrams"]
-        if not form.allowed or len(data) > DATAGRAM:
+        if not form.allowed or len(data) > MAX_DATAGRAM_BYTES:
             self.counters["datagrams_refused"] += 1
             return
         for number in range(len(self.nodes)) if peer is None else (peer,):
@@ -245,7 +245,7 @@
             self.counters["datagram_bytes"] += len(data)
             for _ in range(1 + stream.bernoulli(form.twice)):
                 wait = stream.uniform_between(form.delay) * (
-                    REORDERED if stream.bernoulli(form.reorder) else 1
+                    REORDER_DELAY_FACTOR if stream.bernoulli(form.reorder) else 1
                 )
                 lost = stream.bernoulli(form.loss)
                 if not lost and (sender.zone, self.nodes[number].zone) not in self.partitioned:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,7 @@
 from bellrack import model
 from bellrack.lab import baselines, cli, experiment, run
 from bellrack.lab.clients import Clients
-from bellrack.lab.event_queue import ARRIVAL, GUARD, NEWS, RESULT, START, TIMER, TROUBLE, EventQueue
+from bellrack.lab.event_queue import ARRIVAL, GUARD, LIST_UPDATE, RESULT, START, TIMER, TROUBLE, EventQueue
 from bellrack.lab.mutants import MUTANTS, lists_all
 from bellrack.lab.rule_checker import RuleChecker
 from bellrack.lab.scenario import ScenarioError, parse_scenario, with_value
@@ -71,15 +71,17 @@
 
 def test_events_at_one_instant_go_by_rank_and_then_in_order():
     event_queue, seen = EventQueue(), []
-    for rank in (GUARD, TIMER, ARRIVAL, RESULT, NEWS, TROUBLE):
+    for rank in (GUARD, TIMER, ARRIVAL, RESULT, LIST_UPDATE, TROUBLE):
         for turn in "ab":
             event_queue.schedule_at(START + 1, rank, seen.append, (rank, turn))
     event_queue.schedule_at(
-        START + 1, TIMER, lambda: event_queue.schedule_after(0, NEWS, seen.append, "put down meanwhile")
+        START + 1,
+        TIMER,
+        lambda: event_queue.schedule_after(0, LIST_UPDATE, seen.append, "put down meanwhile"),
     )
     event_queue.run(START + 1)
     assert [one for one in seen if one != "put down meanwhile"] == [
-        (rank, turn) for rank in (TROUBLE, NEWS, RESULT, ARRIVAL, TIMER, GUARD) for turn in "ab"
+        (rank, turn) for rank in (TROUBLE, LIST_UPDATE, RESULT, ARRIVAL, TIMER, GUARD) for turn in "ab"
     ]
     assert seen.index("put down meanwhile") == seen.index((GUARD, "a")) - 1  # before whatever comes later
 
