--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -111,11 +111,11 @@
                 machine.group_cost if demand.group and demand.group not in machine.groups else 0
             )
             coming, can = machine.setups * world.scenario.load.mean, machine.capacity(now)
-            if machine.warm(now) < 1:
-                recent = sum(at > now - world.scenario.rules.push_window for at in machine.aimed)
+            if machine.warm_share(now) < 1:
+                recent = sum(at > now - world.scenario.rules.push_window for at in machine.sent_recently)
                 if world.scenario.overloads_cold_server((recent + 1) / SPARE, machine.kind, can):
                     continue
-            full = (machine.demand + coming + extra) / can + machine.piled(now)
+            full = (machine.demand + coming + extra) / can + machine.queueing_delay(now)
             if full < BRIM:
                 # With room enough, what it adds to the fleet's work counts; then where it is least felt.
                 away = CROSSING * (machine.zone != call.host_record.node.zone)
--- a/bellrack/lab/clients.py
+++ b/bellrack/lab/clients.py
@@ -9,7 +9,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from bellrack.lab.event_queue import ARRIVAL, GUARD, START
+from bellrack.lab.event_queue import ARRIVAL, GUARD_TIME, START
 from bellrack.lab.streams import cumulative_sums
 
 if TYPE_CHECKING:
@@ -17,8 +17,8 @@
     from bellrack.lab.world import World
     from bellrack.model import Call
 
-UNREACHED = 0.05  # seconds until a client knows that no balancer takes its connection
-LATEST = 1e9  # an end that never comes
+UNREACHED_SECONDS = 0.05  # seconds until a client knows that no balancer takes its connection
+NEVER_SECONDS = 1e9  # an end that never comes
 
 
 class Demand:
@@ -87,7 +87,7 @@
 
 class Clients:
     def __init__(self, world: World):
-        self.world, self.form = world, world.scenario.clients
+        self.world, self.config = world, world.scenario.clients
         scenario = world.scenario
         self.arrivals, self.kinds, self.loads = (world.streams[c] for c in ("arrivals", "kinds", "loads"))
         self.habits, self.waits = world.streams["habits"], world.streams["waits"]
@@ -105,17 +105,17 @@
     # Coming.
 
     def begin(self) -> None:
-        if self.form.rate:
+        if self.config.rate:
             self.next_arrival()
 
     def next_arrival(self) -> None:
-        wait = self.arrivals.exponential(1 / (self.form.rate * self.burst))
+        wait = self.arrivals.exponential(1 / (self.config.rate * self.burst))
         if self.world.now + wait < START + self.world.scenario.length:
-            self.world.event_queue.schedule_after(wait, ARRIVAL, self.comes)
+            self.world.event_queue.schedule_after(wait, ARRIVAL, self.on_arrival)
 
-    def comes(self) -> None:
+    def on_arrival(self) -> None:
         self.next_arrival()
-        self.tries(self.new_demand())
+        self.connect(self.new_demand())
 
     def new_demand(self) -> Demand:
         """A new demand, due now."""
@@ -130,18 +130,18 @@
         demand.group = self.kinds.weighted_index(self.groups) + 1 if self.groups else 0
         demand.key = self.kinds.draw_seed()
         kind = scenario.type[demand.type]
-        demand.ends = world.now + self.kinds.exponential(self.form.life * kind.life)
+        demand.ends = world.now + self.kinds.exponential(self.config.life * kind.life)
         demand.load = scenario.load.mean * kind.load * self.loads.log_normal(scenario.load.spread)
         demand.heavy = self.loads.uniform()  # which of dear calls it is among, whatever the troubles
         demand.load *= math.prod(trouble.factor for trouble in self.dear if self.is_dear(demand, trouble))
         demand.never, demand.honours = (
-            self.habits.bernoulli(self.form.never),
-            self.habits.bernoulli(self.form.honours),
+            self.habits.bernoulli(self.config.never),
+            self.habits.bernoulli(self.config.honours),
         )
         demand.failed_since = world.now
         self.demands[demand] = None
         world.service_record.add_demand(demand, 1)
-        world.event_queue.schedule_at(min(demand.ends, LATEST), GUARD, self.leaves, demand)
+        world.event_queue.schedule_at(min(demand.ends, NEVER_SECONDS), GUARD_TIME, self.end_demand, demand)
         return demand
 
     def is_dear(self, demand: Demand, trouble) -> bool:
@@ -153,24 +153,24 @@
         )
         return named and demand.heavy < trouble.share
 
-    def tries(self, demand: Demand) -> None:
+    def connect(self, demand: Demand) -> None:
         """Connect to the balancer that the front deals out."""
         if demand.over or demand.attempt:
             return
         world, kind = self.world, self.world.scenario.type[demand.type]
         node = world.front.choose(demand.zone)
         if node is None:
-            self.failed(demand, None, 0.0)
+            self.attempt_failed(demand, None, 0.0)
             return
         self.calls += 1
         delay = world.client_delay() + (
             0 if node.zone == demand.zone else world.delay(demand.zone, node.zone)
         )
         attempt = demand.attempt = Attempt(self.calls, demand, node, world.now, world.now + kind.guard, delay)
-        world.event_queue.schedule_after(delay, ARRIVAL, self.reaches, attempt)
-        world.event_queue.schedule_at(attempt.guard, GUARD, self.gives_up, attempt)
+        world.event_queue.schedule_after(delay, ARRIVAL, self.on_reached, attempt)
+        world.event_queue.schedule_at(attempt.guard, GUARD_TIME, self.on_guard_time, attempt)
 
-    def reaches(self, attempt: Attempt) -> None:
+    def on_reached(self, attempt: Attempt) -> None:
         if not attempt.node.alive:
             attempt.on_answer("unreached", 0.0)
         else:
@@ -186,21 +186,21 @@
         if demand.over or demand.attempt is not attempt:
             return
         if how == "completed":
-            self.world.service_record.came_up(demand, self.world.now - demand.failed_since)
+            self.world.service_record.record_setup_time(demand, self.world.now - demand.failed_since)
             demand.tries = 0
             return
-        self.failed(demand, attempt, wait)
+        self.attempt_failed(demand, attempt, wait)
 
-    def gives_up(self, attempt: Attempt) -> None:
+    def on_guard_time(self, attempt: Attempt) -> None:
         """Its guard time is up and it has heard nothing."""
         if attempt.outcome or attempt.demand.attempt is not attempt:
             return
         attempt.outcome = "gave up"
         self.world.counters["gave_up"] += 1
-        self.hangs_up(attempt)
-        self.failed(attempt.demand, attempt, 0.0)
+        self.close_connection(attempt)
+        self.attempt_failed(attempt.demand, attempt, 0.0)
 
-    def failed(self, demand: Demand, attempt: Attempt | None, wait: float) -> None:
+    def attempt_failed(self, demand: Demand, attempt: Attempt | None, wait: float) -> None:
         demand.attempt = None
         if demand.over:
             return
@@ -215,25 +215,25 @@
             and world.now < demand.due + kind.remembered
         )
         demand.tries += 1
-        if not demand.never and harmless and demand.tries <= self.form.retries:
-            back = self.waits.uniform_between(self.form.backoff)
+        if not demand.never and harmless and demand.tries <= self.config.retries:
+            back = self.waits.uniform_between(self.config.backoff)
             if how == "rejected" and wait and demand.honours:
                 back = wait + back
             if how in ("none", "unreached"):
-                back = max(back, UNREACHED)
-            world.event_queue.schedule_after(back, ARRIVAL, self.tries, demand)
-        elif self.form.again[1] and not demand.never:
+                back = max(back, UNREACHED_SECONDS)
+            world.event_queue.schedule_after(back, ARRIVAL, self.connect, demand)
+        elif self.config.again[1] and not demand.never:
             demand.tries = 0
             world.event_queue.schedule_after(
-                max(wait, self.waits.uniform_between(self.form.again)), ARRIVAL, self.anew, demand
+                max(wait, self.waits.uniform_between(self.config.again)), ARRIVAL, self.new_request, demand
             )
 
-    def anew(self, demand: Demand) -> None:
+    def new_request(self, demand: Demand) -> None:
         """A new request for the same demand."""
         if not demand.over and not demand.attempt:
             self.requests += 1
             demand.request, demand.due = self.requests, self.world.now
-            self.tries(demand)
+            self.connect(demand)
 
     def on_connection_end(self, attempt: Attempt, how: str) -> None:
         """The connection ended, with MOVE or without."""
@@ -248,22 +248,22 @@
         if demand.over:
             return
         if not standing:
-            self.failed(demand, attempt, 0.0)
+            self.attempt_failed(demand, attempt, 0.0)
             return
         demand.returned, demand.tries, demand.failed_since = True, 0, self.world.now
         self.requests += 1
         demand.request, demand.due = self.requests, self.world.now
         self.world.event_queue.schedule_after(
-            self.waits.uniform_between(self.form.rejoin), ARRIVAL, self.tries, demand
+            self.waits.uniform_between(self.config.rejoin), ARRIVAL, self.connect, demand
         )
 
-    def hangs_up(self, attempt: Attempt, kind: str = "cancelled") -> None:
+    def close_connection(self, attempt: Attempt, kind: str = "cancelled") -> None:
         node = attempt.node
         self.world.event_queue.schedule_after(
             attempt.delay, ARRIVAL, node.turn, node.on_client_closed, attempt, kind
         )
 
-    def leaves(self, demand: Demand) -> None:
+    def end_demand(self, demand: Demand) -> None:
         """The demand is over, served to its end or not."""
         demand.over = True
         del self.demands[demand]
@@ -273,9 +273,9 @@
             if attempt.outcome == "completed":
                 self.world.trace.add(self.world.now, "over", attempt.id, "left")
             attempt.outcome = attempt.outcome or "left"
-            self.hangs_up(attempt, "completed")
+            self.close_connection(attempt, "completed")
 
-    def drops(self, share: float, zone: int | None) -> None:
+    def drop_clients(self, share: float, zone: int | None) -> None:
         """So many clients drop at once and come again."""
         stream = self.world.streams["drops"]
         for demand in list(self.demands):
@@ -286,5 +286,5 @@
                 and attempt.outcome == "completed"
                 and zone in (None, demand.zone)
             ):
-                self.hangs_up(attempt, "completed")
+                self.close_connection(attempt, "completed")
                 self.on_connection_end(attempt, "dropped")
--- a/bellrack/lab/cold.py
+++ b/bellrack/lab/cold.py
@@ -102,9 +102,11 @@
 class SimulatedHost(Accounting):
     """One balancer, and the Host through which it acts on the start that is played."""
 
-    def __init__(self, play: Play, number: int, settings: Settings, seed: int, decides: Callable[..., Any]):
+    def __init__(
+        self, play: Play, number: int, settings: Settings, seed: int, balancer_class: Callable[..., Any]
+    ):
         self.play, self.number = play, number
-        super().__init__(settings, seed, play.now, decides)
+        super().__init__(settings, seed, play.now, balancer_class)
 
     def turn(self, what: Callable, *values: Any) -> None:
         self.now = self.play.now
@@ -175,7 +177,7 @@
 class Play:
     """A start from its first moment to its fall, or to the end of the ramp."""
 
-    def __init__(self, start: Start, decides: Callable[..., Any] = Balancer):
+    def __init__(self, start: Start, balancer_class: Callable[..., Any] = Balancer):
         self.start, self.chance, self.now = start, Random(f"{start.seed} play"), 1000.0
         self.heap: list[tuple[float, int, Callable, tuple]] = []
         self.events = 0
@@ -207,7 +209,7 @@
                 **vars(rules)
                 | {"number": number, "zone": number % 2, "may_publish": start.tells and start.balancers > 2}
             )
-            self.hosts.append(SimulatedHost(self, number, mine, self.chance.getrandbits(62), decides))
+            self.hosts.append(SimulatedHost(self, number, mine, self.chance.getrandbits(62), balancer_class))
 
     def at(self, when: float, what: Callable, *values: Any) -> None:
         self.events += 1
@@ -328,9 +330,9 @@
         return self
 
 
-def play_start(start: Start, decides: Callable[..., Any] = Balancer) -> dict[str, Any]:
+def play_start(start: Start, balancer_class: Callable[..., Any] = Balancer) -> dict[str, Any]:
     """How near it came: requests in the worst window over the limit then, and whether a server fell."""
-    play = Play(start, decides).run()
+    play = Play(start, balancer_class).run()
     return {
         "start": asdict(start),
         "fell": play.fell,
--- a/bellrack/lab/discovery_model.py
+++ b/bellrack/lab/discovery_model.py
@@ -16,26 +16,26 @@
     from bellrack.lab.node import VirtualNode
     from bellrack.lab.world import World
 
-AFTER_FAILURE = 4  # times as long counts a change as untold to a balancer whose question has failed
-FIRST_LINE = 0.002  # seconds that the service takes for an answer
+FAILED_REQUEST_FACTOR = 4  # times as long counts a change as untold to a balancer whose question has failed
+RESPONSE_SECONDS = 0.002  # seconds that the service takes for an answer
 
 
 class DiscoveryModel:
     """Servers as discovery knows them: late, and by their processes alone."""
 
     def __init__(self, world: World):
-        self.world, self.form, self.stream = world, world.scenario.listing, world.streams["list"]
+        self.world, self.config, self.stream = world, world.scenario.listing, world.streams["list"]
         self.known: dict[Machine, tuple[str, float]] = dict.fromkeys(world.machines, (model.READY, 0.0))
-        self.due: dict[Machine, float] = {}  # when the last change of each is known
+        self.notice_due: dict[Machine, float] = {}  # when the last change of each is known
         self.down = 0  # outages that last
         self.watching: dict[VirtualNode, None] = {}
         self.lines = 0
 
     def change(self, machine: Machine, state: str, since: float, silent: bool = False) -> None:
         """It happened; the service learns of it later, of changes to one server in their order."""
-        notice = self.stream.uniform_between(self.form.silent_notice if silent else self.form.notice)
-        when = max(self.world.now + notice, self.due.get(machine, 0.0))
-        self.due[machine] = when
+        notice = self.stream.uniform_between(self.config.silent_notice if silent else self.config.notice)
+        when = max(self.world.now + notice, self.notice_due.get(machine, 0.0))
+        self.notice_due[machine] = when
         self.world.event_queue.schedule_at(when, TROUBLE, self.learn, machine, state, since)
 
     def learn(self, machine: Machine, state: str, since: float) -> None:
@@ -44,30 +44,32 @@
         self.known[machine] = state, since
         if not self.down:
             for node in list(self.watching):
-                self.tell(node, [machine], False)
+                self.send_update(node, [machine], False)
         within = self.world.scenario.rules.ask_within
-        self.world.event_queue.schedule_after(within, LIST_UPDATE, self.counts, machine, state, since, False)
         self.world.event_queue.schedule_after(
-            AFTER_FAILURE * within, LIST_UPDATE, self.counts, machine, state, since, True
+            within, LIST_UPDATE, self.count_as_told, machine, state, since, False
+        )
+        self.world.event_queue.schedule_after(
+            FAILED_REQUEST_FACTOR * within, LIST_UPDATE, self.count_as_told, machine, state, since, True
         )
 
-    def counts(self, machine: Machine, state: str, since: float, even_so: bool) -> None:
+    def count_as_told(self, machine: Machine, state: str, since: float, after_failure: bool) -> None:
         """One that neither watches nor asks counts as told: it can't plead that it never heard. `even_so`:
         also one that has asked in vain."""
         if self.known[machine] == (state, since):
             for node in self.world.nodes:
-                deaf = node not in self.watching and (even_so or not node.discovery_failed)
+                deaf = node not in self.watching and (after_failure or not node.discovery_failed)
                 if node.alive and deaf and node.told.get(machine) != (state, since):
                     node.record_told(machine, state, since)
 
-    def tell(self, node: VirtualNode, machines: list[Machine], whole: bool) -> None:
+    def send_update(self, node: VirtualNode, machines: list[Machine], whole: bool) -> None:
         """Each balancer's line has its own delay; lines to one of them stay in order."""
         node.discovery_failed = False
-        wait = FIRST_LINE + self.world.client_delay() + self.form.spread * self.stream.uniform()
-        node.line_at = max(node.line_at, self.world.now + wait)
+        wait = RESPONSE_SECONDS + self.world.client_delay() + self.config.spread * self.stream.uniform()
+        node.last_arrival = max(node.last_arrival, self.world.now + wait)
         rows = [(machine, *self.known[machine]) for machine in machines]
         self.lines += len(rows)
-        self.world.event_queue.schedule_at(node.line_at, LIST_UPDATE, node.apply_list, rows, whole)
+        self.world.event_queue.schedule_at(node.last_arrival, LIST_UPDATE, node.apply_list, rows, whole)
 
     def rows(self) -> list[tuple[Machine, str, float]]:
         return [(machine, *known) for machine, known in self.known.items()]
@@ -81,7 +83,7 @@
             )
         elif node not in self.watching:
             self.watching[node] = None
-            self.tell(node, list(self.known), True)
+            self.send_update(node, list(self.known), True)
 
     def fetch(self, node: VirtualNode) -> None:
         if self.down:
@@ -89,9 +91,9 @@
                 self.world.client_delay() * 2, LIST_UPDATE, node.on_discovery_failure
             )
         else:
-            self.tell(node, list(self.known), True)
+            self.send_update(node, list(self.known), True)
 
-    def fail(self, down: bool) -> None:
+    def set_outage(self, down: bool) -> None:
         """An outage begins or ends; watches end with it, and each balancer is told that at once."""
         self.down += 1 if down else -1
         if down:
--- a/bellrack/lab/event_queue.py
+++ b/bellrack/lab/event_queue.py
@@ -13,7 +13,7 @@
 
 # Of events at the same microsecond: the world changes before anybody hears of it, list changes go first in a
 # turn as they do on sockets, an answer that comes at the guard time has come in time, and looks come last.
-TROUBLE, LIST_UPDATE, RESULT, ARRIVAL, TIMER, GUARD, SAMPLE = range(7)
+TROUBLE, LIST_UPDATE, RESULT, ARRIVAL, TIMER, GUARD_TIME, SAMPLE = range(7)
 
 
 class EventQueue:
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -20,9 +20,9 @@
     from bellrack.lab.machine import Machine
     from bellrack.lab.world import World
 
-LOGGED = 200  # log lines of the decisions that a run keeps
-WATCH_AGAIN = 1.0  # seconds until a watch that ended stands again, where changes come unasked
-SILENT = (4.5, 5.5)  # seconds after a server's last word when what stands there is moved on
+MAX_LOG_LINES = 200  # log lines of the decisions that a run keeps
+WATCH_RETRY_SECONDS = 1.0  # seconds until a watch that ended stands again, where changes come unasked
+SILENCE_SECONDS = (4.5, 5.5)  # seconds after a server's last word when what stands there is moved on
 
 
 class LegRecord:
@@ -61,7 +61,7 @@
         self.incarnation, self.alive, self.shutting_down = incarnation, True, False
         self.told: dict[Machine, tuple[str, float]] = {}
         self.discovery_failed = False  # its last question to discovery failed
-        self.line_at = 0.0  # when the last line of the list arrives
+        self.last_arrival = 0.0  # when the last line of the list arrives
         self.attempts: dict[Attempt, None] = {}  # calls here that are not over
 
     def record_told(self, machine: Machine, state: str, since: float) -> None:
@@ -103,11 +103,11 @@
         incarnation: int,
         settings: Settings,
         seed: int,
-        decides: Callable[..., Any],
+        balancer_class: Callable[..., Any],
     ):
         BalancerRecord.__init__(self, world, name, number, zone, incarnation)
         self.machines: dict[int, Machine] = {}  # by mark
-        Accounting.__init__(self, settings, seed, world.now, decides)
+        Accounting.__init__(self, settings, seed, world.now, balancer_class)
 
     # Turns.
 
@@ -122,7 +122,7 @@
             self.world.counters["faults"] += 1
             self.world.trace.add(self.now, "fault", self.name, repr(error))
 
-    def soon(self, what: Callable, *values: Any) -> None:
+    def schedule_now(self, what: Callable, *values: Any) -> None:
         self.world.event_queue.schedule_after(0.0, RESULT, self.turn, what, *values)
 
     # The Host.
@@ -135,12 +135,12 @@
             attempt, leg, machine, len(call.legs), self.now, self.world.delay(self.zone, machine.zone)
         )
         leg.host_record = leg_record
-        self.world.legs.goes(leg_record, until)
+        self.world.legs.open_leg(leg_record, until)
         return leg
 
     def cancel(self, leg: Leg) -> None:
         if not leg.established:
-            self.soon(self.leg_over, leg.host_record, model.CANCELLED)
+            self.schedule_now(self.end_leg, leg.host_record, model.CANCELLED)
 
     def reject(self, call: Call, wait: float = 0.0) -> None:
         self.answer(call, "rejected", min(wait, self.settings.max_open_wait))
@@ -156,7 +156,7 @@
         self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.on_answer, how, wait)
 
     def move(self, call: Call) -> None:
-        self.soon(self.moved, call.host_record, model.CANCELLED)
+        self.schedule_now(self.move_client, call.host_record, model.CANCELLED)
 
     def watch(self, on: bool = True) -> None:
         self.world.discovery.watch(self, on)
@@ -168,13 +168,13 @@
         self.world.counters["probes"] += 1
         machine, delay = self.machines[server.id_hash], self.world.delay(self.zone, 0)
         kind = model.COMPLETED if machine.up else model.NO_CONN
-        wait = 2 * delay + (machine.delay(self.now) if machine.up else 0.0)
+        wait = 2 * delay + (machine.message_delay(self.now) if machine.up else 0.0)
         self.world.event_queue.schedule_after(
             wait, RESULT, self.turn, self.balancer.on_probe_result, server, Result(kind, wait)
         )
 
     def send_datagram(self, peer: int | None, data: bytes) -> None:
-        self.world.post(self, peer, data)
+        self.world.send_datagram(self, peer, data)
 
     def set_timer(self, when: float, what: Any) -> None:
         self.world.event_queue.schedule_at(when, TIMER, self.turn, self.on_timer, what)
@@ -183,7 +183,7 @@
         self.balancer.on_timer(what)
 
     def log(self, text: str) -> None:
-        if len(self.world.log_lines) < LOGGED:
+        if len(self.world.log_lines) < MAX_LOG_LINES:
             self.world.log_lines.append((self.now, self.name, text))
 
     # What happens to it.
@@ -208,12 +208,12 @@
         else:
             self.balancer.on_call(call)
 
-    def stands(self, leg_record: LegRecord) -> None:
+    def on_setup_done(self, leg_record: LegRecord) -> None:
         """The server's UP came."""
         if leg_record.over:
             return
         if leg_record.leg.call.done:
-            self.leg_over(leg_record, model.CANCELLED)  # it would stand for nobody
+            self.end_leg(leg_record, model.CANCELLED)  # it would stand for nobody
             return
         self.record_answer(leg_record.attempt, "completed")
         self.world.event_queue.schedule_after(
@@ -224,27 +224,27 @@
         if self.shutting_down:
             self.move(leg_record.leg.call)
 
-    def leg_over(self, leg_record: LegRecord, kind: str) -> None:
+    def end_leg(self, leg_record: LegRecord, kind: str) -> None:
         """The leg's one result."""
         if leg_record.over:
             return
         leg_record.over, leg = True, leg_record.leg
         self.record_back(leg_record, kind)
-        self.world.legs.closed(leg_record)
+        self.world.legs.close_leg(leg_record)
         if leg.established:
             self.attempts.pop(leg_record.attempt, None)
         self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.established or leg.call.done)
 
-    def moved(self, attempt: Attempt, kind: str) -> None:
+    def move_client(self, attempt: Attempt, kind: str) -> None:
         """The client is told to come again, between two lines, and both sides end."""
         leg_record = attempt.leg_record
         if leg_record is None or leg_record.over or not leg_record.leg.established:
             return
         self.world.counters["moves"] += 1
         self.world.event_queue.schedule_after(attempt.delay, ARRIVAL, attempt.on_connection_end, "moved")
-        self.leg_over(leg_record, kind)
+        self.end_leg(leg_record, kind)
 
-    def lost(self, leg_record: LegRecord) -> None:
+    def on_server_closed(self, leg_record: LegRecord) -> None:
         """The server ended the connection, or the kernel says that it is gone."""
         if leg_record.over:
             return
@@ -252,7 +252,7 @@
             self.world.event_queue.schedule_after(
                 leg_record.attempt.delay, ARRIVAL, leg_record.attempt.on_connection_end, "reset"
             )
-        self.leg_over(leg_record, model.RESET)
+        self.end_leg(leg_record, model.RESET)
 
     def on_client_closed(self, attempt: Attempt, kind: str) -> None:
         """The client ended the connection."""
@@ -266,7 +266,7 @@
             kind = model.CANCELLED
         self.attempts.pop(attempt, None)
         if leg_record and not leg_record.over:
-            self.leg_over(leg_record, kind)
+            self.end_leg(leg_record, kind)
 
     def resume_standing(self, attempt: Attempt, machine: Machine) -> LegRecord:
         """A connection that stood before the run."""
@@ -274,7 +274,7 @@
         call = self.new_call(demand.type, 0.0, key=demand.key, group=demand.group, tenant=demand.tenant)
         call.host_record, attempt.call = attempt, call
         self.attempts[attempt] = None
-        leg = self.begin_leg(call, self.servers[self.world.marks[machine]])
+        leg = self.begin_leg(call, self.servers[self.world.id_hashes[machine]])
         leg_record = leg.host_record = attempt.leg_record = LegRecord(
             attempt, leg, machine, 1, self.now, self.world.delay(self.zone, machine.zone)
         )
@@ -288,7 +288,7 @@
         if self.alive:
             for machine, state, since in rows:
                 self.record_told(machine, state, since)
-            marks = self.world.marks
+            marks = self.world.id_hashes
             for machine, _, _ in rows:
                 self.machines[marks[machine]] = machine
             self.turn(
@@ -302,7 +302,7 @@
         self.discovery_failed = True
         self.turn(self.balancer.on_discovery_failed)
         if self.alive and not self.settings.asks:
-            self.world.event_queue.schedule_after(WATCH_AGAIN, LIST_UPDATE, self.turn, self.watch)
+            self.world.event_queue.schedule_after(WATCH_RETRY_SECONDS, LIST_UPDATE, self.turn, self.watch)
 
     # Its beginning and its end.
 
@@ -317,7 +317,7 @@
         for attempt in list(self.attempts):
             if attempt.leg_record and not attempt.leg_record.over:
                 attempt.leg_record.over = True
-                self.world.legs.closed(attempt.leg_record)
+                self.world.legs.close_leg(attempt.leg_record)
             self.world.event_queue.schedule_after(
                 attempt.delay, ARRIVAL, attempt.on_connection_end, "balancer killed"
             )
@@ -335,7 +335,7 @@
                 shutdown.LAST_MOVE_SHARE - shutdown.FIRST_MOVE_SHARE
             ) * index / len(standing)
             self.world.event_queue.schedule_after(
-                share * grace, TIMER, self.turn, self.moved, attempt, model.CANCELLED
+                share * grace, TIMER, self.turn, self.move_client, attempt, model.CANCELLED
             )
         self.world.event_queue.schedule_after(
             shutdown.MOVE_REST_SHARE * grace, TIMER, self.turn, self.move_rest
@@ -343,4 +343,4 @@
 
     def move_rest(self) -> None:
         for attempt in list(self.attempts):
-            self.moved(attempt, model.CANCELLED)
+            self.move_client(attempt, model.CANCELLED)
--- a/bellrack/lab/rule_checker.py
+++ b/bellrack/lab/rule_checker.py
@@ -14,9 +14,11 @@
 from bellrack.lab.scenario import Kind, Scenario, Type, server_names
 from bellrack.model import NEVER_RAN, ONCE_ONLY, READY, REFERENCED
 
-HELD_BACK = 0.1  # seconds beyond the setup target that a call may lie without a leg until it is given up
-EACH_RULE = 50  # breaches of a rule that are kept; more are counted
-TOLD_PART = 2 / 3  # of a fall's requests; over it they came from balancers told of the server's start
+MAX_HOLD_SECONDS = (
+    0.1  # seconds beyond the setup target that a call may lie without a leg until it is given up
+)
+MAX_BREACHES_KEPT = 50  # breaches of a rule that are kept; more are counted
+INFORMED_SHARE = 2 / 3  # of a fall's requests; over it they came from balancers told of the server's start
 
 
 @dataclass(eq=False)
@@ -65,15 +67,17 @@
         self.calls: dict[int, Call] = {}
         self.ran: dict[int, int] = {}  # effects by request
         self.told: dict[tuple[str, str], tuple[str, float]] = {}  # balancer and server: state, since when
-        self.both: dict[int, tuple[Leg, float]] = {}  # by call: a leg out when the next came, and when
-        self.cold: dict[str, float] = {}  # servers that came back, and when
-        self.pushes: dict[str, deque[tuple[float, bool]]] = {}  # requests on a cold server, sent knowingly
+        self.overlaps: dict[int, tuple[Leg, float]] = {}  # by call: a leg out when the next came, and when
+        self.cold_since: dict[str, float] = {}  # servers that came back, and when
+        self.cold_requests: dict[
+            str, deque[tuple[float, bool]]
+        ] = {}  # requests on a cold server, sent knowingly
         self.breaches: list[Breach] = []
         self.counts = {1: 0, 2: 0, 3: 0, 4: 0}
 
     def breach(self, rule: int, at: float, what: str, call: int | None = None) -> None:
         self.counts[rule] += 1
-        if self.counts[rule] <= EACH_RULE:
+        if self.counts[rule] <= MAX_BREACHES_KEPT:
             self.breaches.append(Breach(rule, at, what, call))
 
     def check(self, entries: Iterable[tuple]) -> list[Breach]:
@@ -83,19 +87,19 @@
             seen = getattr(self, f"on_{kind}", None)
             if seen:
                 seen(last, *fields)
-        for number, (_, since) in self.both.items():
+        for number, (_, since) in self.overlaps.items():
             self.breach(2, since, "two legs out", number)
         for call in self.calls.values():
-            if self.owed(call) and last > call.guard + self.limit:
+            if self.is_owed(call) and last > call.guard + self.answer_grace:
                 self.breach(1, call.guard, "never answered", call.number)
         return self.breaches
 
     @property
-    def limit(self) -> float:
+    def answer_grace(self) -> float:
         """Seconds after the guard time in which an answer still counts."""
         return self.scenario.rules.answer_slack + self.slack
 
-    def owed(self, call: Call) -> bool:
+    def is_owed(self, call: Call) -> bool:
         """A client that hangs up at its guard time has waited in vain, and excuses nothing."""
         return call.answer is None and not call.lost and (call.gone is None or call.gone >= call.guard)
 
@@ -120,19 +124,21 @@
         call = self.calls[number]
         if call.answer is not None:
             self.breach(1, now, f"a second answer, {how} after {call.answer}", number)
-        elif now > call.guard + self.limit:
+        elif now > call.guard + self.answer_grace:
             self.breach(1, now, f"answered {now - call.guard:.3f} s after the guard time", number)
         call.answer = call.answer or how
         if how == "completed":
             return
         idle = max([call.taken + call.type.setup_target, *(leg.ended for leg in call.legs)])
-        if all(leg.kind for leg in call.legs) and now > idle + HELD_BACK + self.slack + self.unseen:
+        if all(leg.kind for leg in call.legs) and now > idle + MAX_HOLD_SECONDS + self.slack + self.unseen:
             self.breach(1, now, f"{how} held back for {now - idle:.3f} s", number)
-        if how == "rejected" and (risky := self.risky(call)):
+        if how == "rejected" and (possibly_run := self.possibly_run(call)):
             # A reject says that trying again is harmless.
             known = call.type.effect == REFERENCED and call.type.group == "all"
             if call.type.effect == ONCE_ONLY or call.type.effect == REFERENCED and not known:
-                self.breach(2, now, f"{call.type.effect} rejected, may have run on {risky[0].server}", number)
+                self.breach(
+                    2, now, f"{call.type.effect} rejected, may have run on {possibly_run[0].server}", number
+                )
 
     def on_gone(self, now: float, number: int) -> None:
         call = self.calls[number]
@@ -142,33 +148,38 @@
         for call in self.calls.values():
             if call.balancer == balancer and not call.lost:
                 standing = call.answer == "completed" and call.legs and call.legs[-1].kind is None
-                if how == "left" and (standing or self.owed(call) and now < call.guard + self.limit):
+                if how == "left" and (
+                    standing or self.is_owed(call) and now < call.guard + self.answer_grace
+                ):
                     self.breach(1, now, "cut off by a balancer on its way out", call.number)
                 call.lost = True
 
     # Rules 2 and 3.
 
-    def risky(self, call: Call) -> list[Leg]:
+    def possibly_run(self, call: Call) -> list[Leg]:
         return [leg for leg in call.legs if leg.kind not in NEVER_RAN]
 
     def on_leg(self, now: float, number: int, order: int, balancer: str, server: str) -> None:
         call = self.calls[number]
         if call.answer is not None or call.gone is not None:
             self.breach(1, now, f"a leg after its end ({call.answer or 'client gone'})", number)
-        if out := [leg for leg in call.legs if leg.kind is None]:
+        if open_legs := [leg for leg in call.legs if leg.kind is None]:
             if self.slack:
-                self.both[number] = out[0], now  # its end may have come first and be seen a moment later
+                self.overlaps[number] = (
+                    open_legs[0],
+                    now,
+                )  # its end may have come first and be seen a moment later
             else:
                 self.breach(2, now, "two legs out", number)
         if len(call.legs) >= self.scenario.rules.max_legs:
             self.breach(2, now, f"more than {self.scenario.rules.max_legs} legs", number)
-        risky, kind = self.risky(call), call.type
-        if risky and kind.effect == ONCE_ONLY:
-            self.breach(2, now, f"once-only sent again after {risky[0].kind}", number)
-        elif risky and kind.effect == REFERENCED:
-            if now > risky[0].sent + kind.remembered + self.slack:
+        possibly_run, kind = self.possibly_run(call), call.type
+        if possibly_run and kind.effect == ONCE_ONLY:
+            self.breach(2, now, f"once-only sent again after {possibly_run[0].kind}", number)
+        elif possibly_run and kind.effect == REFERENCED:
+            if now > possibly_run[0].sent + kind.remembered + self.slack:
                 self.breach(2, now, "referenced sent again when it is forgotten", number)
-            elif not self.same_group(kind, risky[0].server, server):
+            elif not self.same_group(kind, possibly_run[0].server, server):
                 self.breach(2, now, f"referenced sent again outside its {kind.group}", number)
         call.legs.append(Leg(order, server, now))
         state, since = self.told.get((balancer, server), (READY, now))
@@ -186,8 +197,8 @@
         for leg in self.calls[number].legs if number in self.calls else ():
             if leg.number == order:
                 leg.kind, leg.ended = kind, now
-        if number in self.both and self.both[number][0].number == order:
-            _, since = self.both.pop(number)
+        if number in self.overlaps and self.overlaps[number][0].number == order:
+            _, since = self.overlaps.pop(number)
             if now > since + self.slack:
                 self.breach(2, since, f"two legs out for {now - since:.3f} s", number)
 
@@ -205,29 +216,29 @@
     # Rule 4.
 
     def on_server(self, now: float, server: str, what: str) -> None:
-        self.pushes.pop(server, None)
+        self.cold_requests.pop(server, None)
         if what == "cold":
-            self.cold[server] = now
+            self.cold_since[server] = now
         elif what in ("down", "fell"):
-            self.cold.pop(server, None)
+            self.cold_since.pop(server, None)
 
     def on_work(
         self, now: float, server: str, number: int, work: float, demand: float, capacity: float
     ) -> None:
-        start, rules = self.cold.get(server), self.scenario.rules
+        start, rules = self.cold_since.get(server), self.scenario.rules
         if start is None or now >= start + self.kinds[server].warm_up:
             return
         told = self.told.get((self.calls[number].balancer, server)) if number in self.calls else None
-        pushes = self.pushes.setdefault(server, deque())
-        pushes.append((now, told is not None and told[0] == READY and told[1] >= start))
-        while pushes[0][0] <= now - rules.push_window:
-            pushes.popleft()
-        if self.scenario.overloads_cold_server(len(pushes), self.kinds[server], capacity):
-            del self.cold[server]  # it has fallen: what comes later is no second fall
-            if sum(told for _, told in pushes) > TOLD_PART * len(pushes):
+        requests = self.cold_requests.setdefault(server, deque())
+        requests.append((now, told is not None and told[0] == READY and told[1] >= start))
+        while requests[0][0] <= now - rules.push_window:
+            requests.popleft()
+        if self.scenario.overloads_cold_server(len(requests), self.kinds[server], capacity):
+            del self.cold_since[server]  # it has fallen: what comes later is no second fall
+            if sum(told for _, told in requests) > INFORMED_SHARE * len(requests):
                 self.breach(
                     4,
                     now,
-                    f"{server}, cold, fell under {len(pushes)} requests in {rules.push_window:g} s",
+                    f"{server}, cold, fell under {len(requests)} requests in {rules.push_window:g} s",
                     number,
                 )
--- a/bellrack/lab/service_record.py
+++ b/bellrack/lab/service_record.py
@@ -18,13 +18,13 @@
     from bellrack.lab.node import LegRecord
     from bellrack.lab.scenario import Scenario
 
-LOOK = 0.25  # seconds between looks at who is served
-WINDOW = 10.0  # seconds of the worst window
-LONGEST = 600_000_000  # microseconds: the longest set-up that the histogram tells apart
+SAMPLE_SECONDS = 0.25  # seconds between looks at who is served
+WORST_WINDOW_SECONDS = 10.0  # seconds of the worst window
+MAX_SETUP_MICROSECONDS = 600_000_000  # microseconds: the longest set-up that the histogram tells apart
 
 
-def histogram() -> HdrHistogram:
-    return HdrHistogram(1, LONGEST, 3)
+def setup_histogram() -> HdrHistogram:
+    return HdrHistogram(1, MAX_SETUP_MICROSECONDS, 3)
 
 
 def percentiles(times: HdrHistogram) -> dict[str, float | None]:
@@ -39,13 +39,13 @@
 class ServiceRecord:
     def __init__(self, scenario: Scenario, machines: list):
         self.scenario = scenario
-        self.index = {machine: number for number, machine in enumerate(machines)}
+        self.machine_index = {machine: number for number, machine in enumerate(machines)}
         shape = len(scenario.type), max(1, len(scenario.tenant))
         self.demanded = numpy.zeros(shape, numpy.int64)
         self.held = numpy.zeros((len(machines), *shape), numpy.int64)
-        self.looks: list[tuple[numpy.ndarray, numpy.ndarray]] = []  # a look: wanted and served
-        self.open: list[list[int]] = []  # each second: connections, by server
-        self.set_up = histogram()
+        self.samples: list[tuple[numpy.ndarray, numpy.ndarray]] = []  # a look: wanted and served
+        self.open_connections: list[list[int]] = []  # each second: connections, by server
+        self.set_up = setup_histogram()
         self.in_time = self.set_ups = 0  # set-ups within their target, of those wanted
 
     def add_demand(self, demand: Demand, by: int) -> None:
@@ -53,34 +53,34 @@
 
     def connection_up(self, leg_record: LegRecord) -> None:
         demand = leg_record.attempt.demand
-        self.held[self.index[leg_record.machine], demand.type, demand.tenant] += 1
+        self.held[self.machine_index[leg_record.machine], demand.type, demand.tenant] += 1
 
     def connection_down(self, leg_record: LegRecord) -> None:
         demand = leg_record.attempt.demand
-        self.held[self.index[leg_record.machine], demand.type, demand.tenant] -= 1
+        self.held[self.machine_index[leg_record.machine], demand.type, demand.tenant] -= 1
 
-    def came_up(self, demand: Demand, took: float) -> None:
+    def record_setup_time(self, demand: Demand, took: float) -> None:
         """Seconds from when the connection was wanted, or had broken, to its UP."""
-        self.set_up.record_value(min(LONGEST, max(1, round(took * 1e6))))
+        self.set_up.record_value(min(MAX_SETUP_MICROSECONDS, max(1, round(took * 1e6))))
         self.in_time += took <= self.scenario.type[demand.type].setup_target
 
-    def look(self, in_time: list[list[int]]) -> None:
+    def take_sample(self, in_time: list[list[int]]) -> None:
         """`in_time`: for each server a 1 for each traffic type whose messages come in time there now."""
         if self.held.size:
             flags = numpy.array(in_time, numpy.int64).reshape(self.held.shape[:2])
             served = (self.held * flags[:, :, None]).sum(axis=0)
         else:
             served = numpy.zeros_like(self.demanded)
-        self.looks.append((self.demanded.copy(), served))
-        if len(self.looks) * LOOK % 1 == 0:
-            self.open.append(self.held.sum(axis=(1, 2)).tolist())
+        self.samples.append((self.demanded.copy(), served))
+        if len(self.samples) * SAMPLE_SECONDS % 1 == 0:
+            self.open_connections.append(self.held.sum(axis=(1, 2)).tolist())
 
-    def worth(self, share_of: list[float]) -> list[tuple[list[list[float]], list[list[float]]]]:
+    def revenue_by_sample(self, share_of: list[float]) -> list[tuple[list[list[float]], list[list[float]]]]:
         """By look, traffic type and tenant: revenue a second wanted and earned, less what is beyond a
         share."""
         kinds, beyond = self.scenario.type, self.scenario.load.beyond_share
         rows = []
-        for wanted, served in self.looks:
+        for wanted, served in self.samples:
             wanted, served = wanted.tolist(), served.tolist()
             totals = [sum(row[tenant] for row in wanted) for tenant in range(len(wanted[0]))]
             part = [
@@ -100,7 +100,7 @@
 
     def summary(self, share_of: list[float]) -> dict[str, Any]:
         """Service as a whole and where it was worst; each a share of the revenue wanted, 1 where none was."""
-        rows = self.worth(share_of)
+        rows = self.revenue_by_sample(share_of)
         wanted, earned = [sum(map(sum, row[0])) for row in rows], [sum(map(sum, row[1])) for row in rows]
 
         def share(part: float, whole: float) -> float:
@@ -112,14 +112,14 @@
                 for n, name in enumerate(names)
             }
 
-        each = round(1 / LOOK)
+        each = round(1 / SAMPLE_SECONDS)
         seconds = [
             share(sum(earned[at : at + each]), sum(wanted[at : at + each]))
             for at in range(0, len(rows), each)
         ]
-        width = min(len(rows), round(WINDOW / LOOK))
+        width = min(len(rows), round(WORST_WINDOW_SECONDS / SAMPLE_SECONDS))
         windows = [
-            (share(sum(earned[at : at + width]), sum(wanted[at : at + width])), at * LOOK)
+            (share(sum(earned[at : at + width]), sum(wanted[at : at + width])), at * SAMPLE_SECONDS)
             for at in range(0, len(rows) - width + 1, each)
         ]
         kinds = by([kind.name for kind in self.scenario.type], lambda table, n: sum(table[n]))
@@ -138,7 +138,7 @@
             "set_up": percentiles(self.set_up),
             "set_up_in_time": share(self.in_time, self.set_up.get_total_count()),
             "service_by_second": seconds,
-            "open_by_second": self.open,
+            "open_by_second": self.open_connections,
         }
 
 
--- a/bellrack/lab/streams.py
+++ b/bellrack/lab/streams.py
@@ -12,7 +12,7 @@
 
 import numpy
 
-AHEAD = 512  # drawn at one go: single draws from a Generator cost ten times as much
+BATCH_SIZE = 512  # drawn at one go: single draws from a Generator cost ten times as much
 
 
 class RandomStream:
@@ -21,13 +21,13 @@
     def __init__(self, seed: int, concern: str):
         mark = int.from_bytes(hashlib.blake2b(concern.encode(), digest_size=8).digest(), "big")
         self.generator = numpy.random.Generator(numpy.random.PCG64([seed, mark]))
-        self.ahead: list[float] = []
+        self.buffer: list[float] = []
 
     def uniform(self) -> float:
         """From 0 up to, not with, 1."""
-        if not self.ahead:
-            self.ahead = self.generator.random(AHEAD).tolist()[::-1]
-        return self.ahead.pop()
+        if not self.buffer:
+            self.buffer = self.generator.random(BATCH_SIZE).tolist()[::-1]
+        return self.buffer.pop()
 
     def uniform_between(self, span: list[float]) -> float:
         """Seconds."""
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -16,27 +16,26 @@
 from bellrack.lab.clients import Attempt, Clients
 from bellrack.lab.discovery_model import DiscoveryModel, Front
 from bellrack.lab.event_queue import RESULT, SAMPLE, START, TROUBLE, EventQueue
-from bellrack.lab.legs import Legs, ServerLegs
+from bellrack.lab.legs import ServerLegs, VirtualLegs
 from bellrack.lab.machine import Machine, SessionStore
 from bellrack.lab.node import LegRecord, VirtualNode
 from bellrack.lab.scenario import Scenario
-from bellrack.lab.service_record import LOOK as EACH
-from bellrack.lab.service_record import ServiceRecord
+from bellrack.lab.service_record import SAMPLE_SECONDS, ServiceRecord
 from bellrack.lab.streams import RandomStreams
 from bellrack.lab.trace import Trace
 from bellrack.model import Settings, TrafficType
 from bellrack.net import lines
 
-NOTICE = 1 / 3  # of the shortest message aim: delays beyond it are told
-NOTICES = 1.0  # seconds between them
+LATE_DELAY_SHARE = 1 / 3  # of the shortest message aim: delays beyond it are told
+LATE_REPORT_SECONDS = 1.0  # seconds between them
 MAX_DATAGRAM_BYTES = 256  # bytes
 REORDER_DELAY_FACTOR = 10  # times as long on its way as others
-LOTS = 64  # orders of servers among which those without a group are dealt out
-GATHER = 1.25  # standing connections lie with their groups, no server this far over the mean
+STANDING_ORDERS = 64  # orders of servers among which those without a group are dealt out
+MAX_STANDING_RATIO = 1.25  # standing connections lie with their groups, no server this far over the mean
 
 
 class World:
-    legs_class: type[ServerLegs] = Legs
+    legs_class: type[ServerLegs] = VirtualLegs
 
     def __init__(
         self,
@@ -51,16 +50,16 @@
         self.log_lines: list[tuple[float, str, str]] = []
         self.jitter, self.down_since = self.streams["net"], {}
         self.machines = self.make_machines()
-        self.marks = {machine: lines.id_hash(machine.name) for machine in self.machines}
+        self.id_hashes = {machine: lines.id_hash(machine.name) for machine in self.machines}
         self.machines_by_name = {machine.name: machine for machine in self.machines}
         self.service_record, self.store = ServiceRecord(scenario, self.machines), SessionStore(scenario.store)
         self.discovery, self.front, self.legs = DiscoveryModel(self), Front(self), self.legs_class(self)
-        self.decides = policy(self) if policy else choice.Balancer
+        self.balancer_class = policy(self) if policy else choice.Balancer
         self.nodes: list[VirtualNode] = []  # the latest incarnation of each
         self.clients = Clients(self)
         self.partitioned: list[tuple[int, int]] = []  # zones whose datagrams to others are lost
-        self.quickest = min(kind.message_aim for kind in scenario.type)
-        self.late: dict[Machine, bool] = {}
+        self.shortest_message_aim = min(kind.message_aim for kind in scenario.type)
+        self.reported_late: dict[Machine, bool] = {}
         self.store_calls: list[int] = []  # each second, so far
         self.answers: list[dict[str, int]] = []  # each second, so far
 
@@ -116,7 +115,7 @@
             before.incarnation + 1 if before else 0,
             self.settings(zone),
             self.streams[f"balancer {name}"].draw_seed(),
-            self.decides,
+            self.balancer_class,
         )
         self.nodes[number : number + 1] = [node]
         self.trace.add(self.now, "start", name, node.incarnation)
@@ -149,8 +148,8 @@
         for trouble in self.scenario.trouble:
             self.event_queue.schedule_at(START + trouble.at, TROUBLE, self.begin_trouble, trouble)
         self.clients.begin()
-        self.event_queue.schedule_at(START + EACH, SAMPLE, self.look)
-        self.event_queue.schedule_at(START + NOTICES, SAMPLE, self.notices)
+        self.event_queue.schedule_at(START + SAMPLE_SECONDS, SAMPLE, self.take_sample)
+        self.event_queue.schedule_at(START + LATE_REPORT_SECONDS, SAMPLE, self.report_late_messages)
 
     def create_standing_connections(self) -> None:
         """Connections that stood before: in their zones, with their groups, no server far over the mean."""
@@ -165,50 +164,50 @@
         for _ in range(self.scenario.clients.standing if self.machines else 0):
             demand = self.clients.new_demand()
             node, zone = self.front.choose(demand.zone), demand.zone
-            lot = zone, demand.group or -1 - int(stream.uniform() * LOTS)
+            lot = zone, demand.group or -1 - int(stream.uniform() * STANDING_ORDERS)
             if lot not in orders:
                 orders[lot] = sorted(homes[zone], key=lambda _: stream.uniform())
             asked[zone] += demand.load
-            most = GATHER * asked[zone] / worth[zone]
+            most = MAX_STANDING_RATIO * asked[zone] / worth[zone]
             machine = next((m for m in orders[lot] if m.demand <= most * can[m]), orders[lot][0])
             self.clients.calls += 1
             attempt = demand.attempt = Attempt(
                 self.clients.calls, demand, node, self.now, self.now, self.client_delay()
             )
             attempt.outcome = "completed"
-            self.legs.stands_at(node.resume_standing(attempt, machine))
+            self.legs.add_standing(node.resume_standing(attempt, machine))
 
-    def look(self) -> None:
+    def take_sample(self) -> None:
         """Who is served now; what servers drop; figures by the second."""
         now, kinds = self.now, self.scenario.type
-        if now > START + self.scenario.length + EACH / 2:
+        if now > START + self.scenario.length + SAMPLE_SECONDS / 2:
             return
         flags = []
         for machine in self.machines:
             if not machine.up or machine.silent or machine.hung_until > now:
                 flags.append([0] * len(kinds))
                 continue
-            for leg_record in machine.sheds(now):
+            for leg_record in machine.connections_to_shed(now):
                 if leg_record.up:
-                    self.legs.drops(leg_record)
-            delay = machine.delay(now)
+                    self.legs.shed(leg_record)
+            delay = machine.message_delay(now)
             flags.append([int(delay <= kind.message_aim) for kind in kinds])
-        self.service_record.look(flags)
-        if len(self.service_record.looks) * EACH % 1 == 0:
+        self.service_record.take_sample(flags)
+        if len(self.service_record.samples) * SAMPLE_SECONDS % 1 == 0:
             self.store_calls.append(self.store.calls)
             self.answers.append(
                 {how: self.counters[how] for how in ("completed", "rejected", "released", "gave_up")}
             )
-        self.event_queue.schedule_after(EACH, SAMPLE, self.look)
+        self.event_queue.schedule_after(SAMPLE_SECONDS, SAMPLE, self.take_sample)
 
-    def notices(self) -> None:
+    def report_late_messages(self) -> None:
         """Servers tell late messages once a second, on one connection of each balancer."""
         for machine in self.machines:
             if not machine.up or machine.silent or machine.hung_until > self.now:
                 continue
-            delay = machine.delay(self.now)
-            late = delay > NOTICE * self.quickest
-            if late or self.late.get(machine):
+            delay = machine.message_delay(self.now)
+            late = delay > LATE_DELAY_SHARE * self.shortest_message_aim
+            if late or self.reported_late.get(machine):
                 for leg_records in self.legs.standing[machine].values():
                     leg_record = next(
                         (leg_record for leg_record in leg_records if leg_record.established), None
@@ -217,22 +216,22 @@
                         self.event_queue.schedule_after(
                             leg_record.delay, RESULT, self.report_delay, leg_record, delay
                         )
-            self.late[machine] = late
+            self.reported_late[machine] = late
         if self.now < START + self.scenario.length + self.scenario.tail:
-            self.event_queue.schedule_after(NOTICES, SAMPLE, self.notices)
+            self.event_queue.schedule_after(LATE_REPORT_SECONDS, SAMPLE, self.report_late_messages)
 
     def report_delay(self, leg_record: LegRecord, delay: float) -> None:
         if not leg_record.over:
             leg_record.node.turn(leg_record.node.balancer.on_delay_reported, leg_record.leg, delay)
 
-    def falls(self, machine: Machine) -> None:
+    def on_server_fell(self, machine: Machine) -> None:
         """A cold server is pushed over: its process is gone for good."""
         self.trace.add(self.now, "server", machine.name, "fell")
         self.counters["fell"] += 1
         self.stop_machine(machine, False)
         self.discovery.change(machine, model.GONE, machine.started)
 
-    def post(self, sender: VirtualNode, peer: int | None, data: bytes) -> None:
+    def send_datagram(self, sender: VirtualNode, peer: int | None, data: bytes) -> None:
         """A datagram to one balancer or to all others."""
         form, stream = self.scenario.datagrams, self.streams["datagrams"]
         if not form.allowed or len(data) > MAX_DATAGRAM_BYTES:
@@ -249,9 +248,11 @@
                 )
                 lost = stream.bernoulli(form.loss)
                 if not lost and (sender.zone, self.nodes[number].zone) not in self.partitioned:
-                    self.event_queue.schedule_after(wait, RESULT, self.arrives, sender.number, number, data)
+                    self.event_queue.schedule_after(
+                        wait, RESULT, self.deliver_datagram, sender.number, number, data
+                    )
 
-    def arrives(self, sender: int, number: int, data: bytes) -> None:
+    def deliver_datagram(self, sender: int, number: int, data: bytes) -> None:
         node = self.nodes[number]
         node.turn(node.balancer.on_datagram, sender, data)
 
@@ -278,7 +279,7 @@
     def stop_machine(self, machine: Machine, silent: bool) -> None:
         self.trace.add(self.now, "server", machine.name, "down")
         self.down_since[machine] = self.now
-        self.legs.machine_ends(machine, silent)
+        self.legs.end_all(machine, silent)
         machine.stop()
         machine.silent = silent
 
@@ -305,9 +306,11 @@
             machine.draining = True
             self.trace.add(self.now, "server", machine.name, "drain")
             self.discovery.change(machine, model.DRAINING, machine.started)
-            self.schedule_trouble_step(trouble.lasts, self.drained, machine, machine.starts, trouble.back)
+            self.schedule_trouble_step(
+                trouble.lasts, self.finish_drain, machine, machine.starts, trouble.back
+            )
 
-    def drained(self, machine: Machine, starts: int, back: float) -> None:
+    def finish_drain(self, machine: Machine, starts: int, back: float) -> None:
         if machine.starts != starts or not machine.up:
             return
         self.stop_machine(machine, False)
@@ -317,12 +320,12 @@
 
     def do_slow(self, trouble: forms.Slow) -> None:
         for machine in self.affected_machines(trouble):
-            self.slowed(machine, trouble.factor)
-            self.schedule_trouble_step(trouble.lasts, self.slowed, machine, 1 / trouble.factor)
+            self.change_speed(machine, trouble.factor)
+            self.schedule_trouble_step(trouble.lasts, self.change_speed, machine, 1 / trouble.factor)
 
-    def slowed(self, machine: Machine, factor: float) -> None:
+    def change_speed(self, machine: Machine, factor: float) -> None:
         machine.advance(self.now)
-        machine.slow *= factor
+        machine.slowdown *= factor
 
     def do_failing(self, trouble: forms.Failing) -> None:
         for machine in self.affected_machines(trouble):
@@ -337,7 +340,7 @@
                 self.on_hang(machine)
 
     def on_hang(self, machine: Machine) -> None:
-        self.legs.hangs(machine)
+        self.legs.on_hang(machine)
 
     def do_stall(self, trouble: forms.Stall) -> None: ...
 
@@ -353,15 +356,15 @@
                 self.kill(node, trouble.lasts)
 
     def do_list_down(self, trouble: forms.ListDown) -> None:
-        self.discovery.fail(True)
-        self.schedule_trouble_step(trouble.lasts, self.discovery.fail, False)
+        self.discovery.set_outage(True)
+        self.schedule_trouble_step(trouble.lasts, self.discovery.set_outage, False)
 
     def do_store_slow(self, trouble: forms.StoreSlow) -> None:
-        self.store.slow *= trouble.factor
-        self.schedule_trouble_step(trouble.lasts, self.store_slowed, 1 / trouble.factor)
+        self.store.slowdown *= trouble.factor
+        self.schedule_trouble_step(trouble.lasts, self.change_store_speed, 1 / trouble.factor)
 
-    def store_slowed(self, factor: float) -> None:
-        self.store.slow *= factor
+    def change_store_speed(self, factor: float) -> None:
+        self.store.slowdown *= factor
 
     def do_dear(self, trouble: forms.Dear) -> None:
         self.clients.dear.append(trouble)
@@ -369,14 +372,14 @@
 
     def do_burst(self, trouble: forms.Burst) -> None:
         self.clients.burst *= trouble.factor
-        self.schedule_trouble_step(trouble.lasts, self.burst_over, trouble.factor)
+        self.schedule_trouble_step(trouble.lasts, self.end_burst, trouble.factor)
 
-    def burst_over(self, factor: float) -> None:
+    def end_burst(self, factor: float) -> None:
         self.clients.burst /= factor
 
     def do_drop(self, trouble: forms.Drop) -> None:
         zones = [zone.name for zone in self.scenario.zone]
-        self.clients.drops(trouble.share, zones.index(trouble.zone) if trouble.zone else None)
+        self.clients.drop_clients(trouble.share, zones.index(trouble.zone) if trouble.zone else None)
 
     def do_killed(self, trouble: forms.Killed) -> None:
         zones = [zone.name for zone in self.scenario.zone]
@@ -405,16 +408,16 @@
         zones = [zone.name for zone in self.scenario.zone]
         chosen = [node.number for node in self.nodes if trouble.zone in ("", zones[node.zone])]
         for turn, number in enumerate(chosen):
-            self.schedule_trouble_step(turn * trouble.gap, self.roll, number, trouble)
+            self.schedule_trouble_step(turn * trouble.gap, self.start_roll, number, trouble)
 
-    def roll(self, number: int, trouble: forms.Rolled) -> None:
+    def start_roll(self, number: int, trouble: forms.Rolled) -> None:
         node = self.nodes[number]
         if node.alive and not node.shutting_down:
             node.begin_shutdown(trouble.grace)
             self.front.remove(node)  # a planned restart is told to the front
-            self.schedule_trouble_step(trouble.grace, self.rolled_out, node, trouble.down)
+            self.schedule_trouble_step(trouble.grace, self.finish_roll, node, trouble.down)
 
-    def rolled_out(self, node: VirtualNode, down: float) -> None:
+    def finish_roll(self, node: VirtualNode, down: float) -> None:
         if node.alive:
             node.stop("left")
             self.schedule_trouble_step(down, self.restart_balancer, node)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,16 @@
 from bellrack import model
 from bellrack.lab import baselines, cli, experiment, run
 from bellrack.lab.clients import Clients
-from bellrack.lab.event_queue import ARRIVAL, GUARD, LIST_UPDATE, RESULT, START, TIMER, TROUBLE, EventQueue
+from bellrack.lab.event_queue import (
+    ARRIVAL,
+    GUARD_TIME,
+    LIST_UPDATE,
+    RESULT,
+    START,
+    TIMER,
+    TROUBLE,
+    EventQueue,
+)
 from bellrack.lab.mutants import MUTANTS, lists_all
 from bellrack.lab.rule_checker import RuleChecker
 from bellrack.lab.scenario import ScenarioError, parse_scenario, with_value
@@ -71,7 +80,7 @@
 
 def test_events_at_one_instant_go_by_rank_and_then_in_order():
     event_queue, seen = EventQueue(), []
-    for rank in (GUARD, TIMER, ARRIVAL, RESULT, LIST_UPDATE, TROUBLE):
+    for rank in (GUARD_TIME, TIMER, ARRIVAL, RESULT, LIST_UPDATE, TROUBLE):
         for turn in "ab":
             event_queue.schedule_at(START + 1, rank, seen.append, (rank, turn))
     event_queue.schedule_at(
@@ -81,9 +90,11 @@
     )
     event_queue.run(START + 1)
     assert [one for one in seen if one != "put down meanwhile"] == [
-        (rank, turn) for rank in (TROUBLE, LIST_UPDATE, RESULT, ARRIVAL, TIMER, GUARD) for turn in "ab"
+        (rank, turn) for rank in (TROUBLE, LIST_UPDATE, RESULT, ARRIVAL, TIMER, GUARD_TIME) for turn in "ab"
     ]
-    assert seen.index("put down meanwhile") == seen.index((GUARD, "a")) - 1  # before whatever comes later
+    assert (
+        seen.index("put down meanwhile") == seen.index((GUARD_TIME, "a")) - 1
+    )  # before whatever comes later
 
 
 @pytest.mark.parametrize("late, in_time", [(0.0, True), (1e-6, False)])
@@ -161,7 +172,7 @@
     world = played({"kind": "crash", "at": 4.0, "servers": ["a-k-1"], "lasts": 3.0, "told_older": 900.0})
     machine = world.machines_by_name["a-k-1"]
     node = world.nodes[0]
-    told = node.servers[world.marks[machine]]
+    told = node.servers[world.id_hashes[machine]]
     assert told.state == model.READY and told.started_at == pytest.approx(START + 7.0 - 900.0)
     assert machine.started == START + 7.0 and told.local_state.started_at == told.started_at
     assert kept(world) and not world.counters["fell"]
@@ -195,7 +206,7 @@
         rules={"push_multiple": 50.0},
     )  # a balancer that restarts is not told of starts at once
     assert not world.machines_by_name["a-k-1"].up and world.discovery.down == 0
-    assert [machine.slow for machine in world.machines] == pytest.approx([2.0] * 4)
+    assert [machine.slowdown for machine in world.machines] == pytest.approx([2.0] * 4)
     assert [machine.failing for machine in world.machines] == [0.25] * 4
     assert world.machines_by_name["b-k-1"].up and world.nodes[1].incarnation == 1
     assert kept(world)
