--- a/bellrack/lab/legs.py
+++ b/bellrack/lab/legs.py
@@ -1,7 +1,7 @@
-"""What becomes of a leg at its server: the set-up with its call to the session store, the effect, the end.
+"""The server's side of a leg: the set-up with its call to the session store, the effect, the end.
 
-Owns the server's side of a leg on both faces of the lab, and its way through the modelled network on
-virtual time. It tells results and never decides anything.
+`ServerLegs` serves virtual-time and loopback runs; `VirtualLegs` adds the delays of the simulated network.
+The module reports results to balancers and makes no decisions.
 """
 
 from __future__ import annotations
@@ -19,41 +19,41 @@
     from bellrack.lab.scenario import Type
     from bellrack.lab.world import World
 
-CONNECT_DELAYS, FIRST_LINE_DELAYS = (
-    2,
-    3,
-)  # one-way delays until a connection is up, and until its first line has come
+# In one-way network delays from the start of a leg.
+CONNECT_DELAYS = 2  # until its connection is up
+FIRST_LINE_DELAYS = 3  # until its first line reaches the server
 
 
 class ServerLegs:
-    """Set-ups and standing connections at the servers. A face defines how results reach a balancer:
-    `report_result`, `report_up`, `report_end`."""
+    """Set-ups and established connections at the servers.
+
+    Subclasses define how results reach the balancer: `report_result`, `report_up`, `report_end`.
+    """
 
     def __init__(self, world: World):
         self.world = world
-        self.setups_in_progress: dict[Machine, dict[LegRecord, None]] = {
-            m: {} for m in world.machines
-        }  # set-ups, by server
-        self.standing: dict[Machine, dict] = {m: {} for m in world.machines}  # by balancer, then by leg
-        self.remembered_until: dict[
-            tuple[int, int], float
-        ] = {}  # referenced calls that ran, till they are forgotten
+        self.setups_in_progress: dict[Machine, dict[LegRecord, None]] = {m: {} for m in world.machines}
+        # Established connections: by server, balancer and leg.
+        self.standing: dict[Machine, dict] = {m: {} for m in world.machines}
+        # Referenced calls that ran, by scope and request: until when their repeats are dropped.
+        self.remembered_until: dict[tuple[int, int], float] = {}
         self.stream = world.streams["failures"]
 
     def report_result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
-        """The leg's balancer hears after that wait how it ended before it stood."""
+        """Reports to the balancer, `wait` seconds from now, that the leg ended before it was established."""
         raise NotImplementedError
 
     def report_up(self, leg_record: LegRecord) -> None:
-        """It stands at the server: its balancer hears."""
+        """Reports to the balancer that the connection is up."""
         raise NotImplementedError
 
     def report_end(self, leg_record: LegRecord, silent: bool) -> None:
-        """What stood was ended by the server or, where it is silent, will be missed by its balancer."""
+        """Reports to the balancer that the server ended an established connection. Where `silent`, the server
+        sends nothing, and the balancer notices only that messages stop."""
         raise NotImplementedError
 
     def record_sent(self, leg_record: LegRecord) -> None:
-        """Book a leg that is on its way."""
+        """Records a leg that a balancer has sent."""
         world = self.world
         leg_record.attempt.leg_record = leg_record
         leg_record.machine.record_in_window(leg_record.machine.sent_recently, world.now)
@@ -69,7 +69,7 @@
         )
 
     def accept_setup(self, leg_record: LegRecord) -> None:
-        """Its first line has come to a server that is up."""
+        """Begins the set-up: the first line of the leg has reached a server that is up."""
         world, machine, now = self.world, leg_record.machine, self.world.now
         leg_record.starts, fell = machine.starts, machine.fallen
         failing = self.stream.bernoulli(machine.failing)
@@ -101,15 +101,16 @@
                 world.event_queue.schedule_after(wait + stored, RESULT, self.complete_setup, leg_record)
 
     def on_hang(self, machine: Machine) -> None:
-        """What stands there brings no messages any more."""
+        """A server began to hang: its connections bring no messages any more."""
 
     def on_store_timeout(self, leg_record: LegRecord) -> None:
+        """The session store did not answer in time: the set-up fails."""
         if self.finish_setup(leg_record):
             leg_record.machine.wasted += leg_record.machine.kind.setup
             self.report_result(leg_record, model.ERROR, leg_record.delay)
 
     def finish_setup(self, leg_record: LegRecord) -> bool:
-        """Is the set-up still under way in the process that began it? It no longer is."""
+        """Takes a set-up off the server's list. False if the process that began it has ended."""
         if (
             leg_record.starts != leg_record.machine.starts
             or leg_record not in self.setups_in_progress[leg_record.machine]
@@ -120,7 +121,7 @@
         return True
 
     def complete_setup(self, leg_record: LegRecord) -> None:
-        """The set-up is done: this is when its effect happens, whoever still waits for it."""
+        """The set-up is done: its effect happens now, even if nobody waits for it any more."""
         if leg_record.machine.hung_until > self.world.now:
             self.world.event_queue.schedule_at(
                 leg_record.machine.hung_until, RESULT, self.complete_setup, leg_record
@@ -139,8 +140,10 @@
         self.report_up(leg_record)
 
     def is_repeat(self, machine: Machine, request: int, kind: Type) -> bool:
-        """Has a server among those that drop repeats of this call run it already? They remember it from
-        now."""
+        """Whether a server of the group that drops repeats of this call has run it already.
+
+        If not, the group remembers the call from now on.
+        """
         scope = {"all": -1, "zone": machine.zone, "cell": machine.cell}[kind.group]
         now = self.world.now
         while self.remembered_until and next(iter(self.remembered_until.values())) <= now:
@@ -151,7 +154,7 @@
         return False
 
     def add_standing(self, leg_record: LegRecord) -> None:
-        """It stands at its server from now on."""
+        """The connection is up at its server from now on."""
         leg_record.up = True
         leg_record.machine.add_connection(
             self.world.now, leg_record, leg_record.attempt.demand.load, leg_record.attempt.demand.group
@@ -160,7 +163,7 @@
         self.world.service_record.connection_up(leg_record)
 
     def close_leg(self, leg_record: LegRecord) -> None:
-        """The balancer's side of it has ended; the server hears of it a delay later."""
+        """The balancer's side has ended; the server learns of it one network delay later."""
         if leg_record.up:
             self.world.service_record.connection_down(leg_record)
             self.forget(leg_record)
@@ -169,31 +172,33 @@
             )
 
     def remove_from_machine(self, leg_record: LegRecord) -> None:
+        """The server learns that a connection has ended, unless its process was restarted meanwhile."""
         if leg_record.starts == leg_record.machine.starts:
             leg_record.machine.remove_connection(self.world.now, leg_record)
 
     def forget(self, leg_record: LegRecord) -> None:
+        """Takes a leg off the established connections of its server."""
         leg_record.up = False
-        theirs = self.standing[leg_record.machine].get(leg_record.node, {})
-        theirs.pop(leg_record, None)
-        if not theirs:
+        of_balancer = self.standing[leg_record.machine].get(leg_record.node, {})
+        of_balancer.pop(leg_record, None)
+        if not of_balancer:
             self.standing[leg_record.machine].pop(leg_record.node, None)
 
     def end_all(self, machine: Machine, silent: bool) -> None:
-        """A server's process is gone, with all that stands there and all set-ups under way."""
+        """A server's process ended, and with it all its connections and set-ups."""
         leg_records = [leg_record for legs in self.standing[machine].values() for leg_record in legs]
-        begun = list(self.setups_in_progress[machine])
+        unfinished = list(self.setups_in_progress[machine])
         self.setups_in_progress[machine].clear()
         for leg_record in leg_records:
             self.world.service_record.connection_down(leg_record)
             self.forget(leg_record)
             self.report_end(leg_record, silent)
         if not silent:
-            for leg_record in begun:
+            for leg_record in unfinished:
                 self.report_result(leg_record, model.RESET, leg_record.delay)
 
     def shed(self, leg_record: LegRecord) -> None:
-        """The server cuts this one off, as more is piled up than it bears."""
+        """An overloaded server closes this connection."""
         self.world.counters["shed"] += 1
         leg_record.machine.remove_connection(self.world.now, leg_record)
         self.world.service_record.connection_down(leg_record)
@@ -202,10 +207,11 @@
 
 
 class VirtualLegs(ServerLegs):
-    """On virtual time."""
+    """The server's side of legs on virtual time, with the delays of the simulated network."""
 
     def open_leg(self, leg_record: LegRecord, until: float) -> None:
-        """A balancer opens a connection to a server, and sends its first line as soon as it is up."""
+        """Opens a connection to the server, which sends its first line once it is up. `until` is when the
+        attempt times out."""
         self.record_sent(leg_record)
         self.world.event_queue.schedule_after(
             FIRST_LINE_DELAYS * leg_record.delay, RESULT, self.on_first_line, leg_record
@@ -213,11 +219,12 @@
         self.world.event_queue.schedule_at(until, TIMER, leg_record.node.turn, self.on_timeout, leg_record)
 
     def on_timeout(self, leg_record: LegRecord) -> None:
-        """The balancer's time for it is up."""
+        """The leg timed out, unless it is established."""
         if not leg_record.established:
             leg_record.node.end_leg(leg_record, model.TIMEOUT)
 
     def on_first_line(self, leg_record: LegRecord) -> None:
+        """The first line reaches the server's machine."""
         machine = leg_record.machine
         if machine.hung_until > self.world.now:
             self.world.event_queue.schedule_at(machine.hung_until, RESULT, self.on_first_line, leg_record)
@@ -225,14 +232,13 @@
             wait = self.world.scenario.rules.connect_timeout - FIRST_LINE_DELAYS * leg_record.delay
             self.report_result(leg_record, model.NO_CONN, max(0.0, wait))
         elif not machine.up:
-            # Refused; or gone between connecting and the line, which may have run for all that is known.
-            came_up = (
+            # Refused, or reset between connecting and the first line: in that case the call may have run.
+            connected = (
                 self.world.down_since.get(machine, 0.0) > leg_record.sent + CONNECT_DELAYS * leg_record.delay
             )
-            self.report_result(leg_record, model.RESET if came_up else model.NO_CONN, 0.0)
-        elif (
-            leg_record.node.alive and not leg_record.over
-        ):  # else its balancer has hung up before its line was through
+            self.report_result(leg_record, model.RESET if connected else model.NO_CONN, 0.0)
+        elif leg_record.node.alive and not leg_record.over:
+            # Otherwise the balancer closed the connection before its line arrived.
             self.accept_setup(leg_record)
 
     def report_result(self, leg_record: LegRecord, kind: str, wait: float) -> None:
@@ -246,10 +252,10 @@
         )
 
     def report_end(self, leg_record: LegRecord, silent: bool) -> None:
-        # In a machine that vanished all stays open and silent, till its balancer misses messages.
+        # Connections of a machine that vanished stay open and silent until the balancer misses messages.
         wait = self.stream.uniform_between(list(SILENCE_SECONDS)) if silent else leg_record.delay
-        what = self.move_from_silent_server if silent else leg_record.node.on_server_closed
-        self.world.event_queue.schedule_after(wait, RESULT, leg_record.node.turn, what, leg_record)
+        callback = self.move_from_silent_server if silent else leg_record.node.on_server_closed
+        self.world.event_queue.schedule_after(wait, RESULT, leg_record.node.turn, callback, leg_record)
 
     def on_hang(self, machine: Machine) -> None:
         for legs in self.standing[machine].values():
@@ -263,9 +269,10 @@
                 )
 
     def on_messages_missed(self, leg_record: LegRecord) -> None:
+        """The balancer missed messages of a server; nothing happens if it does not hang any more."""
         if leg_record.machine.hung_until > self.world.now:
             self.move_from_silent_server(leg_record)
 
     def move_from_silent_server(self, leg_record: LegRecord) -> None:
-        """The host moves a client whose server says nothing; the leg counts as reset."""
+        """The balancer moves a client whose server is silent; the leg counts as reset."""
         leg_record.node.move_client(leg_record.attempt, model.RESET)
--- a/bellrack/lab/machine.py
+++ b/bellrack/lab/machine.py
@@ -1,9 +1,8 @@
-"""The model of one server, and of the session store that set-ups draw on: plain figures under a clock
-handed in.
+"""The model of one server and of the session store that set-ups call.
 
-Owns how a server fills, slows, sheds, warms up and falls over. It knows no network, no balancer and no
-client; both faces of the lab play it. Work is in core-seconds, load in cores, times are seconds on the
-caller's clock.
+A server queues work, slows down, sheds connections, warms up after a start and falls over under too many
+requests while cold. Virtual-time and loopback runs share the model; network, balancers and clients are
+outside of it. Work is in core-seconds, load in cores; times are seconds on a clock that the caller passes in.
 """
 
 from __future__ import annotations
@@ -13,14 +12,18 @@
 
 from bellrack.lab.scenario import Kind, Scenario, Store
 
-MAX_UTILIZATION = (
-    0.98  # utilisation beyond which a message's wait no longer follows from it but from what is piled up
-)
-FULL, FAILED = "full", "fails"
+# Above this utilization the delay of a message comes from the backlog; utilization adds no more.
+MAX_UTILIZATION = 0.98
+# Why a set-up is refused.
+FULL = "full"
+FAILED = "fails"
 
 
 class Machine:
-    """A server process and the machine under it."""
+    """A server process and its machine.
+
+    `speed` multiplies its cores; `group_cost` is the load (cores) of holding any connection of a group.
+    """
 
     def __init__(
         self, name: str, zone: int, cell: int, kind: Kind, speed: float, scenario: Scenario, group_cost: float
@@ -30,57 +33,60 @@
         self.up, self.draining, self.fallen, self.silent = True, False, False, False
         self.slowdown = 1.0
         self.failures: list[float] = []  # shares of set-ups that fail, by the troubles in force
-        self.hung_until = 0.0  # it answers nothing till then
-        self.started = 0.0  # 0: long ago
-        self.starts = 0  # how often it came back
-        self.backlog = 0.0  # core-seconds piled up
-        self.demand = 0.0  # cores that what stands here asks for
-        self.updated_at = 0.0  # when backlog was last brought up to date
-        self.held: dict[Any, tuple[float, int]] = {}  # what stands, oldest first: its load and group
-        self.groups: dict[int, int] = {}
+        self.hung_until = 0.0  # it sends nothing until then
+        self.started = 0.0  # 0: long ago, so it is warm
+        self.starts = 0  # number of restarts
+        self.backlog = 0.0  # core-seconds of queued work
+        self.demand = 0.0  # load of the connections here, in cores
+        self.updated_at = 0.0  # when `backlog` was last updated
+        self.held: dict[Any, tuple[float, int]] = {}  # connections, oldest first: load and group
+        self.groups: dict[int, int] = {}  # connections of each group
         self.setups = 0  # accepted and not yet up
-        self.received_recently: deque[float] = deque()  # when requests reached it lately, while cold
-        self.sent_recently: deque[float] = deque()  # when some were sent to it lately
-        self.offered = self.wasted = 0.0  # core-seconds of set-ups: all, and those that came to nothing
+        self.received_recently: deque[float] = deque()  # arrival times of requests, while cold
+        self.sent_recently: deque[float] = deque()  # times when requests were sent to it
+        # Core-seconds of set-ups: all, and those that brought no connection.
+        self.offered = self.wasted = 0.0
 
     @property
     def failing(self) -> float:
+        """The share of set-ups that fail."""
         return max(self.failures, default=self.kind.errors)
 
     def warm_share(self, now: float) -> float:
-        """The share of its capacity that it has by now."""
-        left = self.started + self.kind.warm_up - now
-        if left <= 0 or not self.started:
+        """The share of its full capacity that it has reached since its start."""
+        remaining = self.started + self.kind.warm_up - now
+        if remaining <= 0 or not self.started:
             return 1.0
-        return 1.0 - (1.0 - self.kind.cold_share) * min(1.0, left / self.kind.warm_up)
+        return 1.0 - (1.0 - self.kind.cold_share) * min(1.0, remaining / self.kind.warm_up)
 
     def capacity(self, now: float) -> float:
-        """Cores of speed 1 that it is worth now."""
+        """Its capacity now, in cores of speed 1."""
         return self.kind.cores * self.speed * self.warm_share(now) / self.slowdown
 
     def advance(self, now: float) -> None:
-        """Bring what is piled up to this time, evenly between two calls."""
+        """Updates the backlog, at the mean capacity since the last update."""
         if now > self.updated_at:
-            can = (self.capacity(now) + self.capacity(self.updated_at)) / 2
-            most = self.kind.buffer * self.capacity(now)
-            self.backlog = min(max(0.0, self.backlog + (self.demand - can) * (now - self.updated_at)), most)
+            mean_capacity = (self.capacity(now) + self.capacity(self.updated_at)) / 2
+            limit = self.kind.buffer * self.capacity(now)
+            self.backlog = min(
+                max(0.0, self.backlog + (self.demand - mean_capacity) * (now - self.updated_at)), limit
+            )
             self.updated_at = now
 
     def queueing_delay(self, now: float) -> float:
-        """Seconds of work that a new arrival waits for."""
+        """Seconds that new work waits for the backlog."""
         self.advance(now)
         return self.backlog / self.capacity(now)
 
     def message_delay(self, now: float) -> float:
-        """Seconds that a message takes here now: what is piled up, and its own time under this
-        utilisation."""
-        busy = min(self.demand / self.capacity(now), MAX_UTILIZATION)
+        """Seconds that a message takes now: the queueing delay, and its own time at this utilization."""
+        utilization = min(self.demand / self.capacity(now), MAX_UTILIZATION)
         return self.queueing_delay(now) + self.kind.message / self.capacity(now) * self.kind.cores / (
-            1 - busy
+            1 - utilization
         )
 
     def offer_setup(self, now: float, failing: bool) -> float | str:
-        """A set-up reaches it: seconds until its own work on it is done, or why it turns it away."""
+        """Offers a set-up. Returns the seconds until the server's own work on it is done, FULL or FAILED."""
         work, wait = self.kind.setup, self.queueing_delay(now)
         self.offered += work
         self.record_cold_request(now)
@@ -97,7 +103,7 @@
         return wait + work / self.capacity(now)
 
     def record_cold_request(self, now: float) -> None:
-        """Count what a cold server is sent; over its budget it falls over and stays down."""
+        """Counts a request at a cold server; over the limit of rule 4 the server falls over for good."""
         if self.warm_share(now) >= 1.0:
             self.received_recently.clear()
             return
@@ -106,13 +112,13 @@
             self.fallen = True
 
     def record_in_window(self, window: deque[float], now: float) -> None:
-        """One more now; those that the window of the cold rule has left behind go."""
+        """Adds the present time, and drops times that have left the window of rule 4."""
         window.append(now)
         while window[0] <= now - self.scenario.rules.push_window:
             window.popleft()
 
     def add_connection(self, now: float, connection: Any, load: float, group: int) -> None:
-        """A connection stands."""
+        """A connection is up: `load` in cores, `group` 0 for none."""
         self.advance(now)
         self.held[connection] = load, group
         self.demand += load
@@ -122,7 +128,7 @@
                 self.demand += self.group_cost
 
     def remove_connection(self, now: float, connection: Any) -> None:
-        """It no longer does."""
+        """A connection ended."""
         if connection not in self.held:
             return
         self.advance(now)
@@ -134,61 +140,61 @@
                 del self.groups[group]
                 self.demand -= self.group_cost
         if not self.held:
-            self.demand = 0.0  # guards against sums of fractions that never come back to nought
+            self.demand = 0.0  # otherwise rounding errors would accumulate
 
     def change_load(self, now: float, connection: Any, load: float) -> None:
-        """Its load is another from now on."""
+        """The load of a connection changed."""
         if connection in self.held:
             self.advance(now)
-            before, group = self.held[connection]
+            old_load, group = self.held[connection]
             self.held[connection] = load, group
-            self.demand += load - before
+            self.demand += load - old_load
 
     def connections_to_shed(self, now: float) -> list[Any]:
-        """Connections that it drops now, as too much is piled up: enough to catch up within that time."""
+        """Connections that an overloaded server closes now: enough to bring its load down to its capacity."""
         if self.kind.sheds == "none" or self.queueing_delay(now) <= self.kind.shed_at:
             return []
         order = list(self.held)[::-1]
         if self.kind.sheds == "heaviest":
             order.sort(key=lambda connection: -self.held[connection][0])
-        over, gone = self.demand - self.capacity(now), []
+        excess, chosen = self.demand - self.capacity(now), []
         for connection in order:
-            if over <= 0:
+            if excess <= 0:
                 break
-            over -= self.held[connection][0]
-            gone.append(connection)
-        return gone
+            excess -= self.held[connection][0]
+            chosen.append(connection)
+        return chosen
 
     def stop(self) -> list[Any]:
-        """The process is gone; what stood here."""
-        gone, self.up, self.draining = list(self.held), False, False
+        """Ends the process; returns its connections."""
+        connections, self.up, self.draining = list(self.held), False, False
         self.held, self.groups, self.demand, self.backlog, self.setups = {}, {}, 0.0, 0.0, 0
         self.hung_until = 0.0
         self.received_recently.clear()
-        return gone
+        return connections
 
     def start(self, now: float) -> None:
-        """It is back, cold, under its old name."""
+        """Starts the process again, cold, under the same name."""
         self.up, self.draining, self.fallen, self.silent = True, False, False, False
         self.started, self.updated_at, self.starts = now, now, self.starts + 1
 
 
 class SessionStore:
-    """Calls wait in turn; each takes 1/rate, and a fixed delay that nobody waits behind."""
+    """The session store: one queue that serves `rate` calls a second, with a fixed delay on top."""
 
-    def __init__(self, form: Store):
-        self.config, self.slowdown = form, 1.0
-        self.free_at = 0.0  # when the last that waits is through
+    def __init__(self, config: Store):
+        self.config, self.slowdown = config, 1.0
+        self.free_at = 0.0  # when the queue is empty
         self.calls = self.failed = 0
 
     def call(self, now: float) -> float | None:
-        """Seconds until it answers, or None if the caller gives it up after its time-out."""
+        """Seconds until the store answers, or None if the call times out."""
         self.calls += 1
-        begin = max(now, self.free_at)
-        self.free_at = begin + self.slowdown / self.config.rate
+        start = max(now, self.free_at)
+        self.free_at = start + self.slowdown / self.config.rate
         took = self.free_at - now + self.config.delay * self.slowdown
         if took > self.config.timeout:
-            self.free_at = begin  # given up while it waits: it costs the store nothing
+            self.free_at = start  # abandoned while queued: it costs the store no work
             self.failed += 1
             return None
         return took
--- a/bellrack/lab/node.py
+++ b/bellrack/lab/node.py
@@ -1,7 +1,8 @@
-"""A balancer in virtual time: the decisions with their books, and a Host that acts on the modelled world.
+"""A balancer on virtual time: a `Host` of the decisions that acts on the simulated world.
 
-Owns what the daemon's node owns on sockets: turns, timers, the one result of each leg, the way out. It never
-chooses a server. What is asked of it within a turn is done when the turn is over, as on sockets.
+Does what `bellrack/net/node.py` does on sockets: reports events to the decisions, runs timers, gives each leg
+exactly one result and shuts down. Orders that the decisions give during an event are carried out after it, as
+on sockets. The choice of servers is left to the decisions.
 """
 
 from __future__ import annotations
@@ -21,12 +22,13 @@
     from bellrack.lab.world import World
 
 MAX_LOG_LINES = 200  # log lines of the decisions that a run keeps
-WATCH_RETRY_SECONDS = 1.0  # seconds until a watch that ended stands again, where changes come unasked
-SILENCE_SECONDS = (4.5, 5.5)  # seconds after a server's last word when what stands there is moved on
+WATCH_RETRY_SECONDS = 1.0  # until a watch that ended is opened again, where the host holds the watch
+# Clients of a silent server are moved when it has sent nothing for a time in this range.
+SILENCE_SECONDS = (4.5, 5.5)
 
 
 class LegRecord:
-    """A leg under way or standing: the world's own record of it."""
+    """The world's record of a leg, from when it is sent until it ends."""
 
     __slots__ = (
         "attempt",
@@ -47,29 +49,35 @@
         self.attempt, self.leg, self.machine, self.number = attempt, leg, machine, number
         self.node, self.sent, self.delay = attempt.node, sent, delay
         self.starts = machine.starts
-        self.over = False  # its balancer has its result
-        self.up = False  # it stands at the server
-        self.established = False  # its balancer knows
+        self.over = False  # the balancer has its result
+        self.up = False  # the connection is up at the server
+        self.established = False  # the balancer knows that it is up
         self.link: Any = None  # on sockets: the server's side of the connection
 
 
 class BalancerRecord:
-    """What the world knows of a balancer on either face: who it is, what it was told, which calls it has."""
+    """The world's record of one balancer, in a virtual-time run and in a loopback run.
+
+    Holds its identity, the state of each server as discovery told it, and its calls; the `record_*` methods
+    write its events to the trace and to the counters.
+    """
 
     def __init__(self, world: World, name: str, number: int, zone: int, incarnation: int):
         self.world, self.name, self.number, self.zone = world, name, number, zone
         self.incarnation, self.alive, self.shutting_down = incarnation, True, False
-        self.told: dict[Machine, tuple[str, float]] = {}
-        self.discovery_failed = False  # its last question to discovery failed
+        self.told: dict[Machine, tuple[str, float]] = {}  # state and start of each server, as told
+        self.discovery_failed = False  # its last request to discovery failed
         self.last_arrival = 0.0  # when the last line of the list arrives
-        self.attempts: dict[Attempt, None] = {}  # calls here that are not over
+        self.attempts: dict[Attempt, None] = {}  # attempts here that have not ended
 
     def record_told(self, machine: Machine, state: str, since: float) -> None:
+        """Discovery told the balancer the state of a server."""
         if self.told.get(machine) != (state, since):
             self.told[machine] = state, since
             self.world.trace.add(self.world.now, "told", self.name, machine.name, state)
 
     def record_call(self, attempt: Attempt) -> None:
+        """The balancer received a request."""
         demand = attempt.demand
         self.world.counters["calls"] += 1
         self.world.trace.add(
@@ -77,23 +85,29 @@
         )
 
     def record_stood(self, attempt: Attempt, machine: Machine) -> None:
+        """The connection was established before the run."""
         self.world.trace.add(self.world.now, "stood", attempt.id, self.name, machine.name)
 
     def record_answer(self, attempt: Attempt, how: str, wait: float = 0.0) -> None:
+        """The balancer answered; `wait` is the retry delay (seconds) that it told the client."""
         self.world.counters[how] += 1
         self.world.trace.add(self.world.now, "answer", attempt.id, how, wait)
 
     def record_back(self, leg_record: LegRecord, kind: str) -> None:
+        """The balancer got the result of a leg."""
         self.world.counters[f"leg_{kind.replace(' ', '_')}"] += 1
         self.world.trace.add(self.world.now, "back", leg_record.attempt.id, leg_record.number, kind)
 
     def record_stop(self, how: str) -> None:
+        """The balancer ended."""
         self.alive = False
         self.world.discovery.watching.pop(self, None)
         self.world.trace.add(self.world.now, "stop", self.name, how)
 
 
 class VirtualNode(BalancerRecord, Accounting):
+    """One incarnation of a balancer; `balancer_class(settings, seed, host)` makes its decisions."""
+
     def __init__(
         self,
         world: World,
@@ -106,26 +120,28 @@
         balancer_class: Callable[..., Any],
     ):
         BalancerRecord.__init__(self, world, name, number, zone, incarnation)
-        self.machines: dict[int, Machine] = {}  # by mark
+        self.machines: dict[int, Machine] = {}  # by id hash
         Accounting.__init__(self, settings, seed, world.now, balancer_class)
 
-    # Turns.
+    # Events.
 
-    def turn(self, what: Callable, *values: Any) -> None:
-        """One thing happens to it now. A fault ends neither the run nor other calls, as on sockets."""
+    def turn(self, callback: Callable, *values: Any) -> None:
+        """Handles one event now. An exception is recorded and ends neither the run nor other calls, as on
+        sockets."""
         if not self.alive:
             return
         self.now = self.world.now
         try:
-            what(*values)
+            callback(*values)
         except Exception as error:
             self.world.counters["faults"] += 1
             self.world.trace.add(self.now, "fault", self.name, repr(error))
 
-    def schedule_now(self, what: Callable, *values: Any) -> None:
-        self.world.event_queue.schedule_after(0.0, RESULT, self.turn, what, *values)
+    def schedule_now(self, callback: Callable, *values: Any) -> None:
+        """Runs the callback as an event of its own once the present one is over."""
+        self.world.event_queue.schedule_after(0.0, RESULT, self.turn, callback, *values)
 
-    # The Host.
+    # The `Host` of the decisions (model.py).
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
         leg = self.begin_leg(call, server)
@@ -149,6 +165,7 @@
         self.answer(call, "released")
 
     def answer(self, call: Call, how: str, wait: float = 0.0) -> None:
+        """Sends the final answer, other than that the connection is established."""
         call.done = True
         attempt: Attempt = call.host_record
         self.record_answer(attempt, how, wait)
@@ -176,20 +193,20 @@
     def send_datagram(self, peer: int | None, data: bytes) -> None:
         self.world.send_datagram(self, peer, data)
 
-    def set_timer(self, when: float, what: Any) -> None:
-        self.world.event_queue.schedule_at(when, TIMER, self.turn, self.on_timer, what)
+    def set_timer(self, when: float, token: Any) -> None:
+        self.world.event_queue.schedule_at(when, TIMER, self.turn, self.on_timer, token)
 
-    def on_timer(self, what: Any) -> None:
-        self.balancer.on_timer(what)
+    def on_timer(self, token: Any) -> None:
+        self.balancer.on_timer(token)
 
     def log(self, text: str) -> None:
         if len(self.world.log_lines) < MAX_LOG_LINES:
             self.world.log_lines.append((self.now, self.name, text))
 
-    # What happens to it.
+    # Events from clients, servers and discovery.
 
     def start_call(self, attempt: Attempt) -> None:
-        """A client's first line."""
+        """A client's request arrived."""
         demand = attempt.demand
         call = self.new_call(
             demand.type,
@@ -209,11 +226,11 @@
             self.balancer.on_call(call)
 
     def on_setup_done(self, leg_record: LegRecord) -> None:
-        """The server's UP came."""
+        """The server reported that the connection is up."""
         if leg_record.over:
             return
         if leg_record.leg.call.done:
-            self.end_leg(leg_record, model.CANCELLED)  # it would stand for nobody
+            self.end_leg(leg_record, model.CANCELLED)  # nobody waits for it any more
             return
         self.record_answer(leg_record.attempt, "completed")
         self.world.event_queue.schedule_after(
@@ -225,7 +242,7 @@
             self.move(leg_record.leg.call)
 
     def end_leg(self, leg_record: LegRecord, kind: str) -> None:
-        """The leg's one result."""
+        """Reports the one result of the leg to the decisions; later results are ignored."""
         if leg_record.over:
             return
         leg_record.over, leg = True, leg_record.leg
@@ -236,7 +253,7 @@
         self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.established or leg.call.done)
 
     def move_client(self, attempt: Attempt, kind: str) -> None:
-        """The client is told to come again, between two lines, and both sides end."""
+        """Asks the client to connect again, and ends both sides. `kind` is the result of the leg."""
         leg_record = attempt.leg_record
         if leg_record is None or leg_record.over or not leg_record.leg.established:
             return
@@ -245,7 +262,7 @@
         self.end_leg(leg_record, kind)
 
     def on_server_closed(self, leg_record: LegRecord) -> None:
-        """The server ended the connection, or the kernel says that it is gone."""
+        """The server closed the connection, or it was reset."""
         if leg_record.over:
             return
         if leg_record.leg.established:
@@ -255,7 +272,7 @@
         self.end_leg(leg_record, model.RESET)
 
     def on_client_closed(self, attempt: Attempt, kind: str) -> None:
-        """The client ended the connection."""
+        """The client closed the connection; `kind` is the result of its leg."""
         call, leg_record = attempt.call, attempt.leg_record
         if call is None:
             return
@@ -269,7 +286,7 @@
             self.end_leg(leg_record, kind)
 
     def resume_standing(self, attempt: Attempt, machine: Machine) -> LegRecord:
-        """A connection that stood before the run."""
+        """Takes over a connection that was established before the run."""
         demand = attempt.demand
         call = self.new_call(demand.type, 0.0, key=demand.key, group=demand.group, tenant=demand.tenant)
         call.host_record, attempt.call = attempt, call
@@ -284,35 +301,36 @@
         return leg_record
 
     def apply_list(self, rows: list[tuple[Machine, str, float]], whole: bool) -> None:
-        """The list or changes of it."""
+        """Applies entries of the server list: the whole list, or the changed entries only."""
         if self.alive:
             for machine, state, since in rows:
                 self.record_told(machine, state, since)
-            marks = self.world.id_hashes
+            id_hashes = self.world.id_hashes
             for machine, _, _ in rows:
-                self.machines[marks[machine]] = machine
+                self.machines[id_hashes[machine]] = machine
             self.turn(
                 self.apply_entries,
-                [(marks[m], state, m.cell, m.zone, m.kind.listed, since, 0) for m, state, since in rows],
+                [(id_hashes[m], state, m.cell, m.zone, m.kind.listed, since, 0) for m, state, since in rows],
                 whole,
             )
 
     def on_discovery_failure(self) -> None:
-        """A question to discovery failed, or a watch ended."""
+        """A request to discovery failed, or a watch ended."""
         self.discovery_failed = True
         self.turn(self.balancer.on_discovery_failed)
         if self.alive and not self.settings.asks:
             self.world.event_queue.schedule_after(WATCH_RETRY_SECONDS, LIST_UPDATE, self.turn, self.watch)
 
-    # Its beginning and its end.
+    # Start and end.
 
     def begin_watch(self) -> None:
-        """Where changes come unasked, the host holds the watch."""
+        """Opens the watch, unless the decisions ask for it themselves (`asks`)."""
         if not self.settings.asks:
             self.watch()
 
     def stop(self, how: str) -> None:
-        """Killed, or at the end of its way out: all it knew is gone, its connections end on both sides."""
+        """Ends the balancer, killed or after its shutdown: its state is lost, its connections end on both
+        sides."""
         self.record_stop(how)
         for attempt in list(self.attempts):
             if attempt.leg_record and not attempt.leg_record.over:
@@ -323,7 +341,8 @@
             )
 
     def begin_shutdown(self, grace: float) -> None:
-        """Asked to end, as on SIGTERM: net/shutdown.py says when who is moved."""
+        """Begins a shutdown, as on SIGTERM: clients are moved at the times of net/shutdown.py, within `grace`
+        seconds."""
         if not self.alive or self.shutting_down:
             return
         self.shutting_down = True
@@ -342,5 +361,6 @@
         )
 
     def move_rest(self) -> None:
+        """Moves all clients that are still connected."""
         for attempt in list(self.attempts):
             self.move_client(attempt, model.CANCELLED)
