--- a/bellrack/lab/discovery_model.py
+++ b/bellrack/lab/discovery_model.py
@@ -1,7 +1,7 @@
-"""Discovery in virtual time, and the front that deals out clients.
+"""Models of discovery and of the front, which distributes clients over balancers.
 
-Owns what the service knows of the servers and when it tells whom, and which balancers the front takes for
-alive. Neither sees a server's load, and neither decides where a call goes.
+Discovery knows the states of servers with a delay, and tells balancers with another. The front knows with a
+delay which balancers are alive. Neither sees the load of servers, and neither chooses a server for a call.
 """
 
 from __future__ import annotations
@@ -16,29 +16,34 @@
     from bellrack.lab.node import VirtualNode
     from bellrack.lab.world import World
 
-FAILED_REQUEST_FACTOR = 4  # times as long counts a change as untold to a balancer whose question has failed
-RESPONSE_SECONDS = 0.002  # seconds that the service takes for an answer
+# After a failed request, a balancer has this many times as long to ask again before it counts as told.
+FAILED_REQUEST_FACTOR = 4
+RESPONSE_SECONDS = 0.002  # that the service takes for an answer
 
 
 class DiscoveryModel:
-    """Servers as discovery knows them: late, and by their processes alone."""
+    """The servers as discovery knows them: late, and only by whether their processes run."""
 
     def __init__(self, world: World):
         self.world, self.config, self.stream = world, world.scenario.listing, world.streams["list"]
         self.known: dict[Machine, tuple[str, float]] = dict.fromkeys(world.machines, (model.READY, 0.0))
-        self.notice_due: dict[Machine, float] = {}  # when the last change of each is known
-        self.down = 0  # outages that last
-        self.watching: dict[VirtualNode, None] = {}
-        self.lines = 0
+        self.notice_due: dict[Machine, float] = {}  # when it learns of the last change of each
+        self.down = 0  # number of outages in force
+        self.watching: dict[VirtualNode, None] = {}  # balancers with an open watch
+        self.lines = 0  # list entries sent
 
     def change(self, machine: Machine, state: str, since: float, silent: bool = False) -> None:
-        """It happened; the service learns of it later, of changes to one server in their order."""
+        """A server changed its state; discovery learns of it later, in the order of the server's changes.
+
+        `since` is the start of the server's process. `silent`: its machine vanished, which is noticed later.
+        """
         notice = self.stream.uniform_between(self.config.silent_notice if silent else self.config.notice)
         when = max(self.world.now + notice, self.notice_due.get(machine, 0.0))
         self.notice_due[machine] = when
         self.world.event_queue.schedule_at(when, TROUBLE, self.learn, machine, state, since)
 
     def learn(self, machine: Machine, state: str, since: float) -> None:
+        """Discovery learns of a change and sends it to all watches."""
         if self.known[machine] == (state, since):
             return
         self.known[machine] = state, since
@@ -54,16 +59,19 @@
         )
 
     def count_as_told(self, machine: Machine, state: str, since: float, after_failure: bool) -> None:
-        """One that neither watches nor asks counts as told: it can't plead that it never heard. `even_so`:
-        also one that has asked in vain."""
+        """Counts balancers as told that neither watch nor asked in time, so that rule 3 binds them too.
+
+        `after_failure`: also those whose last request failed.
+        """
         if self.known[machine] == (state, since):
             for node in self.world.nodes:
-                deaf = node not in self.watching and (after_failure or not node.discovery_failed)
-                if node.alive and deaf and node.told.get(machine) != (state, since):
+                not_listening = node not in self.watching and (after_failure or not node.discovery_failed)
+                if node.alive and not_listening and node.told.get(machine) != (state, since):
                     node.record_told(machine, state, since)
 
     def send_update(self, node: VirtualNode, machines: list[Machine], whole: bool) -> None:
-        """Each balancer's line has its own delay; lines to one of them stay in order."""
+        """Sends the entries of these servers. Each line has its own delay; lines to one balancer keep their
+        order. `whole`: the entries are the whole list."""
         node.discovery_failed = False
         wait = RESPONSE_SECONDS + self.world.client_delay() + self.config.spread * self.stream.uniform()
         node.last_arrival = max(node.last_arrival, self.world.now + wait)
@@ -72,9 +80,11 @@
         self.world.event_queue.schedule_at(node.last_arrival, LIST_UPDATE, node.apply_list, rows, whole)
 
     def rows(self) -> list[tuple[Machine, str, float]]:
+        """Server, state and start of all servers, as discovery knows them."""
         return [(machine, *known) for machine, known in self.known.items()]
 
     def watch(self, node: VirtualNode, on: bool) -> None:
+        """Opens or closes the watch of a balancer; the first update is the whole list."""
         if not on:
             self.watching.pop(node, None)
         elif self.down:
@@ -86,6 +96,7 @@
             self.send_update(node, list(self.known), True)
 
     def fetch(self, node: VirtualNode) -> None:
+        """Sends a balancer the whole list once."""
         if self.down:
             self.world.event_queue.schedule_after(
                 self.world.client_delay() * 2, LIST_UPDATE, node.on_discovery_failure
@@ -94,7 +105,7 @@
             self.send_update(node, list(self.known), True)
 
     def set_outage(self, down: bool) -> None:
-        """An outage begins or ends; watches end with it, and each balancer is told that at once."""
+        """Begins or ends an outage. When one begins, all watches end, and their balancers notice at once."""
         self.down += 1 if down else -1
         if down:
             watching, self.watching = list(self.watching), {}
@@ -105,20 +116,24 @@
 
 
 class Front:
-    """Deals out clients among the balancers of their zone that it takes for alive, else among all."""
+    """Distributes clients over the balancers of their zone that it considers alive, else over those of all
+    zones."""
 
     def __init__(self, world: World):
         self.world, self.stream = world, world.streams["front"]
         self.alive: list[list[VirtualNode]] = [[] for _ in world.scenario.zone]
 
     def add(self, node: VirtualNode) -> None:
+        """The front begins to send clients to a balancer."""
         if node.alive:
             self.alive[node.zone].append(node)
 
     def remove(self, node: VirtualNode) -> None:
+        """The front stops sending clients to a balancer."""
         if node in self.alive[node.zone]:
             self.alive[node.zone].remove(node)
 
     def choose(self, zone: int) -> VirtualNode | None:
-        among = self.alive[zone] or [node for nodes in self.alive for node in nodes]
-        return among[int(self.stream.uniform() * len(among))] if among else None
+        """A balancer for a client of this zone, drawn at random; None if none is alive."""
+        candidates = self.alive[zone] or [node for nodes in self.alive for node in nodes]
+        return candidates[int(self.stream.uniform() * len(candidates))] if candidates else None
--- a/bellrack/lab/rule_checker.py
+++ b/bellrack/lab/rule_checker.py
@@ -1,8 +1,8 @@
-"""The rule_checker: judges the four rules by the event trace alone.
+"""Checks the four rules on the event trace of a run.
 
-Owns what counts as a breach of which rule. It reads entries in order of time and the scenario's figures,
-never the books of a host, the counters of a run or the state of a server; so it convicts a balancer by what
-clients, servers and discovery saw of it, on virtual time and on sockets alike.
+Inputs are the trace entries in order of time and the settings of the scenario; the bookkeeping of balancers,
+the counters of a run and the state of servers are not read. A breach is therefore something that clients,
+servers or discovery observed, in a virtual-time run and in a loopback run alike.
 """
 
 from __future__ import annotations
@@ -14,15 +14,18 @@
 from bellrack.lab.scenario import Kind, Scenario, Type, server_names
 from bellrack.model import NEVER_RAN, ONCE_ONLY, READY, REFERENCED
 
-MAX_HOLD_SECONDS = (
-    0.1  # seconds beyond the setup target that a call may lie without a leg until it is given up
-)
-MAX_BREACHES_KEPT = 50  # breaches of a rule that are kept; more are counted
-INFORMED_SHARE = 2 / 3  # of a fall's requests; over it they came from balancers told of the server's start
+# A call without an open leg may wait this long after its setup target, or after its last leg, to be given up.
+MAX_HOLD_SECONDS = 0.1
+MAX_BREACHES_KEPT = 50  # for each rule; further ones are only counted
+# The fall of a cold server breaches rule 4 if more than this share of its requests came from balancers that
+# had been told of its start.
+INFORMED_SHARE = 2 / 3
 
 
 @dataclass(eq=False)
 class Breach:
+    """A breach of a rule; `what` stands in results."""
+
     rule: int
     at: float  # seconds on the run's clock
     what: str
@@ -31,16 +34,18 @@
 
 @dataclass(eq=False)
 class Leg:
+    """What the trace shows of one leg. Times are seconds on the run's clock."""
+
     number: int
     server: str
     sent: float
-    kind: str | None = None  # its result, as its balancer heard it
+    kind: str | None = None  # its result, as reported to the balancer
     ended: float = 0.0
 
 
 @dataclass(eq=False)
 class Call:
-    """What was seen of one call."""
+    """What the trace shows of one call. Times are seconds on the run's clock."""
 
     number: int
     balancer: str
@@ -49,15 +54,19 @@
     taken: float
     guard: float
     answer: str | None = None
-    gone: float | None = None  # when its balancer knew that nobody waits any more
-    lost: bool = False  # its balancer was killed
+    gone: float | None = None  # when the balancer learned that the client had left
+    lost: bool = False  # its balancer ended
     legs: list[Leg] = field(default_factory=list)
 
 
 class RuleChecker:
+    """Checks one trace.
+
+    Two arguments allow for traces of real sockets: `slack` (seconds) is added to each time limit; `unseen` is
+    the time (seconds) that a call may spend on connections that never come up, which no trace shows.
+    """
+
     def __init__(self, scenario: Scenario, slack: float = 0.0, unseen: float = 0.0):
-        """For traces of real sockets, `slack`: seconds added to each time limit, and `unseen`: seconds that a
-        call may spend on connections that never come up, of which no trace of ours can tell."""
         self.scenario, self.slack, self.unseen = scenario, slack, unseen
         names = server_names(scenario)
         kinds: dict[str, Kind] = {kind.name: kind for kind in scenario.kind}
@@ -65,28 +74,30 @@
         self.zones = {name: row.zone for name, row in names}
         self.cells = {name: number % scenario.cells for number, (name, _) in enumerate(names)}
         self.calls: dict[int, Call] = {}
-        self.ran: dict[int, int] = {}  # effects by request
-        self.told: dict[tuple[str, str], tuple[str, float]] = {}  # balancer and server: state, since when
-        self.overlaps: dict[int, tuple[Leg, float]] = {}  # by call: a leg out when the next came, and when
-        self.cold_since: dict[str, float] = {}  # servers that came back, and when
-        self.cold_requests: dict[
-            str, deque[tuple[float, bool]]
-        ] = {}  # requests on a cold server, sent knowingly
+        self.ran: dict[int, int] = {}  # number of effects, by request
+        # By balancer and server: state, and since when.
+        self.told: dict[tuple[str, str], tuple[str, float]] = {}
+        # By call: a leg that seemed open when the next one was sent, and when that was.
+        self.overlaps: dict[int, tuple[Leg, float]] = {}
+        self.cold_since: dict[str, float] = {}  # starts of the servers that were restarted
+        # By cold server: time of each request, and whether its balancer had been told of the start.
+        self.cold_requests: dict[str, deque[tuple[float, bool]]] = {}
         self.breaches: list[Breach] = []
         self.counts = {1: 0, 2: 0, 3: 0, 4: 0}
 
     def breach(self, rule: int, at: float, what: str, call: int | None = None) -> None:
+        """Records a breach."""
         self.counts[rule] += 1
         if self.counts[rule] <= MAX_BREACHES_KEPT:
             self.breaches.append(Breach(rule, at, what, call))
 
     def check(self, entries: Iterable[tuple]) -> list[Breach]:
-        """All breaches, in the order in which they were seen."""
+        """Checks a whole trace; returns the breaches in the order in which they were found."""
         last = 0.0
         for last, kind, *fields in entries:
-            seen = getattr(self, f"on_{kind}", None)
-            if seen:
-                seen(last, *fields)
+            handler = getattr(self, f"on_{kind}", None)
+            if handler:
+                handler(last, *fields)
         for number, (_, since) in self.overlaps.items():
             self.breach(2, since, "two legs out", number)
         for call in self.calls.values():
@@ -96,14 +107,17 @@
 
     @property
     def answer_grace(self) -> float:
-        """Seconds after the guard time in which an answer still counts."""
+        """Seconds after the guard time in which an answer is still in time."""
         return self.scenario.rules.answer_slack + self.slack
 
     def is_owed(self, call: Call) -> bool:
-        """A client that hangs up at its guard time has waited in vain, and excuses nothing."""
+        """Whether the call is still owed an answer.
+
+        A client that leaves at its guard time or later has waited in vain: its call counts as unanswered.
+        """
         return call.answer is None and not call.lost and (call.gone is None or call.gone >= call.guard)
 
-    # Rule 1.
+    # Handlers of trace entries, by kind. Rule 1.
 
     def on_call(self, now: float, number: int, balancer: str, request: int, kind: int, guard: float) -> None:
         self.calls[number] = Call(number, balancer, request, self.scenario.type[kind], now, guard)
@@ -129,13 +143,16 @@
         call.answer = call.answer or how
         if how == "completed":
             return
-        idle = max([call.taken + call.type.setup_target, *(leg.ended for leg in call.legs)])
-        if all(leg.kind for leg in call.legs) and now > idle + MAX_HOLD_SECONDS + self.slack + self.unseen:
-            self.breach(1, now, f"{how} held back for {now - idle:.3f} s", number)
+        idle_since = max([call.taken + call.type.setup_target, *(leg.ended for leg in call.legs)])
+        if (
+            all(leg.kind for leg in call.legs)
+            and now > idle_since + MAX_HOLD_SECONDS + self.slack + self.unseen
+        ):
+            self.breach(1, now, f"{how} held back for {now - idle_since:.3f} s", number)
         if how == "rejected" and (possibly_run := self.possibly_run(call)):
-            # A reject says that trying again is harmless.
-            known = call.type.effect == REFERENCED and call.type.group == "all"
-            if call.type.effect == ONCE_ONLY or call.type.effect == REFERENCED and not known:
+            # A reject tells the client that a retry is harmless.
+            all_drop_repeats = call.type.effect == REFERENCED and call.type.group == "all"
+            if call.type.effect == ONCE_ONLY or call.type.effect == REFERENCED and not all_drop_repeats:
                 self.breach(
                     2, now, f"{call.type.effect} rejected, may have run on {possibly_run[0].server}", number
                 )
@@ -147,9 +164,9 @@
     def on_stop(self, now: float, balancer: str, how: str) -> None:
         for call in self.calls.values():
             if call.balancer == balancer and not call.lost:
-                standing = call.answer == "completed" and call.legs and call.legs[-1].kind is None
+                established = call.answer == "completed" and call.legs and call.legs[-1].kind is None
                 if how == "left" and (
-                    standing or self.is_owed(call) and now < call.guard + self.answer_grace
+                    established or self.is_owed(call) and now < call.guard + self.answer_grace
                 ):
                     self.breach(1, now, "cut off by a balancer on its way out", call.number)
                 call.lost = True
@@ -157,6 +174,7 @@
     # Rules 2 and 3.
 
     def possibly_run(self, call: Call) -> list[Leg]:
+        """The legs that may have taken effect."""
         return [leg for leg in call.legs if leg.kind not in NEVER_RAN]
 
     def on_leg(self, now: float, number: int, order: int, balancer: str, server: str) -> None:
@@ -165,10 +183,8 @@
             self.breach(1, now, f"a leg after its end ({call.answer or 'client gone'})", number)
         if open_legs := [leg for leg in call.legs if leg.kind is None]:
             if self.slack:
-                self.overlaps[number] = (
-                    open_legs[0],
-                    now,
-                )  # its end may have come first and be seen a moment later
+                # On sockets, the leg may have ended before, and its end be observed a moment later.
+                self.overlaps[number] = open_legs[0], now
             else:
                 self.breach(2, now, "two legs out", number)
         if len(call.legs) >= self.scenario.rules.max_legs:
@@ -187,6 +203,7 @@
             self.breach(3, now, f"sent to {server}, told {state} {now - since:.3f} s before", number)
 
     def same_group(self, kind: Type, one: str, other: str) -> bool:
+        """Whether both servers drop each other's repeats of this traffic type."""
         if kind.group == "all":
             return True
         return (self.zones if kind.group == "zone" else self.cells)[one] == (
@@ -209,8 +226,8 @@
             self.breach(2, now, f"{call.type.effect} took effect {self.ran[call.request]} times", number)
 
     def on_told(self, now: float, balancer: str, server: str, state: str) -> None:
-        before = self.told.get((balancer, server))
-        if before is None or before[0] != state or state == READY:
+        previous = self.told.get((balancer, server))
+        if previous is None or previous[0] != state or state == READY:
             self.told[balancer, server] = state, now
 
     # Rule 4.
@@ -234,8 +251,8 @@
         while requests[0][0] <= now - rules.push_window:
             requests.popleft()
         if self.scenario.overloads_cold_server(len(requests), self.kinds[server], capacity):
-            del self.cold_since[server]  # it has fallen: what comes later is no second fall
-            if sum(told for _, told in requests) > INFORMED_SHARE * len(requests):
+            del self.cold_since[server]  # it has fallen; later requests are no second fall
+            if sum(informed for _, informed in requests) > INFORMED_SHARE * len(requests):
                 self.breach(
                     4,
                     now,
--- a/bellrack/lab/trace.py
+++ b/bellrack/lab/trace.py
@@ -1,8 +1,7 @@
-"""The event trace of a run: what clients, servers, the list and the network saw, in order of time.
+"""The event trace of a run: what clients, servers, discovery and the network observed, in order of time.
 
-Owns the kinds of entries and their fields. It is written by the world alone, never by the books of a host,
-and holds all that the referee may judge by. An entry is a tuple of its time (seconds), its kind and its
-fields.
+The simulated world writes it, independently of the bookkeeping of balancers; the rule checker uses nothing
+else of a run. An entry is a tuple of its time (seconds), its kind and the fields listed in FIELDS.
 """
 
 from __future__ import annotations
@@ -16,36 +15,40 @@
     "start": "balancer incarnation",
     "stop": "balancer how",
     "fault": "balancer what",
-    # what a balancer has been told of a server: state and start, as listed
+    # discovery told a balancer the state of a server
     "told": "balancer server state",
-    # a connection that stood before the run
+    # a connection that was established before the run
     "stood": "call balancer server",
-    # calls: taken by a balancer; answered; nobody waits any more; ended for the client after it stood
+    # calls: received by a balancer; answered; the client left before the answer; an established connection
+    # ended for the client
     "call": "call balancer request type guard",
     "answer": "call how wait",
     "gone": "call",
     "over": "call how",
-    # legs: sent; reached the server; took effect there; the balancer was told of its end
+    # legs: sent; reached the server; took effect there; the balancer learned of its end
     "leg": "call number balancer server",
     "work": "server call work demand capacity",
     "ran": "call number server",
     "back": "call number kind",
-    # servers: cold, drain, down, fell, hang
+    # servers; `what` is cold, drain, down, fell or hang
     "server": "server what",
-    # the script
+    # a trouble of the scenario began; `what` is its kind
     "trouble": "what",
 }
 
 
 class Trace:
+    """The entries of a run."""
+
     def __init__(self) -> None:
         self.entries: list[tuple] = []
 
     def add(self, now: float, kind: str, *fields: object) -> None:
+        """Adds an entry; the fields are those of FIELDS, in their order."""
         self.entries.append((now, kind, *fields))
 
     def write(self, path: str | Path) -> None:
-        """One JSON array a line, headed by the names of the fields."""
+        """Writes one JSON array a line, after a first line with the version and the names of the fields."""
         encoder = msgspec.json.Encoder()
         with open(path, "wb") as file:
             file.write(encoder.encode({"trace": 1, "fields": FIELDS}) + b"\n")
@@ -54,9 +57,9 @@
 
 
 def read_trace(path: str | Path) -> list[tuple]:
-    """The entries of a written trace. Raises ValueError for what is none."""
+    """Reads the entries of a trace file. Raises ValueError if it is no trace of version 1."""
     with open(path, "rb") as file:
-        head = msgspec.json.decode(file.readline())
-        if not isinstance(head, dict) or head.get("trace") != 1:
+        header = msgspec.json.decode(file.readline())
+        if not isinstance(header, dict) or header.get("trace") != 1:
             raise ValueError(f"{path}: no trace of version 1")
         return [tuple(msgspec.json.decode(line)) for line in file]
