--- a/bellrack/lab/__init__.py
+++ b/bellrack/lab/__init__.py
@@ -1,4 +1,4 @@
-"""The lab: a model of the systems that bellrack serves, to measure builds on failures of our own making.
+"""The lab: simulates the systems that bellrack serves, to measure builds under injected faults.
 
-Nothing of it is imported by the daemon. `bellrack lab` is its command line, docs/lab.md its page.
+The daemon imports nothing of it. Its command line is `bellrack lab`, its documentation docs/lab.md.
 """
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -25,7 +25,7 @@
     TROUBLE,
     EventQueue,
 )
-from bellrack.lab.mutants import MUTANTS, lists_all
+from bellrack.lab.mutants import MUTANTS, use_all_listed
 from bellrack.lab.rule_checker import RuleChecker
 from bellrack.lab.scenario import ScenarioError, parse_scenario, with_value
 from bellrack.lab.world import World
@@ -165,7 +165,7 @@
 
     def __init__(self, settings, seed, host):
         super().__init__(settings, seed, host)
-        self.listing.handle = lists_all.__get__(self.listing)
+        self.listing.handle = use_all_listed.__get__(self.listing)
 
 
 def test_a_restart_under_the_same_id_told_with_an_older_start():
