--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,5 +1,4 @@
-"""The lab on virtual time: its hard cases, that it repeats itself to the byte, and that its referee
-convicts."""
+"""The lab on virtual time: edge cases of the simulation, reproducibility, the rule checker, the commands."""
 
 import json
 import math
@@ -34,7 +33,7 @@
 
 
 def raw(*troubles, **changes):
-    """A small scenario: two zones of two servers, a balancer in each, no chance in the network."""
+    """The tables of a small scenario: two zones, each with two servers and a balancer; constant delays."""
     base = {
         "name": "small",
         "length": 20.0,
@@ -58,12 +57,12 @@
     return [entry for entry in world.trace.entries if entry[1] == kind]
 
 
-def kept(world):
+def rules_kept(world):
     return not RuleChecker(world.scenario).check(world.trace.entries)
 
 
 class Scripted:
-    """A balancer that does what a test says."""
+    """A balancer without decisions; subclasses define the handlers that a test needs."""
 
     def __init__(self, settings, seed, host):
         self.settings, self.host, self.fleet = settings, host, []
@@ -78,43 +77,45 @@
         return lambda *values: None
 
 
-def test_events_at_one_instant_go_by_rank_and_then_in_order():
-    event_queue, seen = EventQueue(), []
+def test_events_at_one_time_run_by_rank_and_then_in_order_of_scheduling():
+    event_queue, order = EventQueue(), []
     for rank in (GUARD_TIME, TIMER, ARRIVAL, RESULT, LIST_UPDATE, TROUBLE):
         for turn in "ab":
-            event_queue.schedule_at(START + 1, rank, seen.append, (rank, turn))
+            event_queue.schedule_at(START + 1, rank, order.append, (rank, turn))
     event_queue.schedule_at(
         START + 1,
         TIMER,
-        lambda: event_queue.schedule_after(0, LIST_UPDATE, seen.append, "put down meanwhile"),
+        lambda: event_queue.schedule_after(0, LIST_UPDATE, order.append, "scheduled meanwhile"),
     )
     event_queue.run(START + 1)
-    assert [one for one in seen if one != "put down meanwhile"] == [
+    assert [event for event in order if event != "scheduled meanwhile"] == [
         (rank, turn) for rank in (TROUBLE, LIST_UPDATE, RESULT, ARRIVAL, TIMER, GUARD_TIME) for turn in "ab"
     ]
-    assert (
-        seen.index("put down meanwhile") == seen.index((GUARD_TIME, "a")) - 1
-    )  # before whatever comes later
+    # Before all events of later ranks.
+    assert order.index("scheduled meanwhile") == order.index((GUARD_TIME, "a")) - 1
 
 
 @pytest.mark.parametrize("late, in_time", [(0.0, True), (1e-6, False)])
-def test_an_answer_at_the_very_guard_time_has_come_in_time(late, in_time):
-    class Punctual(Scripted):
+def test_an_answer_exactly_at_the_guard_time_is_in_time(late, in_time):
+    class AnswersAtDeadline(Scripted):
         def on_call(self, call):
-            self.host.set_timer(call.deadline - 0.0007 + late, call)  # the client hears it a delay later
+            # The client gets the answer one network delay later.
+            self.host.set_timer(call.deadline - 0.0007 + late, call)
 
         def on_timer(self, call):
             if not call.done:
                 self.host.reject(call)
 
     world = played(
-        policy=lambda world: Punctual, length=2.0, clients={"again": [0.0, 0.0], "retries": 0, "life": 600.0}
+        policy=lambda world: AnswersAtDeadline,
+        length=2.0,
+        clients={"again": [0.0, 0.0], "retries": 0, "life": 600.0},
     )
     assert world.counters["calls"] > 3
     assert world.counters["gave_up"] == (0 if in_time else world.counters["calls"])
 
 
-def test_a_server_that_dies_between_accepting_and_answering_leaves_the_doubt():
+def test_a_once_only_call_is_released_when_its_server_crashes_during_the_set_up():
     slow = [{"name": "k", "setup": 0.9, "cores": 1.0}]
     types = [{"name": "order", "effect": "once-only", "guard": 3.0, "setup_target": 3.0}]
     world = played(
@@ -125,63 +126,65 @@
         length=6.0,
     )
     ran = {entry[2] for entry in entries(world, "ran")}
-    died_in_set_up = [
+    reset_in_set_up = [
         entry
         for entry in entries(world, "back")
         if entry[0] < START + 5.1 and entry[4] == model.RESET and entry[2] not in ran
     ]
-    assert died_in_set_up
+    assert reset_in_set_up
     released = {entry[2] for entry in entries(world, "answer") if entry[3] == "released"}
-    assert {entry[2] for entry in died_in_set_up} <= released  # neither sent again nor rejected
-    assert kept(world)
+    assert {entry[2] for entry in reset_in_set_up} <= released  # neither sent again nor rejected
+    assert rules_kept(world)
 
 
-def test_a_drain_told_to_one_balancer_and_not_yet_to_another():
+def test_rule_3_binds_a_balancer_only_once_it_was_told_of_the_drain():
     world = played(
         {"kind": "drain", "at": 5.0, "servers": ["a-k-1"], "lasts": 12.0},
         seed=3,
-        policy=lambda world: Blind,
+        policy=lambda world: UsesAllListed,
         listing={"notice": [0.0, 0.0], "spread": 5.0},
         clients={"rate": 40.0, "life": 2.0},
         rules={"drain_grace": 0.1},
     )
     told = {entry[2]: entry[0] for entry in entries(world, "told") if entry[4] == model.DRAINING}
-    early, late = sorted(told, key=told.__getitem__)
-    assert told[late] - told[early] > 0.5
+    first, last = sorted(told, key=told.__getitem__)
+    assert told[last] - told[first] > 0.5
     between = [
         entry
         for entry in entries(world, "leg")
-        if told[early] + 0.1 < entry[0] < told[late] and entry[5] == "a-k-1"
+        if told[first] + 0.1 < entry[0] < told[last] and entry[5] == "a-k-1"
     ]
-    assert {entry[4] for entry in between} == {early, late}  # Blind sends on
-    broken = [breach for breach in RuleChecker(world.scenario).check(world.trace.entries) if breach.rule == 3]
-    balancer = {entry[2]: entry[3] for entry in entries(world, "call")}
-    guilty = {balancer[breach.call] for breach in broken if breach.at < told[late]}
-    assert guilty == {early}  # the other had not been told: it could not know
+    assert {entry[4] for entry in between} == {first, last}  # UsesAllListed keeps sending
+    breaches = [
+        breach for breach in RuleChecker(world.scenario).check(world.trace.entries) if breach.rule == 3
+    ]
+    balancer_of = {entry[2]: entry[3] for entry in entries(world, "call")}
+    in_breach = {balancer_of[breach.call] for breach in breaches if breach.at < told[last]}
+    assert in_breach == {first}  # the other one had not been told yet
 
 
-class Blind(baselines.Baseline):
-    """Sends to whatever was ever listed."""
+class UsesAllListed(baselines.Baseline):
+    """Sends calls to any server that was ever listed."""
 
     def __init__(self, settings, seed, host):
         super().__init__(settings, seed, host)
         self.listing.handle = use_all_listed.__get__(self.listing)
 
 
-def test_a_restart_under_the_same_id_told_with_an_older_start():
+def test_a_restart_listed_with_an_older_start_keeps_the_rules():
     world = played({"kind": "crash", "at": 4.0, "servers": ["a-k-1"], "lasts": 3.0, "told_older": 900.0})
     machine = world.machines_by_name["a-k-1"]
     node = world.nodes[0]
     told = node.servers[world.id_hashes[machine]]
     assert told.state == model.READY and told.started_at == pytest.approx(START + 7.0 - 900.0)
     assert machine.started == START + 7.0 and told.local_state.started_at == told.started_at
-    assert kept(world) and not world.counters["fell"]
+    assert rules_kept(world) and not world.counters["fell"]
 
 
-def test_a_client_gone_while_its_leg_is_out_leaves_nothing_behind():
+def test_a_client_that_leaves_during_its_leg_leaves_no_state_behind():
     world = played(kind=[{"name": "k", "setup": 0.2}], clients={"rate": 20.0, "life": 0.1}, length=5.0)
     assert len(entries(world, "gone")) > 5
-    assert kept(world)
+    assert rules_kept(world)
     for node in world.nodes:
         assert not node.attempts and not node.balancer.open_legs
         assert not any(
@@ -192,7 +195,7 @@
     assert not world.service_record.held.any() and not world.service_record.demanded.any()
 
 
-def test_a_trouble_that_outlasts_the_run_and_one_that_overlaps_another():
+def test_troubles_may_outlast_the_run_and_overlap_each_other():
     world = played(
         {"kind": "crash", "at": 19.0, "servers": ["a-k-1"], "lasts": 3600.0},
         {"kind": "slow", "at": 2.0, "count": 4, "lasts": 900.0, "factor": 2.0},
@@ -204,12 +207,12 @@
         {"kind": "zone-lost", "at": 12.0, "zone": "b", "lasts": 4.0},
         {"kind": "crash", "at": 12.5, "servers": ["b-k-1"], "lasts": 1.0},
         rules={"push_multiple": 50.0},
-    )  # a balancer that restarts is not told of starts at once
+    )  # the high budget allows for restarted balancers, which learn late of starts
     assert not world.machines_by_name["a-k-1"].up and world.discovery.down == 0
     assert [machine.slowdown for machine in world.machines] == pytest.approx([2.0] * 4)
     assert [machine.failing for machine in world.machines] == [0.25] * 4
     assert world.machines_by_name["b-k-1"].up and world.nodes[1].incarnation == 1
-    assert kept(world)
+    assert rules_kept(world)
 
 
 @pytest.mark.parametrize(
@@ -221,7 +224,7 @@
         {"clients": {"rate": 0.0, "standing": 7}},
     ],
 )
-def test_a_zone_without_servers_no_servers_and_no_clients(changes):
+def test_runs_without_servers_in_a_zone_without_any_servers_and_without_clients(changes):
     world = played(**changes)
     result = run.result_of(world, "bellrack")
     assert result["kept"] and result["gave_up"] == 0
@@ -233,7 +236,7 @@
         assert result["service"] > 0.98 and result["crossings"] > 0.3
 
 
-def test_what_no_machine_can_play_is_refused_before_it_starts():
+def test_refuses_a_scenario_with_too_many_events():
     with pytest.raises(ScenarioError, match="events, more than .* lower clients.rate"):
         run.run(raw(clients={"rate": 1e6}), 1)
 
@@ -258,14 +261,14 @@
         ("zone", [{"name": "a", "balancers": 0}], "zone", "no zone has a balancer"),
     ],
 )
-def test_what_is_amiss_in_a_file_is_told_with_file_key_and_reason(tmp_path, key, value, place, reason):
+def test_errors_in_a_scenario_file_name_the_file_the_key_and_the_reason(tmp_path, key, value, place, reason):
     path = tmp_path / "odd.toml"
     with pytest.raises(ScenarioError) as error:
         parse_scenario(with_value(raw(), key, value), str(path))
     assert str(error.value).startswith(f"{path}: {place}: ") and reason in str(error.value)
 
 
-def test_a_run_is_the_same_to_the_byte_whatever_runs_it(tmp_path):
+def test_results_are_byte_identical_for_any_number_of_jobs_and_hash_seed(tmp_path):
     file = EXAMPLES / "convict.toml"
     bytes_seen = set()
     for number, jobs in enumerate((1, 2)):
@@ -292,16 +295,16 @@
     assert len(bytes_seen) == 1
 
 
-def test_a_trouble_more_shifts_no_arrivals(monkeypatch):
-    made = Clients.new_demand
+def test_more_troubles_shift_no_arrivals(monkeypatch):
+    original = Clients.new_demand
 
-    def noted(clients):
-        demand = made(clients)
+    def recorded(clients):
+        demand = original(clients)
         demands.append((demand.due, demand.zone, demand.key, demand.ends))
         return demand
 
-    monkeypatch.setattr(Clients, "new_demand", noted)
-    seen = []
+    monkeypatch.setattr(Clients, "new_demand", recorded)
+    runs = []
     for troubles in (
         [],
         [
@@ -314,32 +317,34 @@
     ):
         demands = []
         played(*troubles)
-        seen.append(demands)
-    assert seen[0] == seen[1] and len(seen[0]) > 50
+        runs.append(demands)
+    assert runs[0] == runs[1] and len(runs[0]) > 50
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_each_broken_balancer_is_convicted_of_its_rule(name):
+def test_each_mutant_breaches_its_rule(name):
     scenario = tomllib.loads((EXAMPLES / "convict.toml").read_text())
     result = run.run(scenario, scenario["seed"], baselines.BROKEN + name)
     assert not result["rules"][str(MUTANTS[name][0])]["kept"]
 
 
 @pytest.mark.parametrize("policy", baselines.POLICIES)
-def test_no_honest_balancer_is_convicted(policy):
+def test_no_policy_breaches_the_rules_that_bind_it(policy):
     scenario = tomllib.loads((EXAMPLES / "convict.toml").read_text())
     result = run.run(scenario, scenario["seed"], policy)
     assert result["faults"] == 0
-    # Textbook policies know nothing of cold servers; the other three rules bind all.
+    # Baselines have no slow start, so only the other three rules bind them.
     rules = "1234" if policy in ("bellrack", "all-seeing") else "123"
     assert all(result["rules"][rule]["kept"] for rule in rules), result["rules"]
 
 
-def judged(*entries, **kind):
-    """What the referee says of a trace: rule and words of the first breach, None if there is none."""
-    form = {"name": "k", "guard": 2.0, "setup_target": 0.3, "remembered": 1.0} | kind
-    head = [(0.0, "start", "n", 0), (1.0, "call", 7, "n", 1, 0, 3.0)]
-    breaches = RuleChecker(parse_scenario(raw(type=[form]))).check([*head, *entries, (9.0, "trouble", "end")])
+def first_breach(*entries, **kind):
+    """Checks a trace of one call. Returns rule and text of the first breach, None if there is none."""
+    traffic_type = {"name": "k", "guard": 2.0, "setup_target": 0.3, "remembered": 1.0} | kind
+    beginning = [(0.0, "start", "n", 0), (1.0, "call", 7, "n", 1, 0, 3.0)]
+    breaches = RuleChecker(parse_scenario(raw(type=[traffic_type]))).check(
+        [*beginning, *entries, (9.0, "trouble", "end")]
+    )
     return (breaches[0].rule, breaches[0].what.split(",")[0]) if breaches else None
 
 
@@ -411,24 +416,26 @@
         ([REJECT, (1.2, "leg", 7, 1, "n", "a-k-1")], {}, (1, "a leg after its end (rejected)")),
     ],
 )
-def test_the_referee_judges_by_the_trace_alone(trace, kind, verdict):
-    found = judged(*trace, **kind)
+def test_the_rule_checker_finds_breaches_in_a_trace(trace, kind, verdict):
+    found = first_breach(*trace, **kind)
     assert found == verdict if verdict is None else found[0] == verdict[0] and found[1].startswith(verdict[1])
 
 
 @pytest.mark.parametrize(
-    "knowing, unknowing, falls",
+    "informed, uninformed, falls",
     [(6, 0, False), (7, 0, True), (5, 2, True), (14, 7, True), (4, 3, False), (2, 1, False)],
 )
-def test_a_cold_server_falls_over_its_budget_and_the_rule_if_over_two_thirds_knew(knowing, unknowing, falls):
-    """4 times what fills 25 connections over 20 s, at a fifth, for 2 s: N is 2 less the set-ups' work, so the
-    limit is 6.8."""
-    work = [(1.2, "work", "a-k-1", 8, 0.008, 0.0, 0.4)] * unknowing + [
+def test_the_fall_of_a_cold_server_breaches_rule_4_if_over_two_thirds_of_requests_were_informed(
+    informed, uninformed, falls
+):
+    """25 connections fill the server, which warms up in 20 s. N of rule 4 is 4 times what fills it in the
+    window of 2 s at a fifth of its capacity: 2, less the work of the set-ups. So the limit is 6.8."""
+    work = [(1.2, "work", "a-k-1", 8, 0.008, 0.0, 0.4)] * uninformed + [
         (1.2, "work", "a-k-1", 7, 0.008, 0.0, 0.4)
-    ] * knowing
-    if unknowing == 7:
-        work.sort(key=lambda entry: entry[3])  # the first fall counts: at that one all knew
-    found = judged(
+    ] * informed
+    if uninformed == 7:
+        work.sort(key=lambda entry: entry[3])  # the first fall counts: all requests until then were informed
+    found = first_breach(
         (0.5, "server", "a-k-1", "cold"),
         (0.6, "told", "n", "a-k-1", "ready"),
         (1.1, "call", 8, "m", 2, 0, 3.0),
@@ -439,14 +446,14 @@
     assert found == ((4, "a-k-1") if falls else None)
 
 
-def test_set_ups_count_in_a_window_and_not_before_it():
+def test_set_ups_of_a_cold_server_count_within_a_window_only():
     early, late = [[(at, "work", "a-k-1", 7, 0.008, 0.0, 0.4)] * 4 for at in (1.2, 3.2)]
-    head = [(0.5, "server", "a-k-1", "cold"), (0.6, "told", "n", "a-k-1", "ready"), REJECT]
-    assert judged(*head, *early, *late) is None
-    assert judged(*head, *early, *[(3.1, *entry[1:]) for entry in late]) == (4, "a-k-1")
+    beginning = [(0.5, "server", "a-k-1", "cold"), (0.6, "told", "n", "a-k-1", "ready"), REJECT]
+    assert first_breach(*beginning, *early, *late) is None
+    assert first_breach(*beginning, *early, *[(3.1, *entry[1:]) for entry in late]) == (4, "a-k-1")
 
 
-def test_interrupted_experiments_go_on_and_other_scenarios_are_refused(tmp_path, monkeypatch):
+def test_resumes_interrupted_experiments_and_refuses_another_scenario(tmp_path, monkeypatch):
     results = experiment.batch(raw(), [1, 2, 3], ["bellrack"], tmp_path, 1, quiet=True)
     (tmp_path / "bellrack-2.json").unlink()
     played_again = []
@@ -460,7 +467,7 @@
         experiment.batch(raw(length=3.0), [1], ["bellrack"], tmp_path, 1, quiet=True)
 
 
-def test_comparisons_say_no_difference_where_none_is_shown(tmp_path):
+def test_comparisons_report_no_difference_where_none_is_shown(tmp_path):
     def results(values, policy="bellrack"):
         figures = dict.fromkeys(experiment.COMPARED, 1)
         return [
@@ -480,7 +487,7 @@
         experiment.compare(base, [])
 
 
-def test_a_failing_scenario_shrinks_to_the_one_trouble_that_matters():
+def test_shrinks_a_failing_scenario_to_the_trouble_that_causes_the_failure():
     troubles = [
         {"kind": "list-down", "at": 1.0},
         {"kind": "drain", "at": 4.0, "servers": ["a-k-1"], "lasts": 9.0},
@@ -494,7 +501,7 @@
         experiment.shrink(raw(), 1)
 
 
-def test_a_sweep_sets_keys_of_the_file_and_constants_of_the_decisions(tmp_path):
+def test_a_sweep_sets_scenario_keys_and_constants_of_the_decisions(tmp_path):
     rows = experiment.sweep(raw(), "clients.rate", [2.0, 8.0], [1], "bellrack", tmp_path / "a", 1, quiet=True)
     assert rows[0]["store_calls"] < rows[1]["store_calls"]
     rows = experiment.sweep(
@@ -512,34 +519,34 @@
         experiment.sweep(raw(), "choice.NOTHING", [1], [1], "bellrack", tmp_path / "c", 1, quiet=True)
 
 
-def test_messages_between_balancers_are_lost_late_twice_and_cut_off():
-    class Talks(Scripted):
-        heard_at: list = []
+def test_datagrams_are_lost_reordered_duplicated_and_cut_off():
+    class SendsDatagrams(Scripted):
+        received_at: list = []
 
         def on_call(self, call):
             self.host.reject(call)
             self.host.send_datagram(None, f"{self.host.number} {self.host.now:.6f}".encode())
 
         def on_datagram(self, peer, data):
-            self.heard_at.append((self.host.now, self.settings.zone, peer, data))
+            self.received_at.append((self.host.now, self.settings.zone, peer, data))
 
-    def heard(**form):
-        Talks.heard_at = []
+    def received(**config):
+        SendsDatagrams.received_at = []
         played(
             {"kind": "partition", "at": 5.0, "zone": "a", "other": "b", "one_way": True, "lasts": 5.0},
-            policy=lambda world: Talks,
-            datagrams={"allowed": True} | form,
+            policy=lambda world: SendsDatagrams,
+            datagrams={"allowed": True} | config,
         )
-        return Talks.heard_at
+        return SendsDatagrams.received_at
 
-    plain = heard()
+    plain = received()
     cut = [at for at, zone, peer, _ in plain if zone == 1 and START + 5.02 < at < START + 10]
     assert plain and not cut and any(zone == 0 and START + 5 < at < START + 10 for at, zone, _, _ in plain)
-    assert len(heard(loss=0.5)) < 0.8 * len(plain)
-    assert len(heard(twice=1.0)) == 2 * len(plain)
-    order = [data for _, zone, _, data in heard(reorder=0.3, delay=[0.1, 0.5]) if zone == 0]
+    assert len(received(loss=0.5)) < 0.8 * len(plain)
+    assert len(received(twice=1.0)) == 2 * len(plain)
+    order = [data for _, zone, _, data in received(reorder=0.3, delay=[0.1, 0.5]) if zone == 0]
     assert order != sorted(order, key=lambda data: float(data.split()[1]))
-    assert not heard(allowed=False)
+    assert not received(allowed=False)
 
 
 def test_the_daemon_imports_nothing_of_the_lab(tmp_path):
@@ -574,7 +581,7 @@
     }
 
 
-def test_the_report_is_one_page_that_loads_nothing_and_repeats_itself(tmp_path):
+def test_the_report_is_a_reproducible_page_without_external_resources(tmp_path):
     from bellrack.lab import report
 
     troubles = [{"kind": "crash", "at": 5.0, "count": 1, "lasts": 3.0}]
@@ -586,14 +593,14 @@
     assert page.count("<svg") == 4 and "crash" in page and "<script" not in page
     for reference in ("src=", "<link", "@import", "url(http"):
         assert reference not in page
-    broken = [
+    with_breach = [
         results[0]
         | {
             "rules": results[0]["rules"]
             | {"3": {"kept": False, "breaches": 1, "first": [{"at": 1.0, "what": "<sent>", "call": 1}]}}
         }
     ]
-    assert "rule 3, bellrack, seed 1, at 1.000 s: &lt;sent&gt;" in report.page(broken)
+    assert "rule 3, bellrack, seed 1, at 1.000 s: &lt;sent&gt;" in report.page(with_breach)
     empty = experiment.batch(raw(servers=[]), [1], ["bellrack"], tmp_path / "empty", 1, quiet=True)
     assert "<svg" in report.page(empty)
 
@@ -617,27 +624,27 @@
         (["speed", "--size=9"], "not of the form 4x8"),
     ],
 )
-def test_what_cannot_be_done_is_one_plain_line_and_exit_2(tmp_path, capsys, arguments, words):
+def test_usage_errors_print_one_line_and_exit_with_2(tmp_path, capsys, arguments, words):
     file, folder = tmp_path / "small.toml", tmp_path / "empty"
     file.write_text(tomli_w.dumps(raw(length=2.0)))
     folder.mkdir()
     assert cli.main([part.format(file=file, folder=folder) for part in arguments]) == 2
-    said = capsys.readouterr()
-    assert said.err.count("\n") == 1 and words in said.err and not said.out
+    output = capsys.readouterr()
+    assert output.err.count("\n") == 1 and words in output.err and not output.out
 
 
-def test_every_verb_tells_its_figures_as_json(tmp_path, capsysbinary):
+def test_every_command_prints_its_results_as_json(tmp_path, capsysbinary):
     file, out = tmp_path / "small.toml", str(tmp_path / "out")
     file.write_text(tomli_w.dumps(raw({"kind": "drain", "at": 1.0, "count": 1, "lasts": 3.0}, length=5.0)))
 
-    def told(*arguments):
+    def run_command(*arguments):
         code = cli.main([*arguments, "--json=-"])
         return code, json.loads(capsysbinary.readouterr().out)
 
-    code, run_told = told(
+    code, run_results = run_command(
         "run", str(file), "--seeds=3", f"--out={out}", "--quiet", "--policy=bellrack", "--policy=random"
     )
-    assert code == 0 and [row["policy"] for row in run_told["figures"]] == ["bellrack", "random"]
+    assert code == 0 and [row["policy"] for row in run_results["figures"]] == ["bellrack", "random"]
     assert {
         "service",
         "worst_window",
@@ -651,15 +658,16 @@
         "by_type",
         "by_tenant",
         "digest",
-    } <= set(run_told["results"][0])
-    code, compared = told("compare", f"{out}:bellrack", f"{out}:random")
+    } <= set(run_results["results"][0])
+    code, compared = run_command("compare", f"{out}:bellrack", f"{out}:random")
     assert code == 0 and {"figure", "difference", "low", "high", "verdict"} <= set(compared[0])
-    assert told("report", out)[0] == 0 and (tmp_path / "out" / "report.html").exists()
-    assert [row["value"] for row in told("sweep", str(file), "length=2,3", "--quiet")[1]] == [2, 3]
-    assert told("check", str(file))[1]["servers"] == 4
-    broken = told("run", str(file), "--policy=broken:sends-to-drained", "--quiet")
-    assert broken[0] == 0 and not broken[1]["results"][0]["kept"]  # broken on purpose: no failure of ours
-    code, least = told("shrink", str(file), "--policy=broken:sends-to-drained", "--quiet")
+    assert run_command("report", out)[0] == 0 and (tmp_path / "out" / "report.html").exists()
+    assert [row["value"] for row in run_command("sweep", str(file), "length=2,3", "--quiet")[1]] == [2, 3]
+    assert run_command("check", str(file))[1]["servers"] == 4
+    mutant = run_command("run", str(file), "--policy=broken:sends-to-drained", "--quiet")
+    # A mutant breaks a rule on purpose, which is no failure of the command.
+    assert mutant[0] == 0 and not mutant[1]["results"][0]["kept"]
+    code, least = run_command("shrink", str(file), "--policy=broken:sends-to-drained", "--quiet")
     assert code == 0 and least["trouble"][0]["kind"] == "drain"
 
 
