--- a/bellrack/lab/baselines.py
+++ b/bellrack/lab/baselines.py
@@ -24,7 +24,7 @@
 RING_POINTS = 40  # of each server on the hash ring
 MAX_LOAD_RATIO = 1.25  # open connections of a server on the ring, at most, over the mean
 CROSSING_COST_CORES = 0.05  # that the all-seeing reference counts for a server in another zone
-BROKEN = "broken:"  # prefix of the name of a mutant
+MUTANT_PREFIX = "broken:"  # prefix of the name of a mutant
 # The all-seeing reference places calls by the load that they add, up to the first utilization; above it by
 # the fullness of the server; above the second, the server gets none.
 GROUPING_UTILIZATION = 0.8
@@ -193,10 +193,10 @@
     """
     if name in POLICIES:
         return POLICIES[name]
-    if name.startswith(BROKEN):
+    if name.startswith(MUTANT_PREFIX):
         from bellrack.lab import mutants
 
-        if mutant := mutants.MUTANTS.get(name.removeprefix(BROKEN)):
+        if mutant := mutants.MUTANTS.get(name.removeprefix(MUTANT_PREFIX)):
             return lambda world: mutant[1]
     if not name.endswith(".py"):
         raise ScenarioError(f"policy: no {name}; there are {', '.join(POLICIES)}, or a file of a build")
--- a/bellrack/lab/mutants.py
+++ b/bellrack/lab/mutants.py
@@ -16,7 +16,7 @@
 FAULT_INTERVAL = 5  # `loses-calls` fails at each call whose count is a multiple of this
 
 
-class Broken(choice.Balancer):
+class Mutant(choice.Balancer):
     """A balancer whose stages have some methods replaced: `stages` has them by attribute and name."""
 
     stages: dict[str, dict[str, Any]] = {}
@@ -114,7 +114,7 @@
     """Ignores slow set-ups at the cold server; overload detection would prevent the breach otherwise."""
 
 
-class LosesCalls(Broken):
+class LosesCalls(Mutant):
     """Fails at some calls, which are then never answered."""
 
     count = 0
@@ -126,7 +126,7 @@
         super().on_call(call)
 
 
-class RemembersTooLong(Broken):
+class RemembersTooLong(Mutant):
     """Assumes that servers remember referenced calls for an hour."""
 
     def __init__(self, settings: Any, seed: int, host: Any):
@@ -135,7 +135,7 @@
             kind.key_ttl = 3600.0
 
 
-class LegsWithoutEnd(Broken):
+class LegsWithoutEnd(Mutant):
     """Sends more legs for a call than the rules allow."""
 
     def __init__(self, settings: Any, seed: int, host: Any):
@@ -143,7 +143,7 @@
         settings.max_legs = 1000
 
 
-class NeverAsks(Broken):
+class NeverAsks(Mutant):
     """Never asks for the list after its start."""
 
     def on_timer(self, what: object) -> None:
@@ -151,13 +151,13 @@
             super().on_timer(what)
 
 
-def _mutant(name: str, **stages: dict[str, Any]) -> type[Broken]:
+def _mutant(name: str, **stages: dict[str, Any]) -> type[Mutant]:
     """A mutant class with these stage methods replaced."""
-    return type(name, (Broken,), {"stages": stages})
+    return type(name, (Mutant,), {"stages": stages})
 
 
 # By name: the number of the rule that the mutant breaks, and its class.
-MUTANTS: dict[str, tuple[int, type[Broken]]] = {
+MUTANTS: dict[str, tuple[int, type[Mutant]]] = {
     "answers-twice": (1, _mutant("AnswersTwice", answer={"give_up": _answers_twice})),
     "answers-late": (1, _mutant("AnswersLate", answer={"give_up": _answers_late})),
     "never-answers": (1, _mutant("NeverAnswers", answer={"give_up": _never_answers})),
--- a/bellrack/lab/rule_checker.py
+++ b/bellrack/lab/rule_checker.py
@@ -51,11 +51,11 @@
     balancer: str
     request: int
     type: Type
-    taken: float
+    received_at: float
     guard: float
     answer: str | None = None
-    gone: float | None = None  # when the balancer learned that the client had left
-    lost: bool = False  # its balancer ended
+    client_left_at: float | None = None  # when the balancer learned that the client had left
+    balancer_ended: bool = False
     legs: list[Leg] = field(default_factory=list)
 
 
@@ -74,7 +74,7 @@
         self.zones = {name: row.zone for name, row in names}
         self.cells = {name: number % scenario.cells for number, (name, _) in enumerate(names)}
         self.calls: dict[int, Call] = {}
-        self.ran: dict[int, int] = {}  # number of effects, by request
+        self.effects: dict[int, int] = {}  # number of effects, by request
         # By balancer and server: state, and since when.
         self.told: dict[tuple[str, str], tuple[str, float]] = {}
         # By call: a leg that seemed open when the next one was sent, and when that was.
@@ -115,7 +115,11 @@
 
         A client that leaves at its guard time or later has waited in vain: its call counts as unanswered.
         """
-        return call.answer is None and not call.lost and (call.gone is None or call.gone >= call.guard)
+        return (
+            call.answer is None
+            and not call.balancer_ended
+            and (call.client_left_at is None or call.client_left_at >= call.guard)
+        )
 
     # Handlers of trace entries, by kind. Rule 1.
 
@@ -143,7 +147,7 @@
         call.answer = call.answer or how
         if how == "completed":
             return
-        idle_since = max([call.taken + call.type.setup_target, *(leg.ended for leg in call.legs)])
+        idle_since = max([call.received_at + call.type.setup_target, *(leg.ended for leg in call.legs)])
         if (
             all(leg.kind for leg in call.legs)
             and now > idle_since + MAX_HOLD_SECONDS + self.slack + self.unseen
@@ -159,17 +163,17 @@
 
     def on_gone(self, now: float, number: int) -> None:
         call = self.calls[number]
-        call.gone = now if call.gone is None else call.gone
+        call.client_left_at = now if call.client_left_at is None else call.client_left_at
 
     def on_stop(self, now: float, balancer: str, how: str) -> None:
         for call in self.calls.values():
-            if call.balancer == balancer and not call.lost:
+            if call.balancer == balancer and not call.balancer_ended:
                 established = call.answer == "completed" and call.legs and call.legs[-1].kind is None
                 if how == "left" and (
                     established or self.is_owed(call) and now < call.guard + self.answer_grace
                 ):
                     self.breach(1, now, "cut off by a balancer on its way out", call.number)
-                call.lost = True
+                call.balancer_ended = True
 
     # Rules 2 and 3.
 
@@ -179,7 +183,7 @@
 
     def on_leg(self, now: float, number: int, order: int, balancer: str, server: str) -> None:
         call = self.calls[number]
-        if call.answer is not None or call.gone is not None:
+        if call.answer is not None or call.client_left_at is not None:
             self.breach(1, now, f"a leg after its end ({call.answer or 'client gone'})", number)
         if open_legs := [leg for leg in call.legs if leg.kind is None]:
             if self.slack:
@@ -221,9 +225,9 @@
 
     def on_ran(self, now: float, number: int, order: int, server: str) -> None:
         call = self.calls[number]
-        self.ran[call.request] = self.ran.get(call.request, 0) + 1
-        if self.ran[call.request] > 1 and call.type.effect in (ONCE_ONLY, REFERENCED):
-            self.breach(2, now, f"{call.type.effect} took effect {self.ran[call.request]} times", number)
+        self.effects[call.request] = self.effects.get(call.request, 0) + 1
+        if self.effects[call.request] > 1 and call.type.effect in (ONCE_ONLY, REFERENCED):
+            self.breach(2, now, f"{call.type.effect} took effect {self.effects[call.request]} times", number)
 
     def on_told(self, now: float, balancer: str, server: str, state: str) -> None:
         previous = self.told.get((balancer, server))
--- a/bellrack/lab/world.py
+++ b/bellrack/lab/world.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from bellrack import choice, model
-from bellrack.lab import scenario as forms
+from bellrack.lab import scenario as scenarios
 from bellrack.lab.clients import Attempt, Clients
 from bellrack.lab.discovery_model import DiscoveryModel, Front
 from bellrack.lab.event_queue import RESULT, SAMPLE, START, TROUBLE, EventQueue
@@ -85,7 +85,7 @@
         zones = {zone.name: index for index, zone in enumerate(scenario.zone)}
         kinds = {kind.name: kind for kind in scenario.kind}
         group_cost, machines = scenario.groups.cost * scenario.load.mean, []
-        for number, (name, row) in enumerate(forms.server_names(scenario)):
+        for number, (name, row) in enumerate(scenarios.server_names(scenario)):
             kind = kinds[row.kind]
             speed = kind.speed * (1 + kind.speed_spread * (2 * stream.uniform() - 1))
             machines.append(
@@ -119,7 +119,7 @@
 
     def start_balancer(self, number: int, before: VirtualNode | None = None) -> VirtualNode:
         """Starts a balancer. After a restart it begins with the list that its predecessor `before` had."""
-        name, zone = forms.balancer_names(self.scenario)[number]
+        name, zone = scenarios.balancer_names(self.scenario)[number]
         node = VirtualNode(
             self,
             name,
@@ -151,7 +151,7 @@
     def play(self) -> World:
         """Plays the whole scenario and its tail."""
         length = self.scenario.length
-        for number, _ in enumerate(forms.balancer_names(self.scenario)):
+        for number, _ in enumerate(scenarios.balancer_names(self.scenario)):
             self.front.add(self.start_balancer(number))
         self.create_standing_connections()
         self.schedule_start()
@@ -285,7 +285,7 @@
 
     # Troubles: `do_KIND` begins one and schedules its end.
 
-    def begin_trouble(self, trouble: forms.Trouble) -> None:
+    def begin_trouble(self, trouble: scenarios.Trouble) -> None:
         """Begins a trouble: calls the method named after its kind in the scenario file."""
         name = type(trouble).__struct_config__.tag
         self.trace.add(self.now, "trouble", name)
@@ -321,7 +321,7 @@
         self.trace.add(self.now, "server", machine.name, "cold")
         self.discovery.change(machine, model.READY, self.now - told_older)
 
-    def do_crash(self, trouble: forms.Crash) -> None:
+    def do_crash(self, trouble: scenarios.Crash) -> None:
         """Stops servers, and restarts them if the trouble has an end."""
         for machine in self.affected_machines(trouble):
             if not machine.up:
@@ -331,7 +331,7 @@
             if trouble.lasts:
                 self.schedule_trouble_step(trouble.lasts, self.restart_machine, machine, trouble.told_older)
 
-    def do_drain(self, trouble: forms.Drain) -> None:
+    def do_drain(self, trouble: scenarios.Drain) -> None:
         """Drains servers, then stops them."""
         for machine in self.affected_machines(trouble):
             if not machine.up:
@@ -353,7 +353,7 @@
         if back:
             self.schedule_trouble_step(back, self.restart_machine, machine)
 
-    def do_slow(self, trouble: forms.Slow) -> None:
+    def do_slow(self, trouble: scenarios.Slow) -> None:
         """Slows servers down for a while."""
         for machine in self.affected_machines(trouble):
             self.change_speed(machine, trouble.factor)
@@ -364,13 +364,13 @@
         machine.advance(self.now)
         machine.slowdown *= factor
 
-    def do_failing(self, trouble: forms.Failing) -> None:
+    def do_failing(self, trouble: scenarios.Failing) -> None:
         """Makes servers fail a share of their set-ups for a while."""
         for machine in self.affected_machines(trouble):
             machine.failures.append(trouble.share)
             self.schedule_trouble_step(trouble.lasts, machine.failures.remove, trouble.share)
 
-    def do_hang(self, trouble: forms.Hang) -> None:
+    def do_hang(self, trouble: scenarios.Hang) -> None:
         """Makes servers accept connections and answer nothing for a while."""
         for machine in self.affected_machines(trouble):
             if machine.up:
@@ -383,9 +383,9 @@
         self.legs.on_hang(machine)
 
     # Clients that stop reading have no effect on virtual time, where no bytes are sent.
-    def do_stall(self, trouble: forms.Stall) -> None: ...
+    def do_stall(self, trouble: scenarios.Stall) -> None: ...
 
-    def do_zone_lost(self, trouble: forms.ZoneLost) -> None:
+    def do_zone_lost(self, trouble: scenarios.ZoneLost) -> None:
         """Takes down the servers of a zone without resets, and its balancers if the trouble says so."""
         zone = [zone.name for zone in self.scenario.zone].index(trouble.zone)
         for machine in self.machines:
@@ -397,12 +397,12 @@
             if node.zone == zone:
                 self.kill(node, trouble.lasts)
 
-    def do_list_down(self, trouble: forms.ListDown) -> None:
+    def do_list_down(self, trouble: scenarios.ListDown) -> None:
         """Takes discovery down for a while."""
         self.discovery.set_outage(True)
         self.schedule_trouble_step(trouble.lasts, self.discovery.set_outage, False)
 
-    def do_store_slow(self, trouble: forms.StoreSlow) -> None:
+    def do_store_slow(self, trouble: scenarios.StoreSlow) -> None:
         """Slows the session store down for a while."""
         self.store.slowdown *= trouble.factor
         self.schedule_trouble_step(trouble.lasts, self.change_store_speed, 1 / trouble.factor)
@@ -411,12 +411,12 @@
         """Multiplies the slowdown of the session store by the factor."""
         self.store.slowdown *= factor
 
-    def do_dear(self, trouble: forms.Dear) -> None:
+    def do_dear(self, trouble: scenarios.Dear) -> None:
         """Makes calls of a tenant or traffic type more expensive for a while."""
         self.clients.dear.append(trouble)
         self.schedule_trouble_step(trouble.lasts, self.clients.dear.remove, trouble)
 
-    def do_burst(self, trouble: forms.Burst) -> None:
+    def do_burst(self, trouble: scenarios.Burst) -> None:
         """Multiplies the arrival rate for a while."""
         self.clients.burst *= trouble.factor
         self.schedule_trouble_step(trouble.lasts, self.end_burst, trouble.factor)
@@ -425,12 +425,12 @@
         """Takes the factor of a burst back."""
         self.clients.burst /= factor
 
-    def do_drop(self, trouble: forms.Drop) -> None:
+    def do_drop(self, trouble: scenarios.Drop) -> None:
         """Makes a share of the clients disconnect at once and come again."""
         zones = [zone.name for zone in self.scenario.zone]
         self.clients.drop_clients(trouble.share, zones.index(trouble.zone) if trouble.zone else None)
 
-    def do_killed(self, trouble: forms.Killed) -> None:
+    def do_killed(self, trouble: scenarios.Killed) -> None:
         """Kills balancers."""
         zones = [zone.name for zone in self.scenario.zone]
         victims = [node for node in self.nodes if node.alive and trouble.zone in ("", zones[node.zone])]
@@ -456,14 +456,14 @@
         successor = self.start_balancer(node.number, node)
         self.schedule_trouble_step(self.scenario.front.ready, self.front.add, successor)
 
-    def do_rolled(self, trouble: forms.Rolled) -> None:
+    def do_rolled(self, trouble: scenarios.Rolled) -> None:
         """Restarts balancers one after the other, with notice."""
         zones = [zone.name for zone in self.scenario.zone]
         chosen = [node.number for node in self.nodes if trouble.zone in ("", zones[node.zone])]
         for position, number in enumerate(chosen):
             self.schedule_trouble_step(position * trouble.gap, self.start_roll, number, trouble)
 
-    def start_roll(self, number: int, trouble: forms.Rolled) -> None:
+    def start_roll(self, number: int, trouble: scenarios.Rolled) -> None:
         """Begins the planned restart of one balancer."""
         node = self.nodes[number]
         if node.alive and not node.shutting_down:
@@ -477,7 +477,7 @@
             node.stop("left")
             self.schedule_trouble_step(down, self.restart_balancer, node)
 
-    def do_partition(self, trouble: forms.Partition) -> None:
+    def do_partition(self, trouble: scenarios.Partition) -> None:
         """Loses the datagrams between two zones for a while, in one direction or in both."""
         zones = [zone.name for zone in self.scenario.zone]
         pair = zones.index(trouble.zone), zones.index(trouble.other)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -324,7 +324,7 @@
 @pytest.mark.parametrize("name", MUTANTS)
 def test_each_mutant_breaches_its_rule(name):
     scenario = tomllib.loads((EXAMPLES / "convict.toml").read_text())
-    result = run.run(scenario, scenario["seed"], baselines.BROKEN + name)
+    result = run.run(scenario, scenario["seed"], baselines.MUTANT_PREFIX + name)
     assert not result["rules"][str(MUTANTS[name][0])]["kept"]
 
 
