--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -27,8 +27,7 @@
 from bellrack.lab import run as runs
 from bellrack.lab import scenario as scenarios
 from bellrack.lab.clients import Attempt
-from bellrack.lab.event_queue import ARRIVAL, RESULT, SAMPLE, START, EventQueue
-from bellrack.lab.legs import ServerLegs
+from bellrack.lab.event_queue import ARRIVAL, RESULT, START, EventQueue
 from bellrack.lab.machine import Machine
 from bellrack.lab.node import BalancerRecord, LegRecord
 from bellrack.lab.rule_checker import RuleChecker
@@ -42,7 +41,7 @@
     ServerConnection,
     free_ports,
 )
-from bellrack.lab.world import MAX_DATAGRAM_BYTES, REORDER_DELAY_FACTOR, World
+from bellrack.lab.world import World
 
 DESCRIPTORS_PER_CONNECTION = 2  # in this process: that of the client and that of the server
 SPARE_DESCRIPTORS = 256  # for everything else
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bellrack.lab.event_queue import LIST_UPDATE, RESULT, START, TIMER, EventQueue
+from bellrack.lab.event_queue import RESULT, START, TIMER, EventQueue
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.discovery_stub import CountedWatch, DiscoveryStub
 from bellrack.lab.scale.guard import MemoryGuard
