--- a/bellrack/lab/live.py
+++ b/bellrack/lab/live.py
@@ -27,7 +27,8 @@
 from bellrack.lab import run as runs
 from bellrack.lab import scenario as scenarios
 from bellrack.lab.clients import Attempt
-from bellrack.lab.event_queue import ARRIVAL, RESULT, START, EventQueue
+from bellrack.lab.event_queue import ARRIVAL, RESULT, SAMPLE, START, EventQueue
+from bellrack.lab.legs import ServerLegs
 from bellrack.lab.machine import Machine
 from bellrack.lab.node import BalancerRecord, LegRecord
 from bellrack.lab.rule_checker import RuleChecker
@@ -41,7 +42,7 @@
     ServerConnection,
     free_ports,
 )
-from bellrack.lab.world import World
+from bellrack.lab.world import MAX_DATAGRAM_BYTES, REORDER_DELAY_FACTOR, World
 
 DESCRIPTORS_PER_CONNECTION = 2  # in this process: that of the client and that of the server
 SPARE_DESCRIPTORS = 256  # for everything else
@@ -353,7 +354,7 @@
         return leg_record
 
 
-class LiveLegs(Setups):
+class LiveLegs(ServerLegs):
     """Set-ups at servers that are reached through sockets."""
 
     world: LiveWorld
@@ -559,9 +560,11 @@
         self.counters["datagrams"] += 1
         self.counters["datagram_bytes"] += len(data)
         zones = self.nodes[relay.sender].zone, self.nodes[relay.receiver].zone
-        if len(data) > DATAGRAM or stream.bernoulli(options.loss) or zones in self.partitioned:
+        if len(data) > MAX_DATAGRAM_BYTES or stream.bernoulli(options.loss) or zones in self.partitioned:
             return
-        wait = stream.uniform_between(options.delay) * (REORDERED if stream.bernoulli(options.reorder) else 1)
+        wait = stream.uniform_between(options.delay) * (
+            REORDER_DELAY_FACTOR if stream.bernoulli(options.reorder) else 1
+        )
         reverse = self.relays[relay.receiver, relay.sender].transport
         for _ in range(1 + stream.bernoulli(options.twice)):
             self.event_queue.schedule_after(
@@ -639,7 +642,7 @@
     def on_hang(self, machine: Machine) -> None:
         """A server hangs; the answers that it holds back are sent when that is over."""
         super().on_hang(machine)
-        self.event_queue.schedule_at(machine.hung_until, LOOK, self.end_hang, machine)
+        self.event_queue.schedule_at(machine.hung_until, SAMPLE, self.end_hang, machine)
 
     def end_hang(self, machine: Machine) -> None:
         """Send the answers that a server held back while it hung."""
@@ -692,7 +695,7 @@
         self.unix_offset = time.time() - START
         self.event_queue.begin()
         self.schedule_start()
-        self.event_queue.schedule_at(START, LOOK, self.measure_lag, self.loop.time())
+        self.event_queue.schedule_at(START, SAMPLE, self.measure_lag, self.loop.time())
         end = self.event_queue.started_at + self.scenario.length + self.scenario.tail
         while self.loop.time() < end and not self.failure.done():
             await asyncio.wait([self.failure], timeout=min(0.5, max(0.0, end - self.loop.time())))
@@ -714,7 +717,10 @@
         """Update the maximum lag of this process's event loop: this event was due at loop time `due`."""
         self.lag = max(self.lag, self.loop.time() - due)
         self.event_queue.schedule_after(
-            LAG_CHECK_INTERVAL_SECONDS, LOOK, self.measure_lag, self.loop.time() + LAG_CHECK_INTERVAL_SECONDS
+            LAG_CHECK_INTERVAL_SECONDS,
+            SAMPLE,
+            self.measure_lag,
+            self.loop.time() + LAG_CHECK_INTERVAL_SECONDS,
         )
 
     async def finish(self) -> None:
--- a/bellrack/lab/run.py
+++ b/bellrack/lab/run.py
@@ -70,7 +70,9 @@
             "kept": not count,
             "breaches": count,
             "first": [
-                {"at": time_of(b.at), "what": b.what, "call": b.call} for b in breaches if b.rule == rule
+                {"at": seconds_since_start(b.at), "what": b.what, "call": b.call}
+                for b in breaches
+                if b.rule == rule
             ][:MAX_BREACHES_SHOWN],
         }
         for rule, count in rule_checker.counts.items()
--- a/bellrack/lab/scale/virtual.py
+++ b/bellrack/lab/scale/virtual.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from bellrack.lab.event_queue import RESULT, START, TIMER, EventQueue
+from bellrack.lab.event_queue import LIST_UPDATE, RESULT, START, TIMER, EventQueue
 from bellrack.lab.scale import figures
 from bellrack.lab.scale.discovery_stub import CountedWatch, DiscoveryStub
 from bellrack.lab.scale.guard import MemoryGuard
@@ -260,7 +260,7 @@
         node = getattr(requester, "node", requester)
         zone = self.zone(node.number)
         if isinstance(requester, LeanBalancer):
-            self.loop.schedule_after(2 * self.delay(zone, 0), NEWS, self.start_lean_watch, requester)
+            self.loop.schedule_after(2 * self.delay(zone, 0), LIST_UPDATE, self.start_lean_watch, requester)
             return
         client, server = (
             Stream(self, requester, zone),
@@ -287,7 +287,7 @@
             when += (
                 max(self.cut_until.get(self.region(zone), 0.0) for zone in (from_zone, to_zone)) - self.now
             )
-        self.loop.schedule_at(when, NEWS, callback, *args)
+        self.loop.schedule_at(when, LIST_UPDATE, callback, *args)
 
     def start_lean_watch(self, node: LeanBalancer) -> None:
         """Begins a lean balancer's watch with the whole list, unless the balancer has ended."""
@@ -302,7 +302,7 @@
         self.discovery_stub.measurements.bytes_out += byte_count
         self.discovery_stub.measurements.lines += 1
         self.loop.schedule_after(
-            self.delay(0, self.zone(node.number)), NEWS, node.queue, node.receive_list, byte_count
+            self.delay(0, self.zone(node.number)), LIST_UPDATE, node.queue, node.receive_list, byte_count
         )
 
     def change_server(self, number: int, state: str) -> None:
