--- a/tests/play_soak_mutants.py
+++ b/tests/play_soak_mutants.py
@@ -98,7 +98,7 @@
     ),
     Mutant(
         "a cold server counts as warm at once",
-        (("choice.py", "stand.warm_at = since + self.settings.ramp_time", "stand.warm_at = 0.0"),),
+        (("choice.py", "state.warm_at = started_at + self.settings.ramp_time", "state.warm_at = 0.0"),),
         "cold",
         ("slow_start",),
     ),
@@ -125,7 +125,13 @@
     ),
     Mutant(
         "delayed requests to a cold server are written together",
-        (("net/servers.py", "        if not cold.may_write(self.leg.server):\n", "        if False:\n"),),
+        (
+            (
+                "net/servers.py",
+                "        if not slow_start.may_write(self.leg.server):\n",
+                "        if False:\n",
+            ),
+        ),
         "cold",
         ("slow_start",),
     ),
@@ -143,7 +149,7 @@
     ),
     Mutant(
         "a newer list of the sibling process is ignored",
-        (("net/server_list.py", "        if news.version > self.version:\n", "        if False:\n"),),
+        (("net/server_list.py", "        if listing.version > self.version:\n", "        if False:\n"),),
         "drain",
         ("drain",),
     ),
@@ -166,13 +172,19 @@
     ),
     Mutant(
         "SIGHUP ends a process that is starting",
-        (("start_signals.py", "signal.signal(number, note)", "signal.signal(number, signal.SIG_DFL)"),),
+        (("start_signals.py", "signal.signal(number, record)", "signal.signal(number, signal.SIG_DFL)"),),
         "restart",
         ("crash",),
     ),
     Mutant(
         "a signal ends a process that has finished its shutdown",
-        (("start_signals.py", "    signal.pthread_sigmask(signal.SIG_BLOCK, HEEDED)\n", "    pass\n"),),
+        (
+            (
+                "start_signals.py",
+                "    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)\n",
+                "    pass\n",
+            ),
+        ),
         "signals",
         ("crash",),
     ),
@@ -208,7 +220,7 @@
     ),
     Mutant(
         "each process restarts the time limit of a partial request",
-        (("net/handoff.py", '            if "opened" in words:\n', "            if False:\n"),),
+        (("net/handoff.py", '            if "opened" in message:\n', "            if False:\n"),),
         "restart",
         ("half_request",),
     ),
