--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -25,11 +25,11 @@
 SETUP_FAILURE_SECONDS = 2.0  # a connection that breaks sooner counts as a failed set-up
 # Message delay, over the shortest message aim, from which on a server gets no new connections.
 OVERLOAD_DELAY_RATIO = 0.5
-NOTICE_VALID_SECONDS = 1.5  # for a server's own notice of message delay
-OBSERVATION_VALID_SECONDS = 3.0  # for other signs of message delay
+NOTICE_VALID_SECONDS = 1.5  # validity of a server's own notice of message delay
+OBSERVATION_VALID_SECONDS = 3.0  # validity of other signs of message delay
 LIMIT_SHARE = 0.95  # of the legs that an overloaded server held: its new limit
-RESET_LIMIT_SHARE = 0.6  # the same where nobody reports load, so that a reset is the first sign of overload
-LIMIT_GROWTH_PER_SECOND = 0.03  # share of a limit by which it grows back
+RESET_LIMIT_SHARE = 0.6  # the same if no load is reported, so that a reset is the first sign of overload
+LIMIT_GROWTH_PER_SECOND = 0.03  # a limit grows back by this share of its value
 FLEET_LIMIT_SHARE = 0.9  # of all own legs: their new limit, cut each second while the zones are overloaded
 # Where the load of all balancers is known, fewer own legs than this are no measure of the fleet's load.
 MIN_MEASURABLE_LEGS = 8
@@ -41,7 +41,7 @@
 CALM_AFTER_SECONDS = 5.0  # without late messages, until a server counts as calm
 MAX_CANDIDATES_TRIED = 3  # servers that are checked for room for a call, in the order of their scores
 MAX_GROUP_CANDIDATES_UNSEEN = 1  # the same for a call with a group, if the load of other balancers is unseen
-GROUP_HOLDERS_TIME_SHARE = 0.5  # of the setup target, in which only holders of the call's group are tried
+GROUP_HOLDERS_TIME_SHARE = 0.5  # of the setup target: until then only holders of the call's group are tried
 GROUP_HOLDER_LEGS = 2  # legs of a group that make a server a holder of it
 MAX_LOAD_OVER_MEAN = 1.25  # servers above this multiple of the mean load are passed over
 MAX_ANSWER_MARGIN_SHARE = 0.25  # of a call's wait, kept at most for sending its answer
@@ -52,18 +52,18 @@
 # Open connections per unit of listed capacity, over all balancers, that any server can carry.
 ASSUMED_CONNECTIONS_PER_CAPACITY = 12.0
 REPORT_VALID_SECONDS = 1.0
-FULL_REPORT_VALID_SECONDS = 2.0  # for a report of at least FULL_LOAD
-PROBE_WAIT_SECONDS = 0.1  # for which a call waits for a report
+FULL_REPORT_VALID_SECONDS = 2.0  # the same for a report of at least FULL_LOAD
+PROBE_WAIT_SECONDS = 0.1  # how long a call waits for a report
 FULL_LOAD = 0.9  # reported load from which on a server gets nothing new
-FULL_LOAD_STEP = 0.2  # by which FULL_LOAD is less for each further candidate
+FULL_LOAD_STEP = 0.2  # FULL_LOAD is lower by this for each further candidate
 PUBLISH_INTERVAL_SECONDS = 0.5  # between messages to other balancers
-CACHE_SECONDS = 0.1  # for which computed sums are used again
+CACHE_SECONDS = 0.1  # how long computed sums are reused
 CORDON_MOVE_INTERVAL_SECONDS = 0.1  # between moves of connections off a cordoned server
 CORDON_MOVE_SHARE = 0.2  # of its connections, moved each time
 QUEUE_INTERVAL_SECONDS = 0.05  # between checks of queued calls
 MAX_QUEUE_TRIES = 24  # queued calls that one check may try in vain
-RETRY_AFTER_SHARE = 1 / 3  # of the longest retry delay that clients honour, named in rejects
-QUEUE_TIME_SHARE = 0.8  # of the setup target, for which a call is queued
+RETRY_AFTER_SHARE = 1 / 3  # share of the longest retry delay that clients honour; sent in rejects
+QUEUE_TIME_SHARE = 0.8  # share of the setup target for which a call may be queued
 
 
 class AnswerStage(Stage):
@@ -746,7 +746,7 @@
         )
 
     def fleet_load(self) -> dict[Server, float]:
-        """Returns the legs of all balancers at each usable server; empty if nobody reports them."""
+        """Returns the legs of all balancers at each usable server; empty if no balancer reports them."""
         if self.host.now >= self.cached_fleet_load[0] + CACHE_SECONDS:
             self.cached_fleet_load = (
                 self.host.now,
@@ -846,16 +846,17 @@
         self.overload.on_servers_listed(self.fleet)
 
     def refresh_usable(self) -> None:
-        """Collects the usable servers anew."""
+        """Rebuilds the list of usable servers."""
         self.listing.ready = [s for s in self.fleet if s.usable]
         self.zone.checked_at, self.cached_fleet_load = -math.inf, (-math.inf, {})
 
     def on_server_start(self, server: Server, reported_at: float, started_at: float) -> None:
-        """Treats the server as cold since `started_at`, of which we learned at `reported_at`. Its earlier
-        failures no longer count."""
+        """Treats the server as cold since `started_at`. The start was reported at `reported_at` (both in
+        seconds). Earlier failures of the server no longer count."""
         state = server.local_state
         if state.warm_at <= self.host.now:
-            # Not while it is cold already: several starts reported in a row would each bring a budget.
+            # A server that is cold already keeps its budget: otherwise each of several starts reported in a
+            # row would grant a full budget.
             state.tokens_issued, state.tokens_issued_at, state.tokens_used = (
                 1 - state.rounding_offset,
                 reported_at,
--- a/bellrack/discovery_retry.py
+++ b/bellrack/discovery_retry.py
@@ -3,10 +3,10 @@
 This module computes the delays between calls and the age of the list. It opens no connection, reads no clock
 (times are seconds, passed in) and chooses no server.
 
-A change of the list counts as told TOLD_AFTER_SECONDS after discovery had it and could be reached, whatever
-became of our calls. Once the drain of a server counts as told, new connections to it have to stop within the
-drain grace. Let T be the instant from which discovery can be reached and has the change. In a tier of at most
-TIER_CALLS_PER_SECOND * MAX_DELAY_SECONDS balancers the worst cases are:
+A change of the list counts as told TOLD_AFTER_SECONDS after discovery had it and could be reached, whether or
+not our calls succeeded. Once the drain of a server counts as told, new connections to it have to stop within
+the drain grace. Let T be the instant from which discovery can be reached and has the change. In a tier of at
+most TIER_CALLS_PER_SECOND * MAX_DELAY_SECONDS balancers the worst cases are:
 
     - A call that hangs while it connects began just before T. It is given up at T + CONNECT_TIMEOUT_SECONDS
       (T + 1.5), and the next call begins MAX_DELAY_SECONDS later at the latest (T + 3.5).
@@ -109,8 +109,8 @@
 
     def window(self) -> float:
         """Returns the seconds for which the last proof, of the list or of a server, is valid."""
-        # In a tier so large that a delay exceeds the time for which a list stands without a call, each change
-        # counts as told that long after it was made.
+        # In a tier so large that a delay exceeds the time for which a list stays valid without a call, each
+        # change counts as told that long after it was made.
         told = (
             TOLD_AFTER_SECONDS
             if self.tier_interval <= self.settings.ask_within
--- a/bellrack/lab/soak/driver.py
+++ b/bellrack/lab/soak/driver.py
@@ -31,12 +31,13 @@
     def __init__(self, plan: Plan, folder: Path):
         self.plan, self.folder = plan, folder
         self.balancers: list[Balancer] = []
-        # By balancer: when it started without a predecessor that hands over.
+        # Start times by balancer; not of starts that take over from a predecessor (hot restart).
         self.starts: dict[int, list[float]] = {number: [] for number in range(plan.balancers)}
         self.helpers: list[Helper] = []
         self.server_processes: dict[str, Helper] = {}
         self.troubles = Troubles(self)
-        self.pauses: list[tuple[float, float]] = []  # of this process, which runs the clients
+        # From, until: periods in which this process, which runs the clients, got no processor time.
+        self.pauses: list[tuple[float, float]] = []
 
     # Starting processes.
 
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -92,7 +92,7 @@
     number: int = -1  # of this balancer among its peers; negative if unknown
     may_publish: bool = False  # balancers may send one another messages
     drain_grace: float = 1.0  # within which sending to a server has to stop once its drain is reported
-    ask_within: float = 10.0  # how long a list stands without a watch, if the list comes on request
+    ask_within: float = 10.0  # how long a list stays valid without a watch, if the list comes on request
 
     def update_from(self, other: Settings) -> None:
         """Takes over all values of `other`, so every holder of this object has them. Calls keep their
--- a/bellrack/net/discovery.py
+++ b/bellrack/net/discovery.py
@@ -200,8 +200,8 @@
         self.update_doubt()
 
     def on_request_failed(self, request: Any) -> None:
-        """A request has failed. With another one still open, the next hedged request is scheduled; otherwise
-        the decisions are told, which schedule the next request."""
+        """A request has failed. If another one is still open, schedules the next hedged request; otherwise
+        reports the failure to the decisions, which schedule the next request."""
         if request is self.previous:
             self.previous = None  # expected: not a failure of the list
             return
--- a/bellrack/net/invariants.py
+++ b/bellrack/net/invariants.py
@@ -1,4 +1,4 @@
-"""The rules of the operators' pages as invariants that a process checks while it runs.
+"""The rules of PROTOCOL.md and STANDING.md as invariants that a process checks while it runs.
 
 Each violation is counted as `violation_NAME`, among the counters at `/_vars` and at exit, and is logged in
 one line with the request's id. The checks are independent of the decisions: they use the accounting of the
@@ -17,11 +17,11 @@
 from bellrack.model import Leg, Server, Settings
 from bellrack.net import log
 
-FEW_CALLS = 30  # below this number of allowed requests the bound of a cold server has a factor of three
+FEW_CALLS = 30  # below this number of allowed requests, slow_start_bound() uses 3 x root of N
 
 
 class Invariant(enum.Enum):
-    """What must never happen; the numbers are the rules in the order of PROTOCOL.md."""
+    """The invariants. The number in each comment is that of the rule in PROTOCOL.md."""
 
     ANSWERED_TWICE = "answered_twice"  # 1: a second final answer
     CLOSED_UNANSWERED = "closed_unanswered"  # 1: a request's connection was closed without an answer
@@ -115,7 +115,8 @@
 
 
 def slow_start_bound(calls: float) -> float:
-    """The most requests that a cold server may get in a window in which the settings allow `calls`.
+    """Returns the most requests that a cold server may get in a window of `fall_time`, in which the settings
+    allow `calls` requests (N in the quotation).
 
     STANDING.md: "N + 2 x root of N + 2 (N under 30: N + 3 x root of N + 3)"."""
     root = math.sqrt(calls)
--- a/bellrack/net/limits.py
+++ b/bellrack/net/limits.py
@@ -14,13 +14,13 @@
 LISTEN_BACKLOG = 1024  # connections; clients beyond it in a burst wait until their SYN is sent again
 ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the event loop
 FINAL_ACCEPT_RETRIES = 10  # for connections still queued when the listener closes for good, 0.05 s apart
-ACCEPT_RETRY_SECONDS = 0.02  # until accepting is tried again after it failed for lack of descriptors
+ACCEPT_RETRY_SECONDS = 0.02  # delay of the next accept after one failed for lack of descriptors
 # Descriptors kept free, at most 3/8 of the limit: half to answer clients that are refused, half for control.
 RESERVED_DESCRIPTORS = 48
 # From connecting to a whole first line. Some clients take 2 s to write it; an answer is due within 3 s.
 FIRST_LINE_SECONDS = 2.75
 MAX_PINGS = 8  # on one connection
-SILENT_GRACE_SECONDS = 0.1  # for which a connection that has sent nothing is kept even if room is needed
+SILENT_GRACE_SECONDS = 0.1  # a silent connection is kept for so long even if its descriptor is needed
 RESUMED_GRACE_SECONDS = 5.0  # the same while resumed connections are expected, some of which write late
 MAX_WAIT_SECONDS = 60.0  # the longest wait that a client may announce; its call is kept for as long
 MAX_RECENT_IDS = 1024  # ids of ended calls that are remembered
--- a/bellrack/net/lines.py
+++ b/bellrack/net/lines.py
@@ -101,7 +101,7 @@
 
 
 def parse_server_line(line: bytes) -> tuple[str, str]:
-    """Returns the result that a server's line stands for ("" if unknown), and the rest of the line."""
+    """Returns the result that the first word of a server's line means ("" if unknown), and the rest."""
     word, _, rest = line.decode("ascii", "replace").strip().partition(" ")
     return RESULT_OF_WORD.get(word, ""), rest
 
--- a/bellrack/net/listeners.py
+++ b/bellrack/net/listeners.py
@@ -203,7 +203,7 @@
             return self.failed_final_accepts >= limits.FINAL_ACCEPT_RETRIES
 
     async def reopen(self) -> None:
-        """Accept clients again after the successor ended early; otherwise nobody would answer them."""
+        """Accept clients again after the successor ended early; otherwise no process would answer them."""
         if self.socket and not self.listener:
             self.accept()
             self.offer_hot_restart()
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -2,7 +2,7 @@
 
 See there for what a resumed connection is, and when the run (the ordinary traffic) begins. This module keeps
 the connections that are not established yet. An attempt is an ordinary server connection, but its end is
-handled here: the decisions are told of a resumed connection only once it is established.
+handled here: a resumed connection is reported to the decisions only once it is established.
 """
 
 from __future__ import annotations
--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -2,7 +2,7 @@
 
 A ring holds the bytes of one direction of a connection that were received and not yet consumed. It has a
 fixed size; reading is paused while it is full. The callbacks of asyncio only store data and queue the
-connection for the node's next turn; lines are looked at, and decisions made, in that turn.
+connection for the node's next turn; lines are parsed, and decisions made, in that turn.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from bellrack.net.lines import MAX_LINE_BYTES
 
 RING_BYTES = 8192  # a whole line and the start of the next
-WRITE_BUFFER_BYTES = 16384  # unsent bytes of a transport above which the paired connection pauses reading
-FLUSH_SECONDS = 0.5  # that the last lines of a closed side wait while the other side accepts no data
-LINGER_SECONDS = 1.0  # that the remote end has to close after we have
+WRITE_BUFFER_BYTES = 16384  # with more unsent bytes in a transport, its paired connection pauses reading
+FLUSH_SECONDS = 0.5  # how long the last lines of a closed side wait while the other side accepts no data
+LINGER_SECONDS = 1.0  # how long the remote end may take to close after our close
 MAX_DISCARDED_BYTES = 65536  # read after we closed, so that our last line is not lost; more only costs time
-TCP_USER_TIMEOUT_MS = 15000  # after which the kernel drops a connection whose data is not acknowledged
+TCP_USER_TIMEOUT_MS = 15000  # the kernel drops a connection whose data is not acknowledged for so long
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: close() sends a reset
-CONNECTION_NUMBERS = itertools.count(1)  # of this process, in the order of creation
-DISCARD_BUFFER = memoryview(bytearray(RING_BYTES))  # receives what is read after we closed
+CONNECTION_NUMBERS = itertools.count(1)  # numbers the connections of this process in order of creation
+DISCARD_BUFFER = memoryview(bytearray(RING_BYTES))  # for data that is read after our close and dropped
 
 
 class Ring:
@@ -56,13 +56,13 @@
         return self.length == self.size
 
     def take_line(self) -> bytes | None:
-        """Removes and returns the first whole line, its end included; None if there is none."""
+        """Removes and returns the first whole line with its line end; None if there is none."""
         length = self._line_length()
         return self.take(length) if length else None
 
     @property
     def line_too_long(self) -> bool:
-        """Whether the first line is longer than MAX_LINE_BYTES, with no end in sight."""
+        """Whether more than MAX_LINE_BYTES are buffered without a line end."""
         return self.length > MAX_LINE_BYTES and not self._line_length()
 
     def _line_length(self) -> int:
--- a/bellrack/net/server_list.py
+++ b/bellrack/net/server_list.py
@@ -1,6 +1,6 @@
 """The list of servers of one process: lists from discovery are merged here and passed on to the decisions.
 
-Keeps the versions of the list, the cordons that operators set by hand, and which servers stay usable while
+Keeps the versions of the list, the cordons that operators set, and which servers stay usable while
 the list may be out of date. An older entry never replaces a newer one of the same server
 (`fact_versions.py`). Requests to discovery are made in `discovery.py`; servers are chosen by the decisions.
 """
@@ -40,7 +40,7 @@
 
     @property
     def cordoned(self) -> dict[int, str]:
-        """Names, by id hash, of the servers that operators cordoned by hand."""
+        """Names, by id hash, of the servers that operators cordoned."""
         return {id_hash: order.name for id_hash, order in self.orders.items() if order.cordon}
 
     def on_list(self, listing: lines.Listing, fetched: bool = False, at_current_address: bool = True) -> None:
@@ -220,8 +220,8 @@
             server.needs_attempt = self.node.now - max(server.last_accepted, server.last_attempted) > since
 
     def cordon(self, name: str, on: bool) -> bool:
-        """Cordons a server by hand, or uncordons it if `on` is false. Returns False if no server of that name
-        is listed or cordoned."""
+        """Cordons a server on an operator's request, or uncordons it if `on` is false. Returns False if
+        no server of that name is listed or cordoned."""
         id_hash = lines.id_hash(name)
         server = self.node.servers.get(id_hash)
         listed = server is not None and server.state != model.GONE and server.host_record is not None
--- a/bellrack/net/server_watch.py
+++ b/bellrack/net/server_watch.py
@@ -10,8 +10,8 @@
 from bellrack.net.servers import Endpoint
 
 CHECK_INTERVAL_SECONDS = 1.0  # the interval at which the decisions expect reports of late messages
-FORGET_AFTER_SECONDS = 60.0  # until the record of a server that is gone and has no open legs is dropped
-REPORT_PRECEDENCE_SECONDS = 1.5  # for which a delay reported by the server itself replaces measured ones
+FORGET_AFTER_SECONDS = 60.0  # a server that is gone and has no open legs is dropped after this time
+REPORT_PRECEDENCE_SECONDS = 1.5  # how long a delay that the server reports replaces measured ones
 LATE_NOTICE_SHARE = 1 / 3  # of the shortest message aim: delays above it are reported
 
 
--- a/bellrack/net/shutdown.py
+++ b/bellrack/net/shutdown.py
@@ -55,7 +55,7 @@
         )
 
     def on_successor_lost(self) -> None:
-        """Move the remaining connections if the regular time for that has passed: nobody takes them over."""
+        """Move the remaining connections if the regular time for that has passed: no successor will."""
         if self.node.now - self.started_at >= MOVE_REST_SHARE * self.time_limit:
             self.move_rest()
 
--- a/bellrack/net/sibling.py
+++ b/bellrack/net/sibling.py
@@ -21,7 +21,7 @@
 
 from bellrack.net import handoff, log, transient
 
-CONNECT_TIMEOUT_SECONDS = 1.0  # for which a starting process waits for the state of the serving one
+CONNECT_TIMEOUT_SECONDS = 1.0  # how long a starting process waits for the state of the serving one
 DESCRIPTORS_INTERVAL_SECONDS = 0.25  # between two messages with the number of open descriptors
 BUSY_MESSAGE = b'{"busy": true}\n'  # to a process that connects while there is a sibling already
 MAX_MESSAGE_BYTES = 1 << 24  # of one message: 3,200 servers take 1.5 MB
--- a/bellrack/net/start_times.py
+++ b/bellrack/net/start_times.py
@@ -25,7 +25,7 @@
 
 
 def latest_start(stamp: float, now: float, may_be_long_ago: bool, newest_stamp: float) -> Start:
-    """Return the latest start that a stamp new to us can stand for.
+    """Return the latest time at which the server can have started, given a stamp not seen before.
 
     `now`: the time on our clock. `may_be_long_ago`: this is the first list that we know of, so the server may
     have started long before it. It is older than the newest server of the list (`newest_stamp`) by the
--- a/bellrack/net/transient.py
+++ b/bellrack/net/transient.py
@@ -28,8 +28,8 @@
 DISK_ERRNOS = frozenset((errno.EIO, errno.ENOSPC, errno.EDQUOT))
 
 RETRY_INTERVAL_SECONDS = 0.02  # from a failure to the next attempt
-CONNECT_RETRY_SECONDS = 0.25  # for which connecting is retried; a request can go to other servers
-START_RETRY_SECONDS = 5.0  # for which starting is retried; nine in ten restarts must be ready within 10 s
+CONNECT_RETRY_SECONDS = 0.25  # how long connecting is retried; a request can go to other servers
+START_RETRY_SECONDS = 5.0  # how long starting is retried; nine in ten restarts must be ready within 10 s
 FOLDER_RETRY_INTERVAL_SECONDS = 0.25  # the same for operations on a directory
 
 
--- a/bellrack/net/turns.py
+++ b/bellrack/net/turns.py
@@ -16,7 +16,7 @@
 
 from bellrack.net import log
 
-TIME_SLICE_SECONDS = 0.02  # after which a turn stops: the sockets are polled well within 0.1 s
+TIME_SLICE_SECONDS = 0.02  # a turn stops after this time, so that the sockets are polled well within 0.1 s
 
 Queue = deque[tuple[Callable, tuple]]
 
--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -11,9 +11,9 @@
 short id belongs to a server of the balancer's own list.
 
 A record is three bytes, big-endian: kind (2 bits), short id (14 bits, the low ones of the server's hashed
-identifier) and value (8 bits, logarithmic, one step is about 4%). A datagram is one byte `form` and up to
-MAX_RECORDS records. Two listed servers with the same short id are left out. Datagrams of `membership` begin
-with another byte.
+identifier) and value (8 bits, logarithmic, one step is about 4%). A datagram is one byte, its form (REPORT,
+BROADCAST, ...), and up to MAX_RECORDS records or MAX_PAIRS pairs. Two listed servers with the same short id
+are left out. Datagrams of `membership` begin with another byte.
 """
 
 from __future__ import annotations
@@ -30,19 +30,21 @@
 MAX_PAIRS = 63  # of server and group, in a datagram
 MAX_PLACEMENTS = 20000  # pairs of server and group that are kept
 PLACEMENT_TTL_SECONDS = 60.0
-PLACEMENT_REPEAT_BROADCASTS = 50  # in which each placement is published once, changed or not
-MIN_HOLDERS = 2  # balancers with a connection of a group at a server that make it the group's
+PLACEMENT_REPEAT_BROADCASTS = 50  # each placement is published once in so many broadcasts, changed or not
+# A pair of server and group is a placement if so many balancers have a connection of the group there.
+MIN_HOLDERS = 2
 # The kind of a record. Its value is, in this order: the milliseconds of a set-up; the connections that the
-# sender holds at the server; those that all hold; the lateness, a share of the shortest message aim.
+# sender holds at the server; those that all balancers hold there; the lateness, a share of the shortest
+# message aim.
 SETUP_TIME, HELD, TOTAL, LATENESS = range(4)
 SHORT_ID_MASK = (1 << 14) - 1
 MAX_RECORDS = 85  # in a datagram, which then has 256 bytes
-STEPS_PER_DOUBLING = 16  # of a record's value
-REPORT_INTERVAL_SECONDS = 4.0  # until an unchanged report is repeated
+STEPS_PER_DOUBLING = 16  # steps of a record's value, which is logarithmic, from n to 2n
+REPORT_INTERVAL_SECONDS = 4.0  # interval at which an unchanged report is repeated
 REPORT_TTL_SECONDS = 9.0
 BROADCAST_INTERVAL_SECONDS = 0.5
 BROADCAST_TTL_SECONDS = 5.0  # without a broadcast for so long, totals are unknown
-TOTAL_REPEAT_SECONDS = 8.0  # until an unchanged total is published again
+TOTAL_REPEAT_SECONDS = 8.0  # interval at which an unchanged total is repeated
 TOTAL_TTL_SECONDS = 20.0
 TOTAL_CHANGE_SHARE = 0.25  # a total is published at once if it has changed by more than this share
 TOTAL_CHANGE_CONNECTIONS = 3.0  # and by more than so many connections
@@ -105,7 +107,7 @@
     """
 
     id_mask = SHORT_ID_MASK  # of the hashed identifiers of servers
-    cache_seconds = 0.0  # for which a computed fleet load may be used again
+    cache_seconds = 0.0  # how long a computed fleet load may be reused
 
     def __init__(self, own: int, peers: int, send: Callable[[int | None, bytes], None]):
         self.own, self.peers, self.send = own, peers, send
@@ -162,7 +164,7 @@
         return self.aggregator is not None and now - self.last_broadcast <= BROADCAST_TTL_SECONDS
 
     def total(self, id_hash: int, now: float) -> float | None:
-        """The connections that all balancers hold at the server; None if nobody publishes."""
+        """The connections that all balancers hold at the server; None if no aggregator publishes."""
         if not self.has_broadcasts(now) or not self.totals:
             return None
         total, when = self.totals.get(id_hash & SHORT_ID_MASK, (0.0, now))
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -38,19 +38,20 @@
 HEADER = struct.Struct(">BBIBB")
 RECORD = struct.Struct(">I")
 MAX_RECORDS = (256 - HEADER.size) // RECORD.size  # in a datagram
-MAX_LATENESS_RECORDS = 8  # of them
+MAX_LATENESS_RECORDS = 8  # lateness records among them
 ID_MASK = (1 << 24) - 1  # of hashed identifiers; of 6,000 servers about two share one and are left out
 SEND_INTERVAL_SECONDS = 0.45  # minimum between own datagrams; `on_period` is called each 0.5 s
 SAMPLED_PEERS = 32  # peers of the zone that are remembered
 FEW_SAMPLED_PEERS = 8  # with fewer, more datagrams go to any peer of the tier
 PEER_TTL_SECONDS = 120.0  # a peer is forgotten so long after its last datagram
-EXPLORE_SHARE = 0.25  # of the datagrams go to any peer of the tier; so the peers of a zone find each other
+EXPLORE_SHARE = 0.25  # of the datagrams go to any peer of the tier, so that peers of a zone find each other
 MAX_DATAGRAMS_PER_PERIOD = 16  # read between two calls of `on_period`; limits the effect of a flood
-SILENCE_SECONDS = 10.0  # without a datagram from the zone for so long, nothing is known
-MAX_VOTES = 6  # of peers, kept for each server
+SILENCE_SECONDS = 10.0  # without a datagram from the zone for so long, the load of the zone is unknown
+MAX_VOTES = 6  # votes of peers that are kept for each server
 MIN_VOTES = 3  # including the own one; with fewer, only the own one counts
 VOTE_TTL_SECONDS = 60.0
-MIN_VOTER_CONNECTIONS = 16  # of a voter, per server; the chance error of a median of seven votes is then 12%
+# Mean connections per server that a voter must hold. A median of seven votes then has a random error of 12%.
+MIN_VOTER_CONNECTIONS = 16
 LATENESS_REPEATS = 4  # datagrams in which a lateness is sent
 AGREEMENT_SECONDS = 4.0  # within which two peers have to report the same server as late
 MIN_LATENESS = 0.5  # share of the shortest message aim that counts as late
@@ -107,7 +108,7 @@
     """
 
     id_mask = ID_MASK  # of the hashed identifiers of servers
-    cache_seconds = 1.0  # for which a computed fleet load may be used again
+    cache_seconds = 1.0  # how long a computed fleet load may be reused
     aggregator = published_baseline = None  # a large tier has none
 
     def __init__(
@@ -125,7 +126,8 @@
         self.held: dict[int, int] = {}  # own connections by short id
         self.held_in_zone = 0  # own connections at the servers of the zone
         self.new_peer: int | None = None  # gets the next datagram, so that both peers know each other
-        self.sampled_peers: dict[int, tuple[float, int]] = {}  # last datagram, what it holds; latest last
+        # By peer, the latest last: the time of its last datagram, and the connections that it holds.
+        self.sampled_peers: dict[int, tuple[float, int]] = {}
         self.votes: dict[int, dict[int, tuple[float, float]]] = {}  # by short id and peer: share, when
         self.own_lateness: dict[int, tuple[float, int]] = {}  # by short id: seen here, sends left
         self.peer_lateness: dict[int, tuple[float, float, int]] = {}  # received: mean, when, last peer
@@ -251,7 +253,8 @@
             )
 
     def choose_peer(self, now: float) -> int | None:
-        """The receiver of the next datagram: a new peer, else a sampled one, at times any of the tier."""
+        """Returns the receiver of the next datagram: a new peer if there is one, else a sampled peer or, with
+        a probability of at least EXPLORE_SHARE, any peer of the tier. None if the tier has no other."""
         new_peer, self.new_peer = self.new_peer, None
         if new_peer is not None:
             return new_peer
--- a/bellrack/simulator/tally.py
+++ b/bellrack/simulator/tally.py
@@ -24,7 +24,7 @@
 from bellrack.simulator.adapter import Adapter
 
 SAMPLE_INTERVAL_SECONDS = 5.0  # between counts of the servers that hold each group
-NO_BOUND = -1.0  # stands for a call of `has_room` without a bound, which is not counted
+NO_BOUND = -1.0  # the bound recorded for a call of `has_room` without one, which is not counted
 
 
 class RunCounts:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -61,8 +61,8 @@
 
 
 class FakeService:
-    """Discovery as PROTOCOL.md describes it: requests are answered in turn, one that waits too long gets 503.
-    Requests that the balancer has given up are worked on as well, since the service may not notice."""
+    """Discovery as PROTOCOL.md describes it: requests are answered in turn; one that waits too long gets 503.
+    Requests that the balancer has abandoned are processed as well, since the service may not notice."""
 
     def __init__(self, tier):
         self.tier, self.queue, self.watches, self.request_count, self.working = tier, [], [], 0, False
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""Large tiers, which poll a few peers in place of an aggregator: traffic, accuracy, resistance to faults."""
+"""Gossip, which large tiers use instead of an aggregator: its traffic, accuracy and resistance to faults."""
 
 import math
 import random
@@ -22,11 +22,11 @@
 UDP_HEADER_BYTES = 28  # of UDP and IP, per datagram
 MAX_BYTES_PER_SECOND = 3000  # in and out, per balancer
 PERIOD_SECONDS = 0.5
-LARGE_ZONE_SECONDS = 30  # simulated time of the zone of full size, where some peers know each other at first
+LARGE_ZONE_SECONDS = 30  # simulated time of a zone of full size, in which some peers know each other at first
 
 
 class VotelessGossip(Gossip):
-    """Counts no votes, to save time: its traffic is the same, and it suffices that some balancers count."""
+    """Counts no votes, to save time: its traffic is the same. Only some balancers of a test need to count."""
 
     def add_vote(self, short_id, peer, share, now): ...
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -36,13 +36,12 @@
 
 
 def call_with_reports(bench, *loads) -> list[Server]:
-    """Places a call whose candidates are probed in turn and report these loads. Returns the
-    probed servers."""
+    """Places a call whose candidates are probed in turn and report these loads; returns these servers."""
     bench.call(group=9)
     servers, before = [], len(bench.sent)
     for load in loads:
         (server,) = bench.probes
-        assert len(bench.sent) == before  # it waits
+        assert len(bench.sent) == before  # the call waits for the report
         bench.answer_probe(server, 0.5, load)
         servers.append(server)
     return servers
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -1,4 +1,5 @@
-"""The two shapes of a deployment: which configurations are accepted, and what the program does in each."""
+"""The two shapes of a deployment, nominal weights or live weights with load reports: which configurations are
+accepted, and what the program does in each."""
 
 import json
 
