--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -503,7 +503,7 @@
             held = state.open_legs / balancer.slow_start.warm_share(server)
             self.lower_limit(
                 server,
-                (RESET_LIMIT_SHARE if balancer.overload.nobody_reports_load(now) else LIMIT_SHARE)
+                (RESET_LIMIT_SHARE if balancer.overload.load_is_unreported(now) else LIMIT_SHARE)
                 * min(state.limit, held),
             )
             if now - state.limit_cut_at > CALM_AFTER_SECONDS:
--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -109,8 +109,8 @@
     id_mask = SHORT_ID_MASK  # of the hashed identifiers of servers
     cache_seconds = 0.0  # how long a computed fleet load may be reused
 
-    def __init__(self, own: int, peers: int, send: Callable[[int | None, bytes], None]):
-        self.own, self.peers, self.send = own, peers, send
+    def __init__(self, own_number: int, tier_size: int, send: Callable[[int | None, bytes], None]):
+        self.own_number, self.tier_size, self.send = own_number, tier_size, send
         self.held: dict[int, int] = {}  # own connections by short id; a 0 is kept until it is reported
         self.pending_records: list[Record] = []  # lateness and durations of set-ups for the next report
         self.changed, self.last_report = False, -math.inf
@@ -152,7 +152,7 @@
 
     def report(self, kind: int, id_hash: int, value: float) -> None:
         """Adds a record to the next report; records that no longer fit are dropped."""
-        if len(self.pending_records) < MAX_RECORDS and self.aggregator != self.own:
+        if len(self.pending_records) < MAX_RECORDS and self.aggregator != self.own_number:
             self.pending_records.append((kind, id_hash & SHORT_ID_MASK, value))
 
     def relay_overload(self, id_hash: int, lateness: float) -> None:
@@ -179,11 +179,11 @@
         if self.last_broadcast == -math.inf:
             self.last_broadcast = now  # the time without a broadcast starts now
         if (
-            self.own < AGGREGATOR_CANDIDATES
-            and self.aggregator != self.own
-            and (now - self.last_broadcast > TAKEOVER_SECONDS + TAKEOVER_STEP_SECONDS * self.own)
+            self.own_number < AGGREGATOR_CANDIDATES
+            and self.aggregator != self.own_number
+            and (now - self.last_broadcast > TAKEOVER_SECONDS + TAKEOVER_STEP_SECONDS * self.own_number)
         ):
-            self.aggregator, self.last_published = self.own, -math.inf
+            self.aggregator, self.last_published = self.own_number, -math.inf
             self.reports, self.pending_lateness, self.totals, self.reported_pairs, self.placements = (
                 {},
                 {},
@@ -191,7 +191,7 @@
                 {},
                 {},
             )
-        if self.aggregator == self.own:
+        if self.aggregator == self.own_number:
             self.publish(now, baseline)
         elif self.aggregator is not None and (
             self.changed or self.pending_records or now - self.last_report > REPORT_INTERVAL_SECONDS
@@ -218,7 +218,7 @@
         self.last_published = self.last_broadcast = now
         records: list[Record] = []
         for short_id, count in self.held.items():
-            self.reports.setdefault(short_id, {})[self.own] = count, now
+            self.reports.setdefault(short_id, {})[self.own_number] = count, now
         self.held = {short_id: count for short_id, count in self.held.items() if count}
         for short_id, reports in list(self.reports.items()):
             fresh = {peer: report for peer, report in reports.items() if now - report[1] < REPORT_TTL_SECONDS}
@@ -233,7 +233,7 @@
                 del self.reports[short_id]
         late = [(LATENESS, short_id, lateness) for short_id, lateness in self.pending_lateness.items()]
         self.pending_records, self.pending_lateness = [], {}
-        self.reported_pairs[self.own] = now, set(self.own_pairs)
+        self.reported_pairs[self.own_number] = now, set(self.own_pairs)
         fresh = [pairs for when, pairs in self.reported_pairs.values() if now - when < REPORT_TTL_SECONDS]
         counts = Counter(pair for pairs in fresh for pair in pairs)
         placed = {pair for pair, count in counts.items() if count >= MIN_HOLDERS}
@@ -254,11 +254,11 @@
         These are lateness and, for the aggregator, durations of set-ups. `listed` has the listed servers by
         short id; records of other servers are ignored.
         """
-        if peer != self.own and data[:1] in (bytes([GROUPS]), bytes([PLACEMENTS])):
+        if peer != self.own_number and data[:1] in (bytes([GROUPS]), bytes([PLACEMENTS])):
             self.on_pairs(now, peer, data)
             return []
         form, records = unpack(data)
-        if peer == self.own or not form or form == REPORT and self.aggregator != self.own:
+        if peer == self.own_number or not form or form == REPORT and self.aggregator != self.own_number:
             return []
         if form == BROADCAST:
             fresh = self.aggregator is not None and now - self.last_broadcast < TAKEOVER_SECONDS
@@ -286,12 +286,12 @@
     def on_pairs(self, now: float, peer: int, data: bytes) -> None:
         """Takes a datagram with pairs: reported ones as the aggregator, else the aggregator's placements."""
         pairs = unpack_pairs(data)
-        if data[0] == GROUPS and self.aggregator == self.own:
+        if data[0] == GROUPS and self.aggregator == self.own_number:
             if peer not in self.reported_pairs and self.placements:  # the peer has started or returned
                 for reply in pack_pairs(PLACEMENTS, self.placements, [1] * len(self.placements)):
                     self.send(peer, reply)
             self.reported_pairs[peer] = now, {pair for _, pair in pairs}
-        elif data[0] == PLACEMENTS and peer == self.aggregator != self.own:
+        elif data[0] == PLACEMENTS and peer == self.aggregator != self.own_number:
             for flag, pair in pairs:
                 if len(self.placements) >= MAX_PLACEMENTS:
                     fresh = {
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -113,13 +113,19 @@
 
     def __init__(
         self,
-        own: int,
-        peers: int,
+        own_number: int,
+        tier_size: int,
         send: Callable[[int | None, bytes], None],
         draw: Callable[[], float],
         setup_wait: float,
     ):
-        self.own, self.peers, self.send, self.draw, self.setup_wait = own, peers, send, draw, setup_wait
+        self.own_number, self.tier_size, self.send, self.draw, self.setup_wait = (
+            own_number,
+            tier_size,
+            send,
+            draw,
+            setup_wait,
+        )
         self.zone_servers: dict[int, float] = {}  # servers of the own zone, and when each last started
         self.poll_order: list[int] = []
         self.poll_position = int(draw() * ID_MASK)  # the next datagram starts with the server after this one
@@ -133,7 +139,7 @@
         self.peer_lateness: dict[int, tuple[float, float, int]] = {}  # received: mean, when, last peer
         self.own_baseline = math.inf
         self.last_sent = self.last_received = -math.inf
-        self.received = 0  # datagrams in this period
+        self.received_datagrams = 0  # in this period
         self.cached_typical: tuple[float, float] = -math.inf, 0.0  # when computed, and the result
 
     def on_servers_listed(self, servers: dict[int, Any], zone: int) -> None:
@@ -203,11 +209,11 @@
             share for share, when in self.votes.get(short_id, {}).values() if now - when <= VOTE_TTL_SECONDS
         ]
         if self.held_in_zone >= least:
-            own = self.held.get(short_id, 0) / self.held_in_zone
-            shares = [own] if len(shares) + 1 < MIN_VOTES else [*shares, own]
+            own_share = self.held.get(short_id, 0) / self.held_in_zone
+            shares = [own_share] if len(shares) + 1 < MIN_VOTES else [*shares, own_share]
         elif len(shares) < MIN_VOTES:
             return None
-        return median(shares) * self.typical_held(now) * self.peers
+        return median(shares) * self.typical_held(now) * self.tier_size
 
     def typical_held(self, now: float) -> float:
         """The median of the connections that this balancer and the sampled peers hold in the zone."""
@@ -227,7 +233,7 @@
         `baseline` is the duration of a set-up at a server that is not late, in seconds, as far as this
         balancer knows.
         """
-        self.own_baseline, self.received = baseline, 0
+        self.own_baseline, self.received_datagrams = baseline, 0
         if now - self.last_sent < SEND_INTERVAL_SECONDS or not self.poll_order:
             return
         self.last_sent = now
@@ -262,8 +268,8 @@
             peer: seen for peer, seen in self.sampled_peers.items() if now - seen[0] <= PEER_TTL_SECONDS
         }
         if self.draw() < max(EXPLORE_SHARE, 1 - len(self.sampled_peers) / FEW_SAMPLED_PEERS):
-            peer = int(self.draw() * (self.peers - 1))
-            return peer + (peer >= self.own) if self.peers > 1 else None
+            peer = int(self.draw() * (self.tier_size - 1))
+            return peer + (peer >= self.own_number) if self.tier_size > 1 else None
         return list(self.sampled_peers)[int(self.draw() * len(self.sampled_peers))]
 
     def on_datagram(
@@ -277,12 +283,12 @@
         poll = unpack(data)
         if (
             poll is None
-            or peer == self.own
-            or not 0 <= peer < self.peers
-            or self.received >= MAX_DATAGRAMS_PER_PERIOD
+            or peer == self.own_number
+            or not 0 <= peer < self.tier_size
+            or self.received_datagrams >= MAX_DATAGRAMS_PER_PERIOD
         ):
             return []
-        self.received += 1
+        self.received_datagrams += 1
         held, late, polled = poll
         known = [(short_id, count) for short_id, count in polled if short_id in self.zone_servers]
         if polled and 2 * len(known) >= len(polled):
@@ -314,7 +320,7 @@
 
     def agreed_lateness(self, short_id: int, peer: int, lateness: float, now: float) -> float:
         """The mean lateness of the server if another peer has reported it recently too, else 0."""
-        previous, when, reporter = self.peer_lateness.get(short_id, (0.0, -math.inf, self.own))
+        previous, when, reporter = self.peer_lateness.get(short_id, (0.0, -math.inf, self.own_number))
         agree = now - when < AGREEMENT_SECONDS
         if agree and reporter == peer:
             return 0.0
--- a/bellrack/peers/membership.py
+++ b/bellrack/peers/membership.py
@@ -91,23 +91,27 @@
 class Membership:
     """One balancer's view of the tier.
 
-    `own` is its number, `tier_size` the number of members and `start_id` a random number of this process.
-    Times are in seconds. `send_datagram(member, datagram)` is called with each datagram, and `draw()` for
-    random numbers in [0, 1).
+    `own_number` is its number, `tier_size` the number of members and `start_id` a random number of this
+    process. Times are in seconds. `send_datagram(member, datagram)` is called with each datagram, `draw()`
+    for random numbers in [0, 1).
     """
 
     def __init__(
         self,
-        own: int,
+        own_number: int,
         tier_size: int,
         start_id: int,
         now: float,
         send_datagram: Callable[[int, Datagram], None],
         draw: Callable[[], float],
     ):
-        self.own, self.start_id, self.incarnation = own, start_id, 1
+        self.own_number, self.start_id, self.incarnation = own_number, start_id, 1
         self.members = [Member(number, since=now) for number in range(tier_size)]
-        self.members[own].status, self.members[own].start_id, self.members[own].incarnation = (
+        (
+            self.members[own_number].status,
+            self.members[own_number].start_id,
+            self.members[own_number].incarnation,
+        ) = (
             ALIVE,
             start_id,
             1,
@@ -125,7 +129,7 @@
         self.rival_claims, self.last_refutation = 0, -math.inf
         self.left = False
         self.next_period = now + PERIOD_SECONDS * draw()
-        self.enqueue_broadcast(self.members[own])
+        self.enqueue_broadcast(self.members[own_number])
 
     # Timers.
 
@@ -148,7 +152,7 @@
             helpers = [
                 member
                 for member in self.members
-                if member.status == ALIVE and member.number not in (self.own, probe.member.number)
+                if member.status == ALIVE and member.number not in (self.own_number, probe.member.number)
             ]
             for _ in range(min(INDIRECT_PROBES, len(helpers))):
                 helper = helpers.pop(int(self.draw() * len(helpers)))
@@ -192,7 +196,9 @@
         """
         self.periods += 1
         alive = self.alive()
-        others = [member for member in self.members if member not in alive and member.number != self.own]
+        others = [
+            member for member in self.members if member not in alive and member.number != self.own_number
+        ]
         if others and (not alive or self.periods % DEAD_PROBE_PERIODS == 0):
             return others[int(self.draw() * len(others))]
         while self.probe_order and self.probe_order[-1] not in alive:
@@ -208,7 +214,7 @@
 
         A datagram with another sender's number is ignored.
         """
-        if self.left or message.sender != peer or peer == self.own or peer >= len(self.members):
+        if self.left or message.sender != peer or peer == self.own_number or peer >= len(self.members):
             return
         member = self.members[peer]
         member.last_heard, member.last_start_id = now, message.start_id
@@ -222,7 +228,7 @@
         elif (
             message.kind == INDIRECT_PROBE
             and message.target < len(self.members)
-            and message.target != self.own
+            and message.target != self.own_number
         ):
             if len(self.relayed_probes) < MAX_RELAYED_PROBES:
                 self.sequence += 1
@@ -243,7 +249,7 @@
 
     def merge(self, now: float, update: MemberUpdate, status: int, why: str) -> None:
         """Takes an update if it is newer: of a higher incarnation, or of the same one with a worse status."""
-        if update.member == self.own:
+        if update.member == self.own_number:
             self.refute(now, update)
             return
         member = self.members[update.member]
@@ -268,14 +274,14 @@
             # An earlier process had this number; if such updates go on, another process uses it now.
             self.rival_claims += 1
             if self.rival_claims == MAX_RIVAL_CLAIMS:
-                self.changes.append(Change(self.own, ALIVE, "our number is in use twice"))
+                self.changes.append(Change(self.own_number, ALIVE, "our number is in use twice"))
             if self.rival_claims >= MAX_RIVAL_CLAIMS and now < self.last_refutation + RIVAL_REFUTE_SECONDS:
                 return
         self.last_refutation = now
         self.incarnation = update.incarnation + 1
-        own = self.members[self.own]
-        own.incarnation, own.since = self.incarnation, now
-        self.enqueue_broadcast(own)
+        own_member = self.members[self.own_number]
+        own_member.incarnation, own_member.since = self.incarnation, now
+        self.enqueue_broadcast(own_member)
 
     # Sending.
 
@@ -311,7 +317,7 @@
             peer,
             Datagram(
                 kind,
-                self.own,
+                self.own_number,
                 self.start_id,
                 self.incarnation,
                 sequence,
@@ -331,12 +337,12 @@
 
     def leave(self) -> None:
         """Tells some members that this balancer shuts down, so that none suspects it; they pass it on."""
-        own = self.members[self.own]
-        own.status = LEFT
+        own_member = self.members[self.own_number]
+        own_member.status = LEFT
         others = [
             member
             for member in self.members
-            if member.status in (ALIVE, SUSPECT) and member.number != self.own
+            if member.status in (ALIVE, SUSPECT) and member.number != self.own_number
         ]
         for _ in range(min(len(others), math.ceil(RETRANSMITS * self.log_size))):
             self.send(others.pop(int(self.draw() * len(others))).number, LEAVE, 0)
@@ -347,5 +353,5 @@
         return [
             member
             for member in self.members
-            if member.status in (ALIVE, SUSPECT) and member.number != self.own
+            if member.status in (ALIVE, SUSPECT) and member.number != self.own_number
         ]
--- a/bellrack/peers/overload.py
+++ b/bellrack/peers/overload.py
@@ -56,11 +56,17 @@
         max_aggregated: int | None = None,
     ):
         self.settings, self.on_overload = settings, on_overload
-        own, peers = settings.number, settings.peers
-        self.exchange: aggregation.Aggregation | gossip.Gossip = aggregation.Aggregation(own, peers, send)
-        if peers > (gossip.MAX_AGGREGATED_BALANCERS if max_aggregated is None else max_aggregated):
+        own_number, tier_size = settings.number, settings.peers
+        self.exchange: aggregation.Aggregation | gossip.Gossip = aggregation.Aggregation(
+            own_number, tier_size, send
+        )
+        if tier_size > (gossip.MAX_AGGREGATED_BALANCERS if max_aggregated is None else max_aggregated):
             self.exchange = gossip.Gossip(
-                own, peers, send, Rng(own).uniform, SETUP_WAIT_SHARE * settings.shortest_message_aim
+                own_number,
+                tier_size,
+                send,
+                Rng(own_number).uniform,
+                SETUP_WAIT_SHARE * settings.shortest_message_aim,
             )
         self.cached_load: tuple[float, dict[Server, float]] = -math.inf, {}  # when computed, and the result
         self.servers: dict[int, Server | None] = {}  # by short id; None if two servers share it
@@ -100,7 +106,7 @@
         """
         return bool(self.settings.report) or now - self.last_server_notice <= SERVER_NOTICE_SECONDS
 
-    def nobody_reports_load(self, now: float) -> bool:
+    def load_is_unreported(self, now: float) -> bool:
         """Whether neither servers nor other balancers report late messages.
 
         A reset is then the first sign of overload.
@@ -116,7 +122,7 @@
         exchange = self.exchange
         if (
             exchange.published_baseline is not None
-            and exchange.aggregator != exchange.own
+            and exchange.aggregator != exchange.own_number
             and exchange.has_broadcasts(now)
         ):
             return exchange.published_baseline
@@ -148,7 +154,7 @@
         if self.has_broadcasts(now):
             self.exchange.report(aggregation.LATENESS, server.id_hash, RESET_LATENESS)
             self.on_sign(server, RESET_LATENESS, now)
-        elif self.nobody_reports_load(now):
+        elif self.load_is_unreported(now):
             self.verdicts += 1
             self.on_overload(server, RESET_LATENESS)
 
@@ -160,7 +166,7 @@
         previous, when = self.lateness.get(server.id_hash, (0.0, -math.inf))
         lateness = (lateness + (previous if now - when < SIGN_MEMORY_SECONDS else 0.0)) / 2
         self.lateness[server.id_hash] = lateness, now
-        aggregator = self.exchange.aggregator == self.exchange.own
+        aggregator = self.exchange.aggregator == self.exchange.own_number
         if lateness < (OVERLOAD_LATENESS if aggregator else OWN_SIGN_LATENESS):
             return
         previous, when = self.published.get(server.id_hash, (0.0, -math.inf))
@@ -182,7 +188,7 @@
             server = self.servers[short_id]
             if kind == aggregation.SETUP_TIME:
                 self.add_setup(server, value / 1000, now)
-            elif self.exchange.aggregator == self.exchange.own:
+            elif self.exchange.aggregator == self.exchange.own_number:
                 self.on_sign(server, value, now)
             else:
                 self.report_overload(server, value, now)
--- a/tests/test_blind.py
+++ b/tests/test_blind.py
@@ -126,7 +126,7 @@
     return bench, one, other, held
 
 
-def test_reset_closes_a_server_where_nobody_reports_load():
+def test_reset_closes_a_server_where_load_is_unreported():
     bench, one, _, held = bench_after_resets()
     has_room = bench.balancer.selection.has_room
     assert held > 2 and one.local_state.limit == pytest.approx(0.6 * held)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -644,7 +644,7 @@
                 shares = [share for _, share in self.shares[id_hash]] + [
                     node.held.get(id_hash, 0) / node.held_in_zone
                 ]
-                share = node.total(id_hash, self.now) / node.typical_held(self.now) / node.peers
+                share = node.total(id_hash, self.now) / node.typical_held(self.now) / node.tier_size
                 assert 0.93 * min(shares) <= share <= 1.07 * max(shares)
                 assert len(node.votes.get(id_hash, {})) <= gossip.MAX_VOTES
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -79,7 +79,7 @@
 
     def statuses(self, number):
         """The status of one member in the view of each other running one."""
-        others = [node for node in self.nodes if node and not node.left and node.own != number]
+        others = [node for node in self.nodes if node and not node.left and node.own_number != number]
         return [node.members[number].status for node in others]
 
     def agree(self):
@@ -133,7 +133,7 @@
     assert tier.agree() and not tier.deaths()
     start_ids = {node.members[7].start_id for node in tier.nodes}
     assert start_ids == {tier.nodes[7].start_id}
-    others = [node for node in tier.nodes if node.own != 7]
+    others = [node for node in tier.nodes if node.own_number != 7]
     assert all(any(change.why == "restarted" for change in node.changes) for node in others)
 
 
