--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -236,11 +236,15 @@
         self.apart = apart  # whether each server has its own zone and cell
         self.patience = patience  # seconds that the node waits at its start for discovery to push a list
         self.numbers = itertools.count(1)
-        self.arrived, self.questions = asyncio.Queue(), asyncio.Queue()
+        self.arrived, self.discovery_requests = asyncio.Queue(), asyncio.Queue()
 
     async def __aenter__(self):
-        self.listeners = [await asyncio.start_server(self.served(n), "127.0.0.1") for n in range(self.count)]
-        lister = await asyncio.start_server(lambda *both: self.questions.put_nowait(Peer(*both)), "127.0.0.1")
+        self.listeners = [
+            await asyncio.start_server(self.on_server_connection(n), "127.0.0.1") for n in range(self.count)
+        ]
+        lister = await asyncio.start_server(
+            lambda *both: self.discovery_requests.put_nowait(Peer(*both)), "127.0.0.1"
+        )
         self.listeners.append(lister)
         places = ["{}:{}".format(*one.sockets[0].getsockname()) for one in self.listeners]
         self.entries = [self.entry(number, places[number]) for number in range(self.count)]
@@ -249,15 +253,15 @@
             self.raw["control"] = "127.0.0.1:0"
         if self.known:
             self.raw["known"] = {"generation": 41, "reset": True, "instances": self.entries}
-        naming = None if self.count else asyncio.create_task(self.names_none())
+        naming = None if self.count else asyncio.create_task(self.send_empty_list())
         self.node, self.serving = await self.start()
         if naming:
             await naming
         return self
 
-    async def names_none(self):
+    async def send_empty_list(self):
         """Discovery sends an empty list: without a list the node accepts no clients."""
-        self.watch, _ = await self.question()
+        self.watch, _ = await self.discovery_request()
         text = '{"generation":42,"reset":true,"instances":[]}\n'
         self.watch.writer.write(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(text), text.encode())
@@ -287,12 +291,12 @@
         node.finished.set()
         await serving
 
-    async def first_ends(self, serving):
-        """Waits for the first node to end; the world's node is the second from now on."""
+    async def wait_for_first_node(self, serving):
+        """Waits until the first node has ended; `serving`, the task of the second one, takes its place."""
         await asyncio.wait_for(self.serving, 5)
         self.serving = serving
 
-    def served(self, number):
+    def on_server_connection(self, number):
         """Returns the callback for connections to the server with this number."""
         return lambda *both: self.arrived.put_nowait((number, Peer(*both)))
 
@@ -325,34 +329,34 @@
         number, peer = await asyncio.wait_for(self.arrived.get(), 5)
         return number, peer, await peer.line()
 
-    async def standing(self, values="c=chat,t=acme,d=2000", number=None):
-        """Returns both ends, client and server, of an established connection."""
+    async def establish(self, values="c=chat,t=acme,d=2000", number=None):
+        """Establishes a connection and returns both of its ends, client and server."""
         client = await self.call(values, number)
         _, server, _ = await self.leg()
         server.say("UP 0011")
         assert await client.line() == "UP 0011"
         return client, server
 
-    async def question(self):
+    async def discovery_request(self):
         """Returns the next request to discovery and its target."""
-        peer = await asyncio.wait_for(self.questions.get(), 5)
+        peer = await asyncio.wait_for(self.discovery_requests.get(), 5)
         target = (await peer.line()).split()[1]
         while await peer.line():
             pass
         return peer, target
 
-    def desk(self):
+    def admin_address(self):
         """Returns the address of the admin listener."""
         return self.node.listeners.admin.sockets[0].getsockname()
 
     async def ask(self, path, body="", method=None):
         """Returns the status (0 for none) and the text that an operator gets."""
-        peer = Peer(*await asyncio.open_connection(*self.desk()))
+        peer = Peer(*await asyncio.open_connection(*self.admin_address()))
         method = method or ("POST" if body else "GET")
         peer.writer.write(f"{method} {path} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
-        return await self.said(peer)
+        return await self.http_response(peer)
 
-    async def said(self, peer):
+    async def http_response(self, peer):
         """Returns the status (0 for none) and the text of an HTTP response."""
         got = await asyncio.wait_for(peer.reader.read(), 5)
         peer.end("fin")
@@ -404,7 +408,7 @@
                         self.wake(held)
 
 
-def played(test):
+def async_test(test):
     """Decorates a test that is a coroutine: runs it, for 20 s at most."""
 
     @functools.wraps(test)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from helpers import World, played, raw_settings
+from helpers import World, async_test, raw_settings
 from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
 
 from bellrack.net import lines, node, turns
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS_SECONDS)
-@played
+@async_test
 async def test_newly_listed_start_is_cold_whatever_clock_stamped_it(monkeypatch, step):
     host, wall_clock = node_at(monkeypatch), time.time()
     apply_list(host, 1, entry("s-0", 0), entry("s-1", 0), reset=True)
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS_SECONDS)
-@played
+@async_test
 async def test_start_listed_again_with_the_same_stamp_is_the_same_start(monkeypatch, step):
     host, stamp = node_at(monkeypatch), time.time() + step
     apply_list(host, 1, entry("s-0", 0), entry("s-1", 0), reset=True)
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS_SECONDS)
-@played
+@async_test
 async def test_process_started_with_a_wrong_clock_takes_no_cold_server_for_warm(monkeypatch, step):
     host, wall_clock = node_at(monkeypatch, offset=step), time.time()
     apply_list(
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("step", STEPS_SECONDS)
-@played
+@async_test
 async def test_server_with_another_stamp_than_in_the_known_list_is_cold(monkeypatch, step):
     """The server has started since the known list was written, whatever its stamp says."""
     host, wall_clock = node_at(monkeypatch), time.time()
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("step", [0.0, -5.0, -3600.0])
-@played
+@async_test
 async def test_server_missing_from_the_known_list_is_not_taken_for_warm(monkeypatch, step):
     """The server's clock is behind, and the known list does not name it."""
     host, wall_clock = node_at(monkeypatch), time.time()
@@ -111,11 +111,11 @@
 
 
 @pytest.mark.parametrize("step", [-3600.0, 3600.0])
-@played
+@async_test
 async def test_times_handed_over_in_a_hot_restart_keep_their_distance(folder, monkeypatch, step):  # noqa: F811
     async with World(servers=2, control=True, listen=reserved_address()) as world:
         old = world.node
-        _, server = await world.standing()
+        _, server = await world.establish()
         connection = next(
             iter(next(s for s in old.servers.values() if s.host_record.connections).host_record.connections)
         )
@@ -143,6 +143,6 @@
             )
             with contextlib.suppress(ConnectionError):
                 server.end("fin")
-            await world.first_ends(world.serving)
+            await world.wait_for_first_node(world.serving)
             world.serving = asyncio.ensure_future(new.finished.wait())
             world.node = new
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -6,7 +6,7 @@
 from dataclasses import replace
 
 import pytest
-from helpers import World, played, raw_settings
+from helpers import World, async_test, raw_settings
 
 from bellrack import choice
 from bellrack.lab import cold
@@ -109,7 +109,7 @@
         return super().entry(number, place, started=time.time() * 1000, **fields)
 
 
-@played
+@async_test
 async def test_set_ups_that_connect_late_and_together_keep_to_the_budget(monkeypatch):
     """One balancer, whose connections to the cold server are all established at once, long after each was
     decided. A cold server is loaded when the request lines reach it."""
@@ -149,7 +149,7 @@
         assert 0 < world.node.counters["upstream_requests"] <= max_cold_requests(allowed)
 
 
-@played
+@async_test
 async def test_twenty_nodes_on_sockets_keep_to_the_budget_of_one_cold_server():
     """It is the only server of all nodes, and each node gets three calls. Connections there end at once. The
     window is longer than the test, so all requests lie in one window."""
--- a/tests/test_connection_log.py
+++ b/tests/test_connection_log.py
@@ -3,7 +3,7 @@
 import logging
 
 import pytest
-from helpers import World, played
+from helpers import World, async_test
 
 from bellrack.net import limits, log
 
@@ -20,7 +20,7 @@
     ]
 
 
-@played
+@async_test
 async def test_connection_without_a_request_is_logged_with_number_peer_and_duration(
     monkeypatch, ended_clients
 ):
@@ -38,10 +38,10 @@
         assert all(limits.FIRST_LINE_SECONDS <= line["lasted"] < 5 and "id" not in line for line in logged)
 
 
-@played
+@async_test
 async def test_request_and_its_attempt_are_logged_with_the_id_and_their_numbers(caplog, ended_clients):
     async with World(servers=1) as world:
-        client, server = await world.standing(number=7)
+        client, server = await world.establish(number=7)
         server.say("BYE")
         server.end("fin")
         assert [await client.line(), await client.line()] == ["BYE", "fin"]
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from helpers import Peer, World, played
+from helpers import Peer, World, async_test
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -45,10 +45,10 @@
     assert raised.value.status == status
 
 
-@played
+@async_test
 async def test_responses_to_valid_and_invalid_requests():
     async with World(control=True, patience=60.0) as world:
-        question, _ = await world.question()
+        question, _ = await world.discovery_request()
         assert (await world.ask("/_ready"))[0] == 503  # discovery has not answered yet
         head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         news = '{"generation":42,"reset":false,"instances":[]}\n'
@@ -61,7 +61,7 @@
         assert not world.node.admin_connections and not world.node.counters["faults"]
 
 
-@played
+@async_test
 async def test_metrics_match_what_clients_and_servers_saw():
     async with World(servers=2, control=True, effect="fragile") as world:
         assert await world.figures() == {
@@ -77,7 +77,7 @@
             "bad_weights": 0,
             "list_lines": 1,
         }
-        client, server = await world.standing()
+        client, server = await world.establish()
         failing = await world.call()
         (await world.leg())[1].say("ERR")
         assert await failing.line() == "ERR"
@@ -94,30 +94,31 @@
         assert (await world.figures())["pending"] == 0
 
 
-@played
+@async_test
 async def test_idle_admin_connections_do_not_lock_others_out(monkeypatch):
     monkeypatch.setattr(limits, "MAX_ADMIN_CONNECTIONS", 4)
     async with World(control=True) as world:
-        idle = [Peer(*await asyncio.open_connection(*world.desk())) for _ in range(9)]
+        idle = [Peer(*await asyncio.open_connection(*world.admin_address())) for _ in range(9)]
         for peer in idle[::2]:
             peer.writer.write(b"GET /_va")
         assert "pending" in await world.figures()
-        assert (await world.said(idle[0]))[0] == 503 and len(world.node.admin_connections) <= 4
+        assert (await world.http_response(idle[0]))[0] == 503 and len(world.node.admin_connections) <= 4
         idle[-1].writer.write(b"GET /_vars HTTP/1.1\r\n\r\n"[8:])
-        assert (await world.said(idle[-1]))[0] == 200  # the newest connection may still complete its request
+        # The newest connection may still complete its request.
+        assert (await world.http_response(idle[-1]))[0] == 200
 
 
-@played
+@async_test
 async def test_incomplete_admin_request_times_out(monkeypatch):
     monkeypatch.setattr(limits, "ADMIN_REQUEST_SECONDS", 0.05)
     async with World(control=True) as world:
-        peer = Peer(*await asyncio.open_connection(*world.desk()))
+        peer = Peer(*await asyncio.open_connection(*world.admin_address()))
         peer.writer.write(b"GET /_vars HT")
-        assert (await world.said(peer))[0] == 408
+        assert (await world.http_response(peer))[0] == 408
         await world.until(lambda: not world.node.admin_connections)
 
 
-@played
+@async_test
 async def test_detached_server_gets_no_connections_until_it_is_attached():
     async with World(servers=2, control=True) as world:
         assert (await world.ask("/_servers/detach", "s-9"))[0] == 404
@@ -136,7 +137,7 @@
         assert (await world.figures())["members_unavailable"] == 0 and not world.node.server_list.cordoned
 
 
-@played
+@async_test
 async def test_request_is_not_written_to_a_server_detached_while_connecting(monkeypatch):
     async with World(servers=1, control=True, effect="fragile") as world:
         original_made = servers.OutgoingConnection.on_connected
@@ -152,7 +153,7 @@
         assert line == "fin" and (await client.line()).startswith("BUSY")
 
 
-@played
+@async_test
 async def test_server_stays_detached_after_it_was_missing_from_the_list(monkeypatch):
     monkeypatch.setattr(server_watch, "FORGET_AFTER_SECONDS", 0.0)
     async with World(servers=2, control=True) as world:
@@ -169,7 +170,7 @@
         assert len(world.node.balancer.listing.ready) == 1
 
 
-@played
+@async_test
 async def test_counters_match_a_random_sequence_of_outcomes():
     rng = random.Random(5)
     async with World(servers=3, control=True, effect="fragile") as world:
@@ -205,9 +206,9 @@
             assert metrics[f"{outcome}.chat"] == seen[outcome] > 0, (outcome, metrics, seen)
 
 
-@played
+@async_test
 async def test_response_to_a_wrong_method_names_the_allowed_one():
     async with World(control=True) as world:
-        peer = Peer(*await asyncio.open_connection(*world.desk()))
+        peer = Peer(*await asyncio.open_connection(*world.admin_address()))
         peer.writer.write(b"GET /_servers/detach HTTP/1.1\r\n\r\n")
         assert b"\r\nAllow: POST\r\n" in await peer.reader.read()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import Peer, World, played, raw_settings
+from helpers import Peer, World, async_test, raw_settings
 from processes import bound_socket, format_address
 
 from bellrack.net import limits, listeners
@@ -262,7 +262,7 @@
         assert node_limits.probes_in_flight + node_limits.max_admin_connections + 3 + 3 <= control
 
 
-@played
+@async_test
 async def test_client_waits_in_the_listen_queue_until_a_descriptor_is_free():
     async with World(sockets=900) as world:
         node_limits, before = world.node.limits, world.node.limits.descriptors
@@ -276,7 +276,7 @@
         assert await client.line() == "UP 1"
 
 
-@played
+@async_test
 async def test_accept_failing_with_emfile_pauses_the_listener_only_briefly(monkeypatch):
     async with World() as world:
         failed, take = [], listeners.Listener.accept_one
@@ -288,5 +288,5 @@
             take(self)
 
         monkeypatch.setattr(listeners.Listener, "accept_one", fails)
-        await world.standing()
+        await world.establish()
         assert len(failed) == 3
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 import socket
 
 import pytest
-from helpers import Peer, World, played, settings
+from helpers import Peer, World, async_test, settings
 from test_net import HEAD, chunk
 
 from bellrack import discovery_retry, model
@@ -457,12 +457,12 @@
 
 @pytest.mark.parametrize("said", HALVES)
 @pytest.mark.parametrize("first", [True, False])
-@played
+@async_test
 async def test_partial_response_triggers_hedged_request_and_first_to_deliver_is_used(quick, said, first):
     async with World(servers=2) as world:
-        first_request, _ = await world.question()
+        first_request, _ = await world.discovery_request()
         first_request.writer.write(said)
-        second_request, target = await world.question()
+        second_request, target = await world.discovery_request()
         assert target.endswith("?watch=1&after=41") and world.node.counters["list_failures"] == 1
         delivers, reset = (
             (first_request, second_request)
@@ -475,11 +475,11 @@
         assert world.node.discovery.current.received_line and world.node.discovery.hedged is None
 
 
-@played
+@async_test
 async def test_hedged_request_continues_alone_when_the_older_one_fails(quick):
     async with World(servers=2) as world:
-        first_request, _ = await world.question()
-        second_request, _ = await world.question()
+        first_request, _ = await world.discovery_request()
+        second_request, _ = await world.discovery_request()
         world.node.discovery.hedge_at = float("inf")
         first_request.end("rst")
         await world.until(lambda: world.node.counters["list_failures"] == 2)
@@ -487,10 +487,10 @@
         await world.until(lambda: world.node.discovery.current and not world.node.discovery.hedged)
         second_request.writer.write(HEAD + drain_chunk(world))
         await drained(world)
-        assert world.questions.empty()
+        assert world.discovery_requests.empty()
 
 
-@played
+@async_test
 async def test_prompt_refusal_counts_as_down_and_late_refusal_as_reached(quick, monkeypatch):
     refusal = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"
     monkeypatch.setattr(discovery_retry, "PROMPT_FAILURE_SECONDS", 60.0)
@@ -498,26 +498,26 @@
         age = world.node.discovery.list_age
         for number in range(3):
             before = age.confirmed_at
-            request, _ = await world.question()
+            request, _ = await world.discovery_request()
             request.writer.write(refusal)
             await world.until(lambda least=number: world.node.counters["list_failures"] > least)
             assert age.confirmed_at > before and not age.reached
         monkeypatch.setattr(discovery_retry, "PROMPT_FAILURE_SECONDS", 0.0)
-        request, _ = await world.question()
+        request, _ = await world.discovery_request()
         request.writer.write(refusal)
         await world.until(lambda: age.reached)
 
 
-@played
+@async_test
 async def test_reset_after_the_head_and_refusal_are_each_retried(quick):
     async with World(servers=2) as world:
-        first_request, _ = await world.question()
+        first_request, _ = await world.discovery_request()
         first_request.writer.write(HEAD)
         await world.until(lambda: not world.node.discovery.current.awaits_response)
         first_request.end("rst")
-        second_request, _ = await world.question()
+        second_request, _ = await world.discovery_request()
         second_request.writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-        third_request, _ = await world.question()
+        third_request, _ = await world.discovery_request()
         third_request.writer.write(HEAD + drain_chunk(world))
         await drained(world)
         assert world.node.counters["list_failures"] == 2
@@ -539,10 +539,10 @@
     return listener, fillers
 
 
-@played
+@async_test
 async def test_change_to_an_unreachable_address_is_retried_until_it_answers(quick):
     async with World(servers=2) as world:
-        old, _ = await world.question()
+        old, _ = await world.discovery_request()
         old.writer.write(HEAD + chunk("\n"))
         await world.until(lambda: world.node.readiness.list_received)
         listener, fillers = full_listener()
@@ -566,7 +566,7 @@
         assert world.node.server_list.version == 3 and await old.line() == "rst"
 
 
-@played
+@async_test
 async def test_doubtful_list_allows_only_servers_that_accepted_a_connection_recently(quick, monkeypatch):
     monkeypatch.setattr(discovery_retry, "TOLD_AFTER_SECONDS", 1.0)
     monkeypatch.setattr(discovery_retry, "MARGIN_SECONDS", 0.1)
@@ -577,7 +577,7 @@
         async def answer():
             """Answers requests in turn; skips those that were given up meanwhile."""
             while True:
-                peer = await world.questions.get()
+                peer = await world.discovery_requests.get()
                 with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                     await peer.reader.readuntil(b"\r\n\r\n")
                     # A late refusal, as for a request that waited too long.
@@ -621,7 +621,7 @@
         answering.cancel()
 
 
-@played
+@async_test
 async def test_connection_to_a_server_that_turned_doubtful_meanwhile_gets_no_request(monkeypatch):
     made = ServerConnection.on_connected
 
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -12,7 +12,7 @@
 from unittest import mock
 
 import pytest
-from helpers import Batch, Bench, Peer, World, played, settings
+from helpers import Batch, Bench, Peer, World, async_test, settings
 
 from bellrack import model
 from bellrack.net import discovery, lines, server_watch, servers, shutdown
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("part", ["half a ", "x" * 3000])
-@played
+@async_test
 async def test_moves_the_client_of_a_server_that_hangs_in_the_middle_of_a_line(monkeypatch, part):
     # Fault seen in the scenario roll+brink: 17 bytes of a line in the ring, the client's lines unanswered for
     # 7 s, and no MOVE.
@@ -41,7 +41,7 @@
     monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.05)
     quiet = {"messageAimUs": [1e9], "tellsDelay": False}  # late messages alone move no connection
     async with World(specifics=quiet) as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         client.say("M 1")
         assert await server.line() == "M 1"
         server.writer.write(part.encode())
@@ -49,29 +49,29 @@
 
 
 @pytest.mark.parametrize("last", ["BYE", "MOVE"])
-@played
+@async_test
 async def test_closes_for_a_server_that_hangs_after_its_last_line(last):
     async with World() as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         server.say(last)
         assert [await client.line(), await client.line(), await server.line()] == [last, "fin", "fin"]
         assert not world.node.balancer.open_legs
 
 
 @pytest.mark.parametrize("last", ["BYE", "MOVE"])
-@played
+@async_test
 async def test_a_reset_after_the_last_line_does_not_lose_it(last):
     async with World() as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         server.say(last)
         server.end("rst")
         assert [await client.line(), await client.line()] == [last, "fin"]
 
 
-@played
+@async_test
 async def test_a_slow_client_gets_whole_lines_after_its_server_has_closed():
     async with World() as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         client.writer.transport.pause_reading()
         connection = next(iter(world.node.clients))
         while not connection.blocked:
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("first, told", [("time", "BUSY 500"), ("server", "UP 1")])
-@played
+@async_test
 async def test_timeout_and_answer_in_one_turn_give_one_answer(monkeypatch, first, told):
     # Otherwise the client gets UP after the BUSY that was decided in the same turn, or BUSY after UP.
     async with World() as world:
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("effect, told", [("retryable", "BUSY 500"), ("fragile", "ERR")])
-@played
+@async_test
 async def test_timeout_and_error_in_one_turn_give_one_answer(monkeypatch, effect, told):
     async with World(servers=2, effect=effect) as world:
         batch = Batch(monkeypatch, world.node)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
-@played
+@async_test
 async def test_sends_nothing_for_a_client_that_closes_as_its_attempt_connects(monkeypatch, how):
     async with World() as world:
         batch = Batch(monkeypatch, world.node)
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
-@played
+@async_test
 async def test_makes_no_attempt_for_a_burst_of_clients_that_close_at_once(how):
     # The request and the end of each have arrived before the balancer reads: no connection to a server is
     # opened.
@@ -162,19 +162,19 @@
         assert not world.node.counters["upstream_requests"] and not world.node.balancer.open_legs
 
 
-@played
+@async_test
 async def test_does_not_send_a_queued_call_whose_client_has_closed_when_a_server_is_listed():
     async with World(servers=0) as world:
         client = await world.call()
         await world.until(lambda: world.node.balancer.queued)
         client.end("fin")
         await world.until(lambda: not world.node.clients)
-        listener = await asyncio.start_server(world.served(0), "127.0.0.1")
+        listener = await asyncio.start_server(world.on_server_connection(0), "127.0.0.1")
         world.listeners.append(listener)
         entry = world.entry(0, "{}:{}".format(*listener.sockets[0].getsockname()))
         world.watch.writer.write(chunk(list_line(50, entry)))
         await world.until(lambda: world.node.servers)
-        await world.standing()
+        await world.establish()
         await world.until(lambda: not world.node.balancer.queued)
         assert world.node.counters["upstream_requests"] == 1
 
@@ -182,7 +182,7 @@
 # Shutdown.
 
 
-@played
+@async_test
 async def test_shutdown_waits_for_the_rest_of_a_request_line(monkeypatch):
     monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.1)
     async with World() as world:
@@ -202,7 +202,7 @@
         await asyncio.wait_for(world.serving, 1)
 
 
-@played
+@async_test
 async def test_shutdown_answers_clients_in_the_accept_queue(monkeypatch):
     monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.0)
     async with World() as world:
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ECONNABORTED])
-@played
+@async_test
 async def test_shutdown_ends_even_if_accepting_fails(monkeypatch, error):
     monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.0)
     async with World() as world:
@@ -241,7 +241,7 @@
 @pytest.mark.parametrize(
     "effect, told", [("retryable", "BUSY 500"), ("fragile", "ERR"), ("dedup", "BUSY 500")]
 )
-@played
+@async_test
 async def test_shutdown_answers_clients_of_a_server_that_hangs(monkeypatch, effect, told):
     monkeypatch.setattr(shutdown, "MAX_REQUEST_SECONDS", 0.3)
     async with World(effect=effect) as world:
@@ -253,10 +253,10 @@
         await asyncio.wait_for(world.serving, 2)
 
 
-@played
+@async_test
 async def test_a_server_counts_as_silent_however_much_its_client_sends():
     async with World() as world:
-        client, _ = await world.standing()
+        client, _ = await world.establish()
         (connection,) = next(iter(world.node.servers.values())).host_record.connections
         for sent in (100, 200):
             client.writer.write(b"M\r\n" * 100)
@@ -268,13 +268,13 @@
 
 
 @pytest.mark.parametrize("words", [b"", b"PING\r\n", b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch"])
-@played
+@async_test
 async def test_shutdown_answers_clients_without_a_request_before_it_ends(monkeypatch, words):
     """Their request may cross the end of the process: some connect 0.4 s after the signal and write 2.75 s
     later."""
     monkeypatch.setattr(shutdown, "MAX_REQUEST_SECONDS", 0.5)
     async with World() as world:
-        ordinary, _ = await world.standing()
+        ordinary, _ = await world.establish()
         client = await world.dial()
         client.writer.write(words)
         await world.until(lambda: len(world.node.clients) == 2)
@@ -289,7 +289,7 @@
         await asyncio.wait_for(world.serving, 2)
 
 
-@played
+@async_test
 async def test_runs_nothing_after_the_end_of_the_shutdown():
     """Timers still run while the event loop is closed; they must not begin a watch or an attempt."""
     async with World() as world:
@@ -304,10 +304,10 @@
         assert not world.node.turn_scheduled
 
 
-@played
+@async_test
 async def test_shutdown_before_listening_ends_cleanly(tmp_path):
     async with World(discovery="push") as world:
-        await world.question()  # from the node of `world`
+        await world.discovery_request()  # from the node of `world`
         path = tmp_path / "config.json"
         path.write_text(json.dumps(world.raw))
         process = await asyncio.create_subprocess_exec(
@@ -319,7 +319,7 @@
             cwd=ROOT,
             stderr=asyncio.subprocess.PIPE,
         )
-        await world.question()  # from the process, which waits for a list that does not come
+        await world.discovery_request()  # from the process, which waits for a list that does not come
         process.send_signal(signal.SIGTERM)
         _, said = await asyncio.wait_for(process.communicate(), 5)
         assert process.returncode == 0 and b"Traceback" not in said and b"event=serving" not in said
@@ -330,7 +330,7 @@
 
 @pytest.mark.parametrize("start", [HEAD, HEAD + chunk('{"generation": 50,\n'), b"HTTP/1.1 200 OK\r\nX: "])
 @pytest.mark.parametrize("part", [b"x", b"1\r\n \r\n"])
-@played
+@async_test
 async def test_a_watch_without_whole_lines_counts_as_silent(monkeypatch, start, part):
     monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.3)
     monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.05)
@@ -338,7 +338,7 @@
     if part == b"x" and start.endswith(b"\n"):
         part = b"9" * 1  # the head of a chunk that never ends
     async with World() as world:
-        watch, _ = await world.question()
+        watch, _ = await world.discovery_request()
         watch.writer.write(start)
 
         async def write_parts():
@@ -347,14 +347,14 @@
                 await asyncio.sleep(0.05)
 
         writing = asyncio.create_task(write_parts())
-        await world.question()
+        await world.discovery_request()
         writing.cancel()
 
 
-@played
+@async_test
 async def test_silence_of_a_watch_counts_from_the_head_of_its_response():
     async with World() as world:
-        watch, _ = await world.question()
+        watch, _ = await world.discovery_request()
         request = world.node.discovery.current
         before = request.last_received
         watch.writer.write(HEAD[:20])
@@ -365,24 +365,24 @@
         assert request.last_received > before
 
 
-@played
+@async_test
 async def test_empty_lines_keep_a_watch_open(monkeypatch):
     monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.3)
     monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.05)
     async with World() as world:
-        watch, _ = await world.question()
+        watch, _ = await world.discovery_request()
         watch.writer.write(HEAD)
         for _ in range(12):
             watch.writer.write(chunk("\n"))
             await asyncio.sleep(0.05)
-        assert world.questions.empty() and world.node.readiness.list_received
-        await world.question()
+        assert world.discovery_requests.empty() and world.node.readiness.list_received
+        await world.discovery_request()
 
 
-@played
+@async_test
 async def test_accepts_an_indented_list():
     async with World(servers=2) as world:
-        watch, _ = await world.question()
+        watch, _ = await world.discovery_request()
         one, other = world.node.servers.values()
         change = {
             "generation": 50,
@@ -403,24 +403,24 @@
         assert not world.node.counters["list_failures"]
 
 
-@played
+@async_test
 async def test_gives_up_a_fetch_that_is_not_answered(monkeypatch):
     monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.1)
     async with World(discovery="push") as world:
-        await world.question()
+        await world.discovery_request()
         world.node.queue(world.node.discovery.fetch)
-        fetch, target = await world.question()
+        fetch, target = await world.discovery_request()
         assert target == "/v1/endpoints" and await fetch.line() in ("fin", "rst")
 
 
-@played
+@async_test
 async def test_with_pushed_lists_listens_on_the_current_list():
     # The list of discovery counts as known from the start, so servers of the older, known list may be
     # draining.
     world = World(servers=2, discovery="push", patience=5.0)
 
     async def agent():
-        watch, _ = await world.question()
+        watch, _ = await world.discovery_request()
         draining = world.entries[0] | {"lifecycle": "terminating"}
         watch.writer.write(HEAD + chunk(list_line(50, draining, whole=False)))
 
@@ -435,15 +435,15 @@
             assert (await world.leg())[0] == 1
 
 
-@played
+@async_test
 async def test_with_pushed_lists_renews_a_broken_watch_within_the_drain_grace():
     # A change counts as known at once, whether or not a watch is open.
     async with World(discovery="push") as world:
         for _ in range(3):
-            watch, _ = await world.question()
+            watch, _ = await world.discovery_request()
             broken_at = world.node.loop.time()
             watch.end("rst")
-        await world.question()
+        await world.discovery_request()
         assert world.node.loop.time() - broken_at < world.node.settings.drain_grace
 
 
@@ -477,7 +477,7 @@
 
 @pytest.mark.parametrize("outcome", [*MAY_HAVE_RAN, "BUSY"])
 @pytest.mark.parametrize("effect, group", EFFECTS)
-@played
+@async_test
 async def test_retries_in_another_group_only_if_that_is_safe(effect, group, outcome):
     """The call is retried there if the leg never ran or a repeat does no harm. Otherwise the answer is ERR,
     which does not say whether it ran."""
@@ -504,7 +504,7 @@
 
 
 @pytest.mark.parametrize("effect, group", EFFECTS)
-@played
+@async_test
 async def test_a_leg_without_descriptors_counts_as_never_sent(monkeypatch, effect, group):
     async with World(servers=2, apart=True, trafficTypes=traffic_types(effect, group)) as world:
         monkeypatch.setattr(world.node.limits, "lacks", lambda more: True)
--- a/tests/test_first_line.py
+++ b/tests/test_first_line.py
@@ -3,7 +3,7 @@
 connections")."""
 
 import pytest
-from helpers import World, played
+from helpers import World, async_test
 from hypothesis import given
 from hypothesis import strategies as st
 from test_resumed import AT
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize("data", [b"GET / HT", b"OPEN 1 zz"])
-@played
+@async_test
 async def test_malformed_data_is_answered_in_time_before_any_request(short_timeouts, data):
     async with World(servers=1) as world:
         client, opened_at = await world.dial(), world.node.clock()
@@ -83,7 +83,7 @@
         )
 
 
-@played
+@async_test
 async def test_malformed_data_after_long_silence_is_answered(short_timeouts):
     async with World(servers=1) as world:
         client, opened_at = await world.dial(), world.node.clock()
@@ -93,18 +93,18 @@
         assert await client.line() == "BUSY 1500"
 
 
-@played
+@async_test
 async def test_partial_line_is_answered_once_a_request_has_come(short_timeouts):
     async with World(servers=1) as world:
         client, opened_at = await world.dial(), world.node.clock()
         client.writer.write(LINE[:30])
         await world.until(lambda: world.node.clock() > opened_at + 3 * limits.FIRST_LINE_SECONDS)
         assert world.node.clients
-        await world.standing()
+        await world.establish()
         assert await client.line() == "BUSY 1500"
 
 
-@played
+@async_test
 async def test_partial_line_is_answered_when_resumed_connections_are_no_longer_admitted(short_timeouts):
     async with World(servers=1) as world:
         world.node.resumed.window.started -= 1000.0
@@ -114,7 +114,7 @@
 
 
 @pytest.mark.parametrize("data", [b"", LINE[:30]])
-@played
+@async_test
 async def test_late_writers_are_not_waited_for_during_shutdown(short_timeouts, data):
     """Such a client is answered before the last moment of the shutdown, which is over 3 s after SIGTERM."""
     async with World(servers=1) as world:
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -7,7 +7,7 @@
 import struct
 
 import pytest
-from helpers import Batch, World, played, raw_settings
+from helpers import Batch, World, async_test, raw_settings
 
 from bellrack.net import lines, server_watch, servers
 
@@ -51,12 +51,12 @@
 
 
 @ENDS
-@played
+@async_test
 async def test_does_not_send_a_queued_request_whose_client_has_closed(how):
     async with World(servers=0, trafficTypes=SLOW_TYPES) as world:
         client = send_request(world)
         await world.until(lambda: world.node.balancer.queued)
-        listener = await asyncio.start_server(world.served(0), "127.0.0.1")
+        listener = await asyncio.start_server(world.on_server_connection(0), "127.0.0.1")
         world.listeners.append(listener)
         entry = world.entry(0, "{}:{}".format(*listener.sockets[0].getsockname()))
 
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("outcome", ["BUSY", "ERR", "rst"])
 @ENDS
-@played
+@async_test
 async def test_does_not_retry_a_failed_attempt_after_the_client_has_closed(monkeypatch, how, outcome):
     async with World(servers=2, trafficTypes=SLOW_TYPES) as world:
         batch = Batch(monkeypatch, world.node)
@@ -92,7 +92,7 @@
 
 
 @ENDS
-@played
+@async_test
 async def test_sends_nothing_if_the_client_has_closed_when_the_attempt_connects(monkeypatch, how):
     async with World(trafficTypes=SLOW_TYPES) as world:
         batch = Batch(monkeypatch, world.node)
@@ -108,7 +108,7 @@
 
 
 @ENDS
-@played
+@async_test
 async def test_gives_up_a_slow_connect_when_the_client_closes(monkeypatch, how):
     released, connect = asyncio.Event(), servers.OutgoingConnection._open
 
@@ -130,7 +130,7 @@
 
 
 @ENDS
-@played
+@async_test
 async def test_makes_no_attempt_for_a_request_that_is_followed_by_the_end(how):
     async with World(servers=2) as world:
 
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("rest", [b"M 1\r\n", b"M 1\r\n" * 2000, b"x" * 9000])
-@played
+@async_test
 async def test_makes_no_attempt_for_a_request_that_is_followed_by_more_bytes_and_the_end(rest):
     # The last two fill the ring, so that the end cannot be read.
     async with World(servers=2) as world:
@@ -160,7 +160,7 @@
 
 @pytest.mark.parametrize("ends", ["rst", "silence"])
 @ENDS
-@played
+@async_test
 async def test_makes_no_further_attempt_for_a_client_that_closes_while_its_ring_is_full(
     monkeypatch, how, ends
 ):
@@ -194,7 +194,7 @@
 
 
 @pytest.mark.parametrize("queue", ["events", "actions"])
-@played
+@async_test
 async def test_turn_stops_so_that_ends_and_list_changes_are_handled_in_between(monkeypatch, queue):
     async with World() as world:
         host, client, seen, list_seen = world.node, socket.create_connection(world.node.address), [], []
@@ -221,7 +221,7 @@
         assert ended <= 10 and list_seen[0] <= 10  # within 0.1 s
 
 
-@played
+@async_test
 async def test_handles_200_requests_at_once(capsys):
     async with World(sockets=900, trafficTypes=SLOW_TYPES) as world:
         entries = [world.entries[0] | {"instanceId": f"s-{number}"} for number in range(100)]
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -11,7 +11,7 @@
 from unittest import mock
 
 import pytest
-from helpers import Peer, World, played
+from helpers import Peer, World, async_test
 
 from bellrack.net import handoff, hot_restart, lines, node, ring, sibling
 from bellrack.net.config import parse_config
@@ -47,10 +47,10 @@
         BOUND.pop().close()
 
 
-@played
+@async_test
 async def test_successor_accepts_connections_that_wait_on_the_listening_socket(folder):
     async with World(control=True, listen=reserved_address()) as world:
-        old, (client, _) = world.node, await world.standing()
+        old, (client, _) = world.node, await world.establish()
         world.node, serving = await world.start()
         waiting = await world.call()
         await world.until(lambda: old.hot_restart.has_successor and old.listeners.listener is None)
@@ -60,8 +60,8 @@
         assert (await world.leg())[2].startswith("OPEN 0000000000000002") and waiting
         old.begin_shutdown()
         assert [await client.line(), await client.line()] == ["MOVE", "fin"]
-        again, _ = await world.standing()
-        await world.first_ends(serving)
+        again, _ = await world.establish()
+        await world.wait_for_first_node(serving)
         assert not old.clients and not old.listeners.listener
         assert len(world.node.clients) == 2 and again
         await world.until(
@@ -69,7 +69,7 @@
         )
 
 
-@played
+@async_test
 async def test_predecessor_serves_a_silent_connection_that_it_accepted(folder):
     async with World(control=True, listen=reserved_address()) as world:
         old, silent = world.node, await world.dial()
@@ -83,14 +83,14 @@
         assert line.startswith("OPEN 0000000000000007") and await silent.line() == "UP 1"
         server.say("line")
         assert await silent.line() == "line"  # by now at the successor
-        await world.first_ends(serving)
+        await world.wait_for_first_node(serving)
         assert world.node.counters["taken_over"] == 1
 
 
-@played
+@async_test
 async def test_established_connections_are_handed_over_without_losing_or_repeating_bytes(folder):
     async with World(servers=3, control=True, listen=reserved_address()) as world:
-        old, pairs = world.node, [await world.standing() for _ in range(40)]
+        old, pairs = world.node, [await world.establish() for _ in range(40)]
         held = {server.id_hash: server.local_state.open_legs for server in old.servers.values()}
         for number, (client, server) in enumerate(pairs):
             client.writer.write(b"first half %d, " % number)
@@ -106,7 +106,7 @@
             server.say(f"to {number}")
         for number, (client, _) in enumerate(pairs):
             assert await client.line() == f"answer {number} to {number}"
-        await world.first_ends(serving)
+        await world.wait_for_first_node(serving)
         new = world.node
         assert (old.counters["moved"], new.counters["taken_over"], old.balancer.open_legs) == (0, 40, 0)
         assert {
@@ -123,10 +123,10 @@
         assert not new.counters["faults"] and not old.counters["faults"]
 
 
-@played
+@async_test
 async def test_connection_with_unsent_lines_is_handed_over_once_they_are_sent(folder):
     async with World(control=True, listen=reserved_address()) as world:
-        old, (client, server) = world.node, await world.standing()
+        old, (client, server) = world.node, await world.establish()
         line, link = b"x" * 4000 + b"\r\n", next(iter(old.clients))
         while not link.blocked:  # the client does not read
             server.writer.write(line * 50)
@@ -143,10 +143,10 @@
         await world.until(lambda: world.node.counters["taken_over"])
         server.say("line")
         assert await client.line() == "line"
-        await world.first_ends(serving)
+        await world.wait_for_first_node(serving)
 
 
-@played
+@async_test
 async def test_receiver_ignores_malformed_hand_off_messages(folder):
     async with World(control=True) as world:
         ours, theirs = handoff.socket_pair()
@@ -159,18 +159,18 @@
         await world.until(lambda: theirs.fileno() < 0)
 
 
-@played
+@async_test
 async def test_predecessor_accepts_again_when_its_successor_ends(folder):
     async with World(control=True, listen=reserved_address()) as world:
         async with world.beside():
             await world.until(lambda: world.node.hot_restart.has_successor)
         await world.until(lambda: world.node.listeners.listener)
-        await world.standing()
+        await world.establish()
         async with world.beside():  # and can hand over once more
             await world.until(lambda: world.node.hot_restart.has_successor)
 
 
-@played
+@async_test
 async def test_successor_adopts_the_list_of_the_predecessor(folder):
     async with World(servers=2, control=True, listen=reserved_address()) as world:
         # The list of the configuration is older than the predecessor's.
@@ -186,7 +186,7 @@
             assert here == there and len(here) == 2
 
 
-@played
+@async_test
 async def test_detach_and_attach_orders_hold_at_both_processes(folder):
     async with World(servers=3, control=True, listen=reserved_address()) as world:
         old = world.node
@@ -206,7 +206,7 @@
         await serving
 
 
-@played
+@async_test
 async def test_successor_adopts_what_the_predecessor_has_learned(folder):
     async with World(servers=2, control=True, listen=reserved_address()) as world:
         first, _ = world.node.servers.values()
@@ -232,22 +232,22 @@
             assert same.failure_weight == 0.25
 
 
-@played
+@async_test
 async def test_predecessor_that_ends_before_its_successor_is_ready_moves_its_clients(folder, monkeypatch):
     # Otherwise connections would go to a process that may never become ready.
     monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 60.0)
     async with World(control=True, listen=reserved_address()) as world:
-        old, (client, _) = world.node, await world.standing()
+        old, (client, _) = world.node, await world.establish()
         world.node = node.Node(parse_config(world.raw), old.loop)
         serving = asyncio.create_task(world.node.serve())
         await world.until(lambda: old.hot_restart.sibling and old.hot_restart.sibling.transport)
         old.begin_shutdown()
         assert await client.line() == "MOVE" and not old.counters["handed_over"]
-        await world.first_ends(serving)
+        await world.wait_for_first_node(serving)
         world.node.server_list.on_unchanged()
 
 
-@played
+@async_test
 async def test_malformed_state_of_a_predecessor_does_not_prevent_a_start(folder, monkeypatch):
     for state in ({"out": [5]}, {"seen": [[]]}, {"list": 5}, {"learned": []}):
         monkeypatch.setattr(hot_restart.HotRestart, "snapshot", lambda self, state=state: state)
@@ -255,7 +255,7 @@
             await world.until(lambda: world.node.hot_restart.has_successor)
 
 
-@played
+@async_test
 async def test_leg_that_ends_during_its_hand_off_is_not_counted_as_open(folder, monkeypatch):
     monkeypatch.setattr(ring, "FLUSH_SECONDS", 0.0)
     async with World(control=True) as world:
@@ -290,7 +290,7 @@
             sock.close()
 
 
-@played
+@async_test
 async def test_no_predecessor_is_found_where_none_answers_properly(folder):
     path = sibling.socket_path("n0", ("127.0.0.1", 1))
     assert sibling.socket_path("n0", ("127.0.0.1", 2)) != path and path.startswith(str(folder))
@@ -318,18 +318,18 @@
     assert sibling.socket_path("n0", ("127.0.0.1", 1)) is None
 
 
-@played
+@async_test
 async def test_missing_folder_is_logged_once_and_the_process_serves(folder, monkeypatch, caplog):
     caplog.set_level("INFO", logger="bellrack")
     monkeypatch.setenv("TMPDIR", str(folder / "none"))
     async with World(control=True) as world:
-        await world.standing()
+        await world.establish()
         offered = [record.fields["offered"] for record in caplog.records if record.msg == "handover"]
         assert offered == ["nothing"]
         assert not world.node.listeners.successor_socket
 
 
-@played
+@async_test
 async def test_hot_restart_of_two_real_processes_keeps_a_connection(tmp_path):
     async with World(servers=2) as world:
         listen, admin_addresses = reserved_address(), [reserved_address(), reserved_address()]
@@ -384,7 +384,7 @@
     return response.partition(b" ")[2]
 
 
-@played
+@async_test
 async def test_process_of_another_user_gets_no_listening_socket(folder, monkeypatch):
     async with World(control=True, listen=reserved_address()) as world:
         monkeypatch.setattr(sibling, "same_user", lambda sock: False)
--- a/tests/test_lab_live.py
+++ b/tests/test_lab_live.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import played
+from helpers import async_test
 from test_lab import raw
 
 from bellrack.lab import live
@@ -166,7 +166,7 @@
         live.run(parse_scenario(raw(**changes)), 1, quiet=True)
 
 
-@played
+@async_test
 async def test_a_port_refuses_comes_up_or_says_nothing_as_its_machine_does():
     loop, port = asyncio.get_running_loop(), Port()
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -9,7 +9,7 @@
 import time
 
 import pytest
-from helpers import LIVE, Peer, World, configured, played, refused
+from helpers import LIVE, Peer, World, async_test, configured, refused
 
 from bellrack import model
 from bellrack.net import discovery, limits, lines, resumption, server_watch, servers
@@ -20,14 +20,14 @@
 
 async def begin_run(world):
     """Serves an ordinary request. It shows that the run has begun: silent connections are closed in time."""
-    client, server = await world.standing()
+    client, server = await world.establish()
     client.end("fin")
     assert await server.line() == "fin"
     server.end("fin")
     await world.until(lambda: not world.node.clients)
 
 
-@played
+@async_test
 async def test_establishes_a_connection_and_forwards_its_lines_unchanged():
     async with World() as world:
         client = await world.call("c=chat,t=acme,d=2000,g=00ff,h=3.5")
@@ -51,22 +51,22 @@
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
 @pytest.mark.parametrize("side", [0, 1])
-@played
+@async_test
 async def test_closes_a_connection_the_way_its_other_side_closed(how, side):
     async with World() as world:
-        pair = await world.standing()
+        pair = await world.establish()
         pair[side].end(how)
         assert await pair[1 - side].line() == how
         await world.until(lambda: not world.node.balancer.open_legs and not world.node.clients)
 
 
-@played
+@async_test
 async def test_leaves_nothing_behind_after_any_kind_of_end(monkeypatch):
     # Otherwise legs, ids or descriptors leak with each such client until none are left.
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.2)
     async with World(servers=2) as world:
         node_limits = world.node.limits
-        await world.question()
+        await world.discovery_request()
         await world.until(lambda: world.node.discovery.current.transport)
         before = node_limits.descriptors
         await begin_run(world)
@@ -121,7 +121,7 @@
         ("dedup", "rst", "UP 2"),
     ],
 )
-@played
+@async_test
 async def test_retries_a_failed_leg_only_if_that_is_safe(effect, answer, told):
     async with World(servers=2, effect=effect) as world:
         client = await world.call()
@@ -138,7 +138,7 @@
         assert world.arrived.empty()
 
 
-@played
+@async_test
 async def test_retries_a_once_only_call_if_a_server_is_unreachable():
     async with World(servers=2, effect="fragile") as world:
         world.listeners[0].close()
@@ -150,7 +150,7 @@
         assert world.node.counters["leg_no_connection"]
 
 
-@played
+@async_test
 async def test_a_pause_of_this_process_is_not_a_failed_connect(monkeypatch):
     # Fault seen: 54 connects at a start with little CPU were established and written, then given up by
     # timeout.
@@ -169,7 +169,7 @@
         assert await client.line() == "UP 1" and world.node.counters["legs"] == 1
 
 
-@played
+@async_test
 async def test_answers_a_call_by_its_timeout_if_no_server_does():
     async with World() as world:
         client = await world.call("c=chat,t=acme,d=300")
@@ -180,7 +180,7 @@
         assert 0.2 < world.node.loop.time() - started_at < 0.316
 
 
-@played
+@async_test
 async def test_closes_a_leg_that_is_accepted_after_its_call_was_answered():
     async with World() as world:
         client = await world.call()
@@ -192,7 +192,7 @@
         assert not world.node.balancer.open_legs
 
 
-@played
+@async_test
 async def test_without_servers_tells_the_client_when_to_retry():
     async with World(servers=0) as world:
         client = await world.call()
@@ -200,12 +200,12 @@
 
 
 @pytest.mark.parametrize("reports_load, delay_ratio", [(False, 0.25), (True, 0.0)])
-@played
+@async_test
 async def test_load_lines_are_delays_if_servers_report_no_loads(reports_load, delay_ratio):
     # Without it the decisions never learn of late messages: lines are answered at once even then.
     special = {"messageAimUs": [1e5], "tellsDelay": True, "tellsLoad": reports_load}
     async with World(specifics=special) as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         server.say("LOAD 25.0")
         assert await client.line() == "LOAD 25.0"
         state = next(iter(world.node.servers.values())).local_state
@@ -216,30 +216,30 @@
 
 
 @pytest.mark.parametrize("load", ["nan", "inf", "-inf", "-1", "", "x", "1e999"])
-@played
+@async_test
 async def test_ignores_a_load_that_is_not_a_finite_number(load):
     async with World() as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         server.say(f"LOAD {load}")
         server.say("\x00\x7f  garbage")
         assert (await client.line()).startswith("LOAD") and (await client.line()).endswith("garbage")
         state = next(iter(world.node.servers.values())).local_state
         assert (state.delay_ratio, state.limit, world.node.counters["faults"]) == (0.0, float("inf"), 0)
-        await world.standing()
+        await world.establish()
 
 
 @pytest.mark.parametrize("broken", [b'{"generation":1}', b"[" * 50_000, b'{"generation":1e999,"reset":true}'])
-@played
+@async_test
 async def test_a_malformed_list_affects_only_its_own_connection(broken, monkeypatch):
     monkeypatch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.05)
     async with World() as world:
-        watch, _ = await world.question()
-        client, server = await world.standing()
+        watch, _ = await world.discovery_request()
+        client, server = await world.establish()
         watch.writer.write(HEAD + chunk(broken.decode() + "\n"))
-        await world.question()
+        await world.discovery_request()
         client.say("M 1")
         assert await server.line() == "M 1" and not world.node.counters["faults"]
-        await world.standing()
+        await world.establish()
 
 
 def test_a_pause_of_this_process_is_not_a_delay_of_the_server():
@@ -251,7 +251,7 @@
     assert endpoint.take_line_time(102.0) == 0.0
 
 
-@played
+@async_test
 async def test_closes_without_error_after_an_unreported_reset():
     # Fault seen: an exception in the turn left a connection open.
     async with World() as world:
@@ -266,13 +266,13 @@
         assert not world.node.counters["faults"]
 
 
-@played
+@async_test
 async def test_a_silent_server_counts_as_late_and_then_its_clients_are_moved(monkeypatch):
     monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.05)
     monkeypatch.setattr(servers, "SILENCE_SECONDS", 0.3)
     monkeypatch.setattr("bellrack.choice.MOVE_SHARE", 0.0)
     async with World() as world:
-        client, _ = await world.standing()
+        client, _ = await world.establish()
         client.say("M 1")
         state = next(iter(world.node.servers.values())).local_state
         await world.until(lambda: state.delay_ratio > 0.5)
@@ -280,7 +280,7 @@
         assert world.node.counters["leg_reset"] == 1
 
 
-@played
+@async_test
 async def test_sends_nothing_to_a_server_that_drains_while_a_leg_connects(monkeypatch):
     released, connect = asyncio.Event(), servers.OutgoingConnection._open
 
@@ -308,11 +308,11 @@
         assert number != int(chosen) and await client.line() == "UP 1"
 
 
-@played
+@async_test
 async def test_handles_a_list_change_before_the_calls_of_its_turn():
     # Otherwise a call is placed by a list that a change of the same turn has outdated.
     async with World() as world:
-        watch, _ = await world.question()
+        watch, _ = await world.discovery_request()
         client = await world.call()
         await world.until(lambda: world.node.counters["legs"])
         order, connection = [], next(iter(world.node.clients))
@@ -354,7 +354,7 @@
         b"OPEN 1 2 c=chat,h=" + b"1" * 5000 + b"\r\n",
     ],
 )
-@played
+@async_test
 async def test_answers_a_malformed_line_with_syntax_and_closes(line):
     # The line is forwarded to a server as it is, so a malformed one must not get that far.
     async with World() as world:
@@ -365,7 +365,7 @@
         assert world.arrived.empty()
 
 
-@played
+@async_test
 async def test_does_not_retry_a_call_whose_client_sends_too_much():
     # Otherwise the decisions go on to place a call that the node has refused.
     async with World(servers=2) as world:
@@ -378,11 +378,11 @@
         assert world.node.counters["legs"] == 1
 
 
-@played
+@async_test
 async def test_rejects_an_id_in_use_without_asking_a_server(monkeypatch):
     # Fault seen: a client used another's id; three servers answered ERR and counted as failing.
     async with World(servers=3) as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         for _ in range(3):
             thief = await world.call("c=chat,t=acme,d=2000,r=1,again=1", number=1)
             assert [await thief.line(), await thief.line()] == ["SYNTAX", "fin"]
@@ -392,22 +392,22 @@
         await world.until(lambda: not world.node.limits.open_ids)
         assert await (await world.call(number=1)).line() == "SYNTAX"
         monkeypatch.setattr(limits, "MAX_RECENT_IDS", 1)
-        (await world.standing())[0].end("fin")
+        (await world.establish())[0].end("fin")
         await world.until(lambda: not world.node.limits.open_ids)
-        await world.standing(number=1)
+        await world.establish(number=1)
 
 
-@played
+@async_test
 async def test_rejects_resumed_connections_after_the_startup_window():
     # They are admitted for 70 s; an ordinary request before them changes nothing (tests/test_resumed.py).
     async with World(servers=1) as world:
-        await world.standing()
+        await world.establish()
         world.node.resumed.window.started -= resumption.ALL_READY_SECONDS + resumption.RESUME_TIMEOUT_SECONDS
         late = await world.call("c=chat,t=acme,d=2000,at=s-0")
         assert [await late.line(), world.arrived.empty()] == ["SYNTAX", True]
 
 
-@played
+@async_test
 async def test_closes_connections_without_a_whole_first_line_in_time(monkeypatch):
     # Otherwise a connection stays open without a request, or by means of PING, or it is closed without an
     # answer just as its line becomes complete.
@@ -427,7 +427,7 @@
         assert (await client.reader.read()).count(b"\r\n") == limits.MAX_PINGS + 1
 
 
-@played
+@async_test
 async def test_stops_reading_from_a_client_that_sends_on_after_its_answer():
     # Fault seen: 60 MB were read and discarded, which used up the processor time of other clients.
     async with World() as world:
@@ -436,7 +436,7 @@
         await world.until(lambda: world.node.counters["malformed"] and not world.node.clients, 0.9)
 
 
-@played
+@async_test
 async def test_evicts_silent_connections_before_it_rejects_a_call(monkeypatch):
     monkeypatch.setattr(limits, "SILENT_GRACE_SECONDS", 0.05)
     async with World() as world:
@@ -444,22 +444,22 @@
         await world.until(lambda: len(world.node.clients) == 30)
         await asyncio.sleep(0.1)
         world.node.limits.limit = world.node.limits.descriptors + world.node.limits.reserve
-        await world.standing()
+        await world.establish()
         assert [await silent[0].line(), await silent[0].line()] == ["BUSY 1500", "fin"]
-        await world.standing()
+        await world.establish()
         assert 22 < len(world.node.clients) < 32 and world.node.counters["stood"] == 2
 
 
-@played
+@async_test
 async def test_moves_the_client_of_a_server_that_sends_an_endless_line():
     # Otherwise the client stays open although its server is gone.
     async with World() as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         server.writer.write(b"x" * 5000)
         assert [await client.line(), await client.line()] == ["MOVE", "fin"]
 
 
-@played
+@async_test
 async def test_answers_pings_and_forgets_a_client_that_closes():
     async with World() as world:
         front = await world.dial()
@@ -476,7 +476,7 @@
         )
 
 
-@played
+@async_test
 async def test_resumes_connections_at_their_own_server():
     async with World(servers=3) as world:
         unknown = await world.call("c=chat,t=acme,d=300,at=s-9")
@@ -491,7 +491,7 @@
         assert [s.local_state.open_legs for s in world.node.servers.values()] == [0, 0, 1]
 
 
-@played
+@async_test
 async def test_short_of_descriptors_rejects_before_accepting_fails():
     async with World(sockets=60) as world:
         world.node.limits.descriptors = 60 - world.node.limits.reserve - 4
@@ -513,10 +513,10 @@
         return "waits"
 
 
-@played
+@async_test
 async def test_bounds_what_it_buffers_for_a_client_that_does_not_read():
     async with World() as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         client.writer.transport.pause_reading()
         connection = next(iter(world.node.clients))
         server.writer.write((b"x" * 1000 + b"\r\n") * 20000)
@@ -528,10 +528,10 @@
 
 
 @pytest.mark.parametrize("side", [0, 1])
-@played
+@async_test
 async def test_a_side_that_reads_nothing_does_not_keep_a_closed_pair_open(side):
     async with World() as world:
-        pair = await world.standing()
+        pair = await world.establish()
         pair[side].writer.transport.pause_reading()
         pair[side].writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client = next(iter(world.node.clients))
@@ -547,10 +547,10 @@
         await world.until(lambda: client.closed and not world.node.balancer.open_legs, 0.9)
 
 
-@played
+@async_test
 async def test_shutdown_moves_established_connections_and_ends():
     async with World() as world:
-        pairs = [await world.standing() for _ in range(4)]
+        pairs = [await world.establish() for _ in range(4)]
         waiting = await world.call()
         _, server, _ = await world.leg()
         world.node.queue(world.node.begin_shutdown)
@@ -574,16 +574,16 @@
     return f"{len(text):x}\r\n{text}\r\n".encode()
 
 
-@played
+@async_test
 async def test_watch_brings_changes_and_is_renewed_when_it_fails(monkeypatch):
     monkeypatch.setattr("bellrack.discovery_retry.FIRST_DELAY_SECONDS", 0.05)
     monkeypatch.setattr(discovery, "CHECK_INTERVAL_SECONDS", 0.05)
     monkeypatch.setattr(discovery, "SILENCE_SECONDS", 0.4)
     async with World(servers=2) as world:
-        refused, target = await world.question()
+        refused, target = await world.discovery_request()
         assert target == "/v1/endpoints?watch=1&after=41"
         refused.writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
-        watch, _ = await world.question()
+        watch, _ = await world.discovery_request()
         change = {
             "generation": 43,
             "reset": False,
@@ -592,36 +592,36 @@
         watch.writer.write(HEAD + chunk("\n") + chunk(json.dumps(change) + "\n"))
         one, other = world.node.servers.values()
         await world.until(lambda: one.state == model.DRAINING)
-        unanswered, target = await world.question()  # the previous watch fell silent
+        unanswered, target = await world.discovery_request()  # the previous watch fell silent
         assert target.endswith("after=43") and other.state == model.READY
         assert world.node.counters["list_failures"] == 1
-        watch, _ = await world.question()  # and so did this one, before its response began
+        watch, _ = await world.discovery_request()  # and so did this one, before its response began
         assert world.node.counters["list_failures"] == 2
         whole = {"generation": 50, "reset": True, "instances": [world.entries[0]]}
         watch.writer.write(HEAD + chunk(json.dumps(whole) + "\n"))
         await world.until(lambda: (one.state, other.state) == (model.READY, model.GONE))
         watch.end("rst")
-        await world.question()
+        await world.discovery_request()
         assert world.node.counters["list_failures"] == 3
         world.node.fetch_list()
         world.node.queue(int)
-        fetch, target = await world.question()
+        fetch, target = await world.discovery_request()
         assert target == "/v1/endpoints"
         body = json.dumps(whole | {"instances": world.entries}).encode()
         fetch.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         await world.until(lambda: other.state == model.READY)
 
 
-@played
+@async_test
 async def test_sighup_switches_to_the_new_discovery_address_and_ignores_a_bad_file(tmp_path, caplog):
     # Otherwise SIGHUP ends the process, lower versions are ignored, or the end of the old watch counts as a
     # failure.
     async with World(servers=2) as world:
-        old, _ = await world.question()
+        old, _ = await world.discovery_request()
         whole = {"generation": 90, "reset": True, "instances": world.entries}
         old.writer.write(HEAD + chunk(json.dumps(whole) + "\n"))
         await world.until(lambda: world.node.server_list.version == 90)
-        client, server = await world.standing()
+        client, server = await world.establish()
         file = tmp_path / "config.json"
         world.node.config.path = str(file)
         requests = asyncio.Queue()
@@ -663,12 +663,12 @@
         await world.until(lambda: world.node.counters["list_failures"] == 1)
 
 
-@played
+@async_test
 async def test_forgets_a_server_that_is_gone_once_it_has_no_connections(monkeypatch):
     monkeypatch.setattr(server_watch, "CHECK_INTERVAL_SECONDS", 0.02)
     monkeypatch.setattr(server_watch, "FORGET_AFTER_SECONDS", 0.1)
     async with World(servers=2) as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         world.node.queue(
             world.node.server_list.on_list,
             lines.parse_list({"generation": 42, "reset": True, "instances": []}),
@@ -682,18 +682,18 @@
         world.node.queue(
             world.node.server_list.on_list, lines.parse_list(world.raw["known"] | {"generation": 43})
         )
-        await world.standing()
+        await world.establish()
 
 
-@played
+@async_test
 async def test_with_pushed_lists_the_node_keeps_a_watch_open(monkeypatch):
     monkeypatch.setattr(discovery, "WATCH_RETRY_GRACE_SHARE", 0.05)
     async with World(**LIVE) as world:
-        (await world.question())[0].end("rst")
-        await world.question()
+        (await world.discovery_request())[0].end("rst")
+        await world.discovery_request()
 
 
-@played
+@async_test
 async def test_sends_probes_and_datagrams():
     async with World() as world:
         results, received = [], []
@@ -723,10 +723,10 @@
         world.node.peers.transport.close()
 
 
-@played
+@async_test
 async def test_an_exception_in_a_turn_ends_neither_the_process_nor_other_connections(capsys):
     async with World() as world:
-        client, server = await world.standing()
+        client, server = await world.establish()
         world.node.queue(lambda: 1 // 0)
         client.say("M 1")
         assert await server.line() == "M 1" and world.node.counters["faults"] == 1
@@ -750,7 +750,7 @@
     assert told in refused(tmp_path, capsys, monkeypatch, text)
 
 
-@played
+@async_test
 async def test_keeps_a_slow_writer_among_many_connections_that_never_finish(monkeypatch):
     # Fault seen: clients that need 2 s for their line were evicted as the oldest of many.
     monkeypatch.setattr(limits, "SILENT_GRACE_SECONDS", 0.0)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -14,7 +14,7 @@
 
 import pytest
 from docopt import docopt
-from helpers import Peer, World, configured, played, raw_settings
+from helpers import Peer, World, async_test, configured, raw_settings
 
 from bellrack import __main__ as program
 from bellrack.lab import starts
@@ -131,7 +131,7 @@
 
 @contextlib.asynccontextmanager
 async def starting(list_wait, **changes):
-    """Yield a world with a starting process; its requests to discovery arrive in `world.questions`."""
+    """Yield a world with a starting process; `world.discovery_requests` gets its requests to discovery."""
     requests = asyncio.Queue()
     listener = await asyncio.start_server(lambda *both: requests.put_nowait(Peer(*both)), "127.0.0.1")
     address = "{}:{}".format(*listener.sockets[0].getsockname())
@@ -149,7 +149,7 @@
         patch.delenv("TMPDIR", raising=False)
         world = World()
         world.node = Node(parse_config(raw), asyncio.get_running_loop())
-        world.questions = requests
+        world.discovery_requests = requests
         world.serving = asyncio.create_task(world.node.serve())
         await world.until(lambda: world.node.listeners.admin)
         try:
@@ -176,7 +176,7 @@
 
 async def answer_request(world, how):
     """Answer the next request to discovery in this way; return the connection."""
-    peer, _ = await world.question()
+    peer, _ = await world.discovery_request()
     if how == "503":
         peer.writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
     elif how == "reset":
@@ -193,7 +193,7 @@
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("how", ["503", "reset", "silent", "half", "nothing new"])
 @pytest.mark.parametrize("known", NO_LIST)
-@played
+@async_test
 async def test_process_without_a_list_is_not_ready_until_it_receives_one(known, how, mode):
     async with starting(0.02, discovery=mode, known=known) as world:
         watch = await answer_request(world, how)
@@ -220,7 +220,7 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("how", ["503", "reset", "silent", "half"])
-@played
+@async_test
 async def test_process_with_a_known_list_becomes_ready_whatever_discovery_does(how, mode):
     list_wait = 60.0 if how in ("503", "reset") else 0.05  # a failure ends the wait
     async with starting(list_wait, discovery=mode, known=KNOWN) as world:
@@ -229,7 +229,7 @@
         assert await reports_ready(world)
 
 
-@played
+@async_test
 async def test_process_waits_for_the_current_list_where_lists_are_pushed():
     async with starting(60.0, discovery="push", known=KNOWN) as world:
         watch = await answer_request(world, "half")
@@ -240,13 +240,13 @@
 
 
 @pytest.mark.parametrize("known, after", [(None, 0), (EMPTY, 0), (INVALID, 0), (DRAINING, 41), (KNOWN, 41)])
-@played
+@async_test
 async def test_process_without_a_known_server_asks_for_the_whole_list(known, after):
     async with starting(60.0, known=known) as world:
-        assert (await world.question())[1] == f"/v1/endpoints?watch=1&after={after}"
+        assert (await world.discovery_request())[1] == f"/v1/endpoints?watch=1&after={after}"
 
 
-@played
+@async_test
 async def test_shutdown_while_waiting_for_a_list(monkeypatch):
     monkeypatch.setattr(discovery, "SILENCE_SECONDS", 60.0)  # the watch does not time out
     async with starting(0.02, known=EMPTY) as world:
--- a/tests/test_repeat_window.py
+++ b/tests/test_repeat_window.py
@@ -5,7 +5,7 @@
 import asyncio
 
 import pytest
-from helpers import World, played
+from helpers import World, async_test
 
 from bellrack.net import servers
 
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("effect, again", [("dedup", False), ("retryable", True)])
 @pytest.mark.parametrize("late", [TTL_SECONDS + 0.05, TTL_SECONDS - MAX_STALL_SECONDS + 0.05])
-@played
+@async_test
 async def test_does_not_send_a_referenced_repeat_that_is_established_after_the_window(
     monkeypatch, effect, again, late
 ):
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("effect", ["dedup", "retryable"])
-@played
+@async_test
 async def test_sends_a_repeat_within_the_window(monkeypatch, effect):
     async with World(servers=2, trafficTypes=traffic_types(effect), caps=CAPS) as world:
         client = await world.call("c=chat,t=acme,d=1900")
--- a/tests/test_resumed.py
+++ b/tests/test_resumed.py
@@ -8,7 +8,7 @@
 from types import SimpleNamespace
 
 import pytest
-from helpers import Peer, World, played
+from helpers import Peer, World, async_test
 from processes import bound_socket, format_address
 
 from bellrack.net import clients, limits, lines, node, reload, resumption, servers
@@ -41,13 +41,13 @@
 
 async def begin_run(world):
     """Serves an ordinary request, which shows that the run has begun."""
-    return await world.standing(ORDINARY)
+    return await world.establish(ORDINARY)
 
 
 # Ordinary requests and PING before a resumed connection.
 
 
-@played
+@async_test
 async def test_admits_resumed_connections_after_and_between_ordinary_requests():
     async with World(servers=1) as world:
         await begin_run(world)
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("first", [False, True])
-@played
+@async_test
 async def test_admits_a_resumed_connection_after_a_ping(first):
     async with World(servers=1) as world:
         if first:
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("after, served", [(41.0, True), (69.0, True), (71.0, False)])
 @pytest.mark.parametrize("first", [False, True])
-@played
+@async_test
 async def test_admits_resumed_connections_until_the_startup_window_closes(after, served, first):
     # Clients come within 30 s and are established within 40 s more. After that a request with `at` may be
     # forged: it is malformed, and no server gets it.
@@ -95,7 +95,7 @@
     "values, waits",
     [("c=chat,t=acme,at=s-9", 40.0), (f"{AT[:-1]}9", 40.0), ("c=chat,t=acme,d=7000,at=s-9", 7.0)],
 )
-@played
+@async_test
 async def test_deadline_is_that_of_resumed_connections_and_not_of_the_traffic_type(values, waits):
     async with World(servers=1) as world:
         client = await world.call(values)
@@ -105,7 +105,7 @@
         client.end("fin")
 
 
-@played
+@async_test
 async def test_answers_err_if_its_server_is_not_listed_in_time(monkeypatch):
     monkeypatch.setattr(resumption, "RESUME_TIMEOUT_SECONDS", 0.3)
     async with World(servers=1) as world:
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("begins", ["request", "line"])
-@played
+@async_test
 async def test_decisions_move_no_resumed_connection_before_the_run(begins):
     # The run begins once all are established at the same time. Fault seen: 93 of 300 were moved to their own
     # zone within 20 s.
@@ -144,7 +144,7 @@
         assert [await client.line() for client, _ in pairs] == ["MOVE"] * 10
 
 
-@played
+@async_test
 async def test_cordon_moves_resumed_connections_before_the_run():
     async with World(servers=1) as world:
         client, _ = await resume(world)
@@ -155,7 +155,7 @@
 # Slow clients.
 
 
-@played
+@async_test
 async def test_waits_for_silent_connections_until_an_ordinary_request_comes(monkeypatch):
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.1)
     monkeypatch.setattr(clients, "FIRST_LINE_RECHECK_SECONDS", 0.05)
@@ -184,7 +184,7 @@
     await world.until(lambda: world.node.clock() > end)
 
 
-@played
+@async_test
 async def test_waits_for_silent_connections_while_others_are_being_resumed(monkeypatch):
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 0.3)
     monkeypatch.setattr(clients, "FIRST_LINE_RECHECK_SECONDS", 0.05)
@@ -204,7 +204,7 @@
 # Short of descriptors.
 
 
-@played
+@async_test
 async def test_waits_for_a_descriptor_and_is_not_rejected(monkeypatch):
     # The client is not evicted for its silence, however long this test takes.
     monkeypatch.setattr(limits, "SILENT_GRACE_SECONDS", 60.0)
@@ -221,7 +221,7 @@
         assert not world.node.counters["crowded"]
 
 
-@played
+@async_test
 async def test_evicts_idle_connections_but_not_those_that_may_be_resumed(monkeypatch):
     # A silent connection may be the next to be resumed, so it is not evicted at once for another.
     monkeypatch.setattr(limits, "SILENT_GRACE_SECONDS", 0.0)
@@ -243,11 +243,11 @@
 
 
 @pytest.mark.parametrize("values", [AT, ORDINARY])
-@played
+@async_test
 async def test_survives_a_kernel_without_descriptors(monkeypatch, values):
     # Fault seen: the task failed, the attempt hung until its deadline, and a descriptor counted for ever.
     async with World(servers=1) as world:
-        await world.question()
+        await world.discovery_request()
         await world.until(lambda: world.node.discovery.current.transport)
         before = world.node.limits.descriptors
         failures = [OSError(errno.EMFILE, "none left") for _ in range(2)]
@@ -272,13 +272,13 @@
 async def send_list(world, entries):
     """Discovery sends the whole list on its watch."""
     if not hasattr(world, "watch"):
-        world.watch, _ = await world.question()
+        world.watch, _ = await world.discovery_request()
         world.watch.writer.write(HEAD)
     world.watch.writer.write(chunk({"generation": 50, "reset": True, "instances": entries}))
 
 
 @pytest.mark.parametrize("first", ["rst", "fin", "ERR", "BUSY", "MOVE"])
-@played
+@async_test
 async def test_retries_at_a_server_that_fails_once(first):
     async with World(servers=2) as world:
         client = await world.call(AT)
@@ -291,7 +291,7 @@
         await expect_established(world, client)
 
 
-@played
+@async_test
 async def test_retries_at_a_server_that_still_has_the_previous_attempt():
     # All attempts have the same id, which a server refuses while it considers the first one open.
     async with World(servers=1) as world:
@@ -305,7 +305,7 @@
         await expect_established(world, client)
 
 
-@played
+@async_test
 async def test_retries_at_a_server_that_accepts_and_does_not_answer(monkeypatch):
     # Fault seen: one attempt used up all of the 40 s.
     monkeypatch.setattr(resumption, "FIRST_ATTEMPT_SECONDS", 0.2)
@@ -322,7 +322,7 @@
         assert await client.line() == "line"
 
 
-@played
+@async_test
 async def test_waits_for_a_server_that_accepts_the_connection_late(monkeypatch):
     # The connect timeout of ordinary requests, 0.2 s here, does not apply: there is no other server to try.
     async with World(servers=1) as world:
@@ -343,7 +343,7 @@
         assert not world.node.counters["leg_no_connection"]
 
 
-@played
+@async_test
 async def test_waits_for_a_server_that_is_not_listed_yet():
     async with World(servers=2) as world:
         world.entries, kept = world.entries[:1], world.entries
@@ -357,7 +357,7 @@
 
 
 @pytest.mark.parametrize("state", ["terminating", "unlisted", "cordoned"])
-@played
+@async_test
 async def test_resumes_at_a_server_that_drains_or_is_not_listed_any_more(state):
     # The connection is established there already, so it is not a new one for that server.
     async with World(servers=2) as world:
@@ -373,7 +373,7 @@
         await resume(world)
 
 
-@played
+@async_test
 async def test_resumes_at_a_server_that_comes_back_at_another_address(monkeypatch):
     monkeypatch.setattr(resumption, "FIRST_ATTEMPT_SECONDS", 0.2)
     async with World(servers=2) as world:
@@ -388,7 +388,7 @@
         assert number == 1 and await client.line() == "UP 1"
 
 
-@played
+@async_test
 async def test_gives_one_answer_if_the_server_has_completed_the_call():
     # Fault seen: BYE was forwarded and the server asked again, so that UP could follow.
     async with World(servers=1) as world:
@@ -401,7 +401,7 @@
         assert not world.node.resumed.pending and world.arrived.empty()
 
 
-@played
+@async_test
 async def test_decisions_count_a_resumed_connection_once_it_is_established():
     async with World(servers=3) as world:
         client = await world.call(AT)
@@ -415,7 +415,7 @@
         await world.until(lambda: world.node.balancer.open_legs == 0)
 
 
-@played
+@async_test
 async def test_resumes_a_client_that_retries_with_the_same_id():
     # Its server knows it by that id. While the first connection is open, a second one with the id is refused.
     async with World(servers=1) as world:
@@ -431,10 +431,10 @@
 
 @pytest.mark.parametrize("how", ["fin", "rst"])
 @pytest.mark.parametrize("at", ["s-0", "s-9"])
-@played
+@async_test
 async def test_leaves_nothing_behind_if_the_client_closes_before_it_is_established(how, at):
     async with World(servers=1) as world:
-        await world.question()
+        await world.discovery_request()
         await world.until(lambda: world.node.discovery.current.transport)
         before = world.node.limits.descriptors
         client = await world.call(f"{AT[:-3]}{at}")
@@ -452,7 +452,7 @@
 
 
 @pytest.mark.parametrize("sent, told", [(False, "BUSY"), (True, "ERR")])
-@played
+@async_test
 async def test_shutdown_answers_resumed_connections_that_are_not_established(sent, told):
     # BUSY, which invites a retry, only if no server may have the request.
     async with World(servers=1) as world:
@@ -465,7 +465,7 @@
         await asyncio.wait_for(world.serving, 5)
 
 
-@played
+@async_test
 async def test_shutdown_lets_resumed_connections_be_established(monkeypatch):
     async with World(servers=1) as world:
         client = await world.call(AT)
@@ -477,7 +477,7 @@
         assert [await client.line(), await client.line()] == ["UP 0", "MOVE"]
 
 
-@played
+@async_test
 async def test_reload_does_not_affect_pending_resumed_connections(tmp_path):
     async with World(servers=1) as world:
         path = tmp_path / "config.json"
@@ -499,7 +499,7 @@
 
 
 @pytest.mark.parametrize("sent", [False, True])
-@played
+@async_test
 async def test_hot_restart_takes_over_pending_resumed_connections(tmp_path, monkeypatch, sent):
     # Fault seen: they stayed with the old process and got BUSY; at the new one their id counted as in use.
     monkeypatch.setenv("TMPDIR", str(tmp_path))
@@ -528,7 +528,7 @@
             assert not old.resumed.pending and world.node.counters["malformed"] == 0
             client.say("line")
             assert await server.line() == "line"
-            await world.first_ends(serving)
+            await world.wait_for_first_node(serving)
 
 
 async def send_list_to_second(world):
@@ -537,7 +537,7 @@
     await send_list(world, [world.entries[0] | {"instanceId": "s-late"}])
 
 
-@played
+@async_test
 async def test_a_process_without_a_list_listens_for_resumed_connections(monkeypatch):
     # Fault seen: nobody listened until there was a list, so the kernel refused them.
     monkeypatch.setattr(resumption, "LISTEN_AFTER_SECONDS", 0.1)
@@ -545,8 +545,8 @@
         address = free.getsockname()
     async with World(servers=1) as world:
         starting = asyncio.create_task(world.start(known=None, listen="{}:{}".format(*address)))
-        await world.question()  # from the first process
-        watch, _ = await world.question()
+        await world.discovery_request()  # from the first process
+        watch, _ = await world.discovery_request()
         client = await connect(address)
         client.say(f"OPEN 00000000000000ff 7f3a9c21e0b4d655 {AT}")
         ordinary, front = await connect(address), await connect(address)
@@ -574,7 +574,7 @@
     raise AssertionError("no process listens")
 
 
-@played
+@async_test
 async def test_a_process_with_a_list_serves_at_once(monkeypatch):
     monkeypatch.setattr(resumption, "LISTEN_AFTER_SECONDS", 0.0)
     async with World(servers=1) as world:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -8,7 +8,7 @@
 import signal
 
 import pytest
-from helpers import World, played, raw_settings
+from helpers import World, async_test, raw_settings
 
 from bellrack import model, settings
 from bellrack.settings import SettingsError, first_missing_key
@@ -48,7 +48,7 @@
     return new
 
 
-@played
+@async_test
 async def test_reload_adds_a_type_and_changes_the_effect_for_new_calls_only(tmp_path):
     async with World(servers=2, control=True) as world:
         file = ConfigFile(world, tmp_path)
@@ -60,43 +60,43 @@
         after = await world.call()
         (await world.leg())[1].say("ERR")  # this call started as once-only
         assert await after.line() == "ERR" and before
-        await world.standing("c=more,t=acme,d=2000")
+        await world.establish("c=more,t=acme,d=2000")
         assert (await world.figures())["completed.more"] == 1
 
 
-@played
+@async_test
 async def test_removed_type_is_served_for_a_while(tmp_path, monkeypatch):
     async with World(control=True) as world:
-        file, (client, server) = ConfigFile(world, tmp_path), await world.standing()
+        file, (client, server) = ConfigFile(world, tmp_path), await world.establish()
         assert (await file.reload(changed(world.raw, more={}))) == (1, 0)
         server.say("line")
         assert await client.line() == "line"
-        await world.standing("c=chat,t=acme,d=2000,again=1")
+        await world.establish("c=chat,t=acme,d=2000,again=1")
         assert (await file.reload(changed(world.raw, more={}, third={}))) == (1, 0)
-        await world.standing("c=third,t=acme,d=2000")
-        await world.standing("c=chat,t=acme,d=2000,again=1")
+        await world.establish("c=third,t=acme,d=2000")
+        await world.establish("c=chat,t=acme,d=2000,again=1")
         monkeypatch.setattr(settings, "RETAIN_SECONDS", -1.0)
         assert (await file.reload(changed(world.raw, more={}))) == (1, 0)
         gone = await world.call()
         assert await gone.line() == "SYNTAX"
 
 
-@played
+@async_test
 async def test_removed_tenant_is_served_for_a_while(tmp_path, monkeypatch):
     async with World() as world:
         file, new = ConfigFile(world, tmp_path), copy.deepcopy(world.raw)
         new["settings"]["accounts"] = [{"name": "other"}]
         assert (await file.reload(new)) == (1, 0)
-        await world.standing("c=chat,t=acme,d=2000,again=1")
+        await world.establish("c=chat,t=acme,d=2000,again=1")
         assert (await file.reload(new)) == (1, 0)
-        await world.standing("c=chat,t=other,d=2000")
-        await world.standing("c=chat,t=acme,d=2000,again=1")
+        await world.establish("c=chat,t=other,d=2000")
+        await world.establish("c=chat,t=acme,d=2000,again=1")
         monkeypatch.setattr(settings, "RETAIN_SECONDS", -1.0)
         assert (await file.reload(new)) == (1, 0)
         assert await (await world.call()).line() == "SYNTAX"
 
 
-@played
+@async_test
 async def test_renamed_and_reordered_types_do_not_affect_calls_in_progress(tmp_path):
     kinds = [
         {
@@ -111,7 +111,7 @@
     ]
     special = {"messageAimUs": [1e5, 1e5], "tellsDelay": False}
     async with World(servers=2, trafficTypes=kinds, specifics=special) as world:
-        client, server = await world.standing("c=one,t=acme,d=2000")
+        client, server = await world.establish("c=one,t=acme,d=2000")
         out = await world.call("c=one,t=acme,d=2000")
         _, asked, _ = await world.leg()
         for server_record in world.node.servers.values():
@@ -143,7 +143,7 @@
         assert (await world.leg())[2].startswith("OPEN") and again  # calls of this type are repeatable now
 
 
-@played
+@async_test
 async def test_lower_attempt_limit_holds_after_a_reload(tmp_path):
     async with World(servers=3) as world:
         file, new = ConfigFile(world, tmp_path), copy.deepcopy(world.raw)
@@ -186,7 +186,7 @@
         yield f"another {key}", new | {"settings": new["settings"] | {key: value}}
 
 
-@played
+@async_test
 async def test_invalid_file_changes_nothing(tmp_path, caplog):
     caplog.set_level("INFO", logger="bellrack")
     async with World() as world:
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -4,7 +4,7 @@
 import json
 
 import pytest
-from helpers import CAPS, LIVE, Peer, World, configured, played, refused
+from helpers import CAPS, LIVE, Peer, World, async_test, configured, refused
 
 from bellrack import model
 from bellrack.net import limits
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("changes", MIXES)
-@played
+@async_test
 async def test_any_documented_mix_is_served(changes):
     """Pushed lists with nominal weights were once refused at the start."""
     async with World(**changes) as world:
@@ -86,7 +86,7 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-@played
+@async_test
 async def test_any_name_in_the_settings_is_served(name):
     """A traffic type with a letter beyond ASCII was once answered SYNTAX."""
     kinds = [{"name": name, "effect": "retryable", "guardTimeUs": 2e6, "setupTargetUs": 3e5}]
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("name", [b"\xff", b"\xc5", b"caf\xe9"])
-@played
+@async_test
 async def test_name_that_is_not_utf_8_is_malformed(name):
     async with World() as world:
         client = await world.dial()
@@ -115,11 +115,11 @@
     assert read_config(f"examples/{name}.json").settings.live == live
 
 
-@played
+@async_test
 async def test_live_weights_are_followed_and_an_unusable_one_is_ignored():
     async with World(**LIVE) as world:
         (server,) = world.node.servers.values()
-        listing, _ = await world.question()
+        listing, _ = await world.discovery_request()
         listing.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n")
         for number, (weight, seen) in enumerate([(0.4, 0.4), (None, 0.4), (2.5, 2.5)]):
             entry = world.entries[0] | {"weight": weight}
@@ -136,7 +136,7 @@
     return server
 
 
-@played
+@async_test
 async def test_call_waits_for_the_report_and_passes_over_a_full_server():
     async with World(servers=2, **LIVE) as world:
         client = await world.call("c=chat,t=acme,d=2000,g=9")
@@ -165,7 +165,7 @@
         "PONG 1 2 3",
     ],
 )
-@played
+@async_test
 async def test_malformed_report_changes_nothing_and_the_call_goes_on(answer):
     async with World(**LIVE) as world:
         client = await world.call()  # the reference keeps the client connected
@@ -183,7 +183,7 @@
         )
 
 
-@played
+@async_test
 async def test_open_probes_are_bounded_and_calls_go_on_without_a_report(monkeypatch):
     monkeypatch.setattr(limits, "MAX_PROBES", 0)
     async with World(**LIVE) as world:
@@ -192,7 +192,7 @@
         assert world.node.counters["probes_held_back"] == 1 and not world.node.counters["probes"]
 
 
-@played
+@async_test
 async def test_unanswered_probe_is_counted_and_released():
     async with World(**LIVE) as world:
         client = await world.call()  # the reference keeps the client connected
@@ -204,10 +204,10 @@
 
 
 @pytest.mark.parametrize("shape, first", [({}, "OPEN"), (LIVE, "STATS"), ({}, "OPEN")])
-@played
+@async_test
 async def test_shape_can_change_and_change_back_on_one_build(shape, first):
     async with World(**shape) as world:
-        assert (await world.question())[1].startswith("/v1/endpoints?watch=1")
+        assert (await world.discovery_request())[1].startswith("/v1/endpoints?watch=1")
         client = await world.call()  # the reference keeps the client connected
         assert (await world.leg())[2].startswith(first) and client
         assert bool(world.node.counters["probes"]) == bool(shape)
--- a/tests/test_shared_state.py
+++ b/tests/test_shared_state.py
@@ -8,7 +8,7 @@
 import json
 
 import pytest
-from helpers import World, played, raw_settings
+from helpers import World, async_test, raw_settings
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("whole", [False, True])
-@played
+@async_test
 async def test_drain_received_by_the_waiting_process_holds_at_both(folder, monkeypatch, whole):  # noqa: F811
     async with (
         World(servers=3, control=True, listen=reserved_address()) as world,
@@ -75,7 +75,7 @@
         assert world.node.server_list.version == 41  # its own watch will deliver all later versions
 
 
-@played
+@async_test
 async def test_drain_received_only_by_the_serving_process_holds_at_both(folder, monkeypatch):  # noqa: F811
     async with (
         World(servers=2, control=True, listen=reserved_address()) as world,
@@ -87,7 +87,7 @@
         assert states(second) == states(world.node) == {"s-0": model.DRAINING, "s-1": model.READY}
 
 
-@played
+@async_test
 async def test_server_attached_at_the_waiting_process_is_attached_at_both(folder, monkeypatch):  # noqa: F811
     async with (
         World(servers=2, control=True, listen=reserved_address()) as world,
@@ -103,7 +103,7 @@
             assert not any(server.cordoned for server in node.servers.values())
 
 
-@played
+@async_test
 async def test_start_received_by_the_waiting_process_makes_the_server_cold_at_both(folder, monkeypatch):  # noqa: F811
     """What the predecessor has learned is from before that start: with it the server would count as warm."""
     async with (
@@ -119,7 +119,7 @@
 
 
 @pytest.mark.parametrize("whole", [False, True])
-@played
+@async_test
 async def test_older_news_of_the_own_watch_does_not_replace_newer_entries(folder, whole):  # noqa: F811
     async with World(servers=2, control=True, listen=reserved_address()) as world, world.beside():
         drained = world.entries[0] | {"lifecycle": "terminating"}
@@ -134,7 +134,7 @@
         assert states(world.node)["s-0"] == model.READY
 
 
-@played
+@async_test
 async def test_malformed_part_of_a_state_does_not_prevent_adopting_the_others(folder):  # noqa: F811
     async with World(servers=2, control=True, listen=reserved_address()) as world:
         state = json.loads(json.dumps(world.node.hot_restart.snapshot()))
@@ -144,7 +144,7 @@
         assert second.server_list.cordoned == {lines.id_hash("s-1"): "s-1"}
 
 
-@played
+@async_test
 async def test_list_of_an_older_release_is_adopted_only_without_a_list_of_discovery(folder):  # noqa: F811
     """An older release sends neither the versions of its list nor the times of operators' orders."""
     async with World(servers=2, control=True, listen=reserved_address()) as world:
--- a/tests/test_transient_errors.py
+++ b/tests/test_transient_errors.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 import pytest
-from helpers import Peer, World, played, raw_settings
+from helpers import Peer, World, async_test, raw_settings
 from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
 
 from bellrack.net import config as configuration
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.ENOBUFS, errno.ENFILE])
-@played
+@async_test
 async def test_shutdown_answers_queued_clients_after_a_failed_accept(monkeypatch, error):
     monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.0)
     async with World() as world:
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize("error", LOCAL_ERRNOS)
 @pytest.mark.parametrize("where", ["socket", "connect"])
-@played
+@async_test
 async def test_request_survives_a_transient_lack_of_sockets(monkeypatch, where, error):
     async with World() as world:
         client = await world.dial()
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("error", [errno.ENFILE, errno.ENOBUFS])
 @pytest.mark.parametrize("what", ["create_server", "datagram"])
-@played
+@async_test
 async def test_start_is_retried_until_sockets_are_available(monkeypatch, error, what):
     async with World() as world:
         extra = {"control": "127.0.0.1:0"}
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EADDRINUSE, errno.EACCES])
-@played
+@async_test
 async def test_unusable_listen_address_is_not_retried(monkeypatch, error):
     failing_call = failing(socket.create_server, error, times=1000)
     async with World() as world:
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("error", [errno.EIO, errno.ENFILE, errno.ENOSPC])
-@played
+@async_test
 async def test_reload_is_retried_when_the_file_is_unreadable_for_a_moment(tmp_path, monkeypatch, error):
     async with World() as world:
         path = tmp_path / "config.json"
@@ -133,7 +133,7 @@
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EIO])
 @pytest.mark.parametrize("call", ["rename", "chmod"])
-@played
+@async_test
 async def test_successor_socket_is_created_once_the_folder_is_writable(folder, monkeypatch, call, error):  # noqa: F811
     failing_call = failing(getattr(os, call), error, times=2)
     monkeypatch.setattr(sibling.os, call, failing_call)
@@ -147,7 +147,7 @@
             assert new.can_serve()
 
 
-@played
+@async_test
 async def test_successor_receives_state_that_is_written_in_pieces(folder, monkeypatch):  # noqa: F811
     original = socket.send_fds
 
@@ -167,7 +167,7 @@
 
 @pytest.mark.parametrize("error", [errno.ETIMEDOUT, errno.EHOSTUNREACH])
 @pytest.mark.parametrize("effect, answer", [("retryable", "UP 2"), ("fragile", "ERR")])
-@played
+@async_test
 async def test_broken_connection_counts_as_possibly_run_whatever_its_error(
     monkeypatch, error, effect, answer
 ):
--- a/tests/test_two_restarts.py
+++ b/tests/test_two_restarts.py
@@ -7,7 +7,7 @@
 import socket
 
 import pytest
-from helpers import Peer, World, played, raw_settings
+from helpers import Peer, World, async_test, raw_settings
 from test_handover import folder, reserved_address  # noqa: F401 (a fixture)
 
 from bellrack import choice, model
@@ -18,7 +18,7 @@
 LINE = b"OPEN %016x 7f3a9c21e0b4d655 c=chat,t=acme,d=2000\r\n"
 
 
-@played
+@async_test
 async def test_third_process_waits_until_the_first_has_ended(folder):  # noqa: F811
     async with World(servers=2, control=True, listen=reserved_address()) as world:
         first = world.node
@@ -37,12 +37,12 @@
         world.node, world.serving = third, serving
 
 
-@played
+@async_test
 async def test_waiting_connection_is_answered_when_both_processes_end(folder, monkeypatch):  # noqa: F811
     monkeypatch.setattr(shutdown, "MIN_SECONDS", 0.2)
     async with World(control=True, listen=reserved_address()) as world:
         first = world.node
-        _, server = await world.standing()
+        _, server = await world.establish()
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
         first.hot_restart.handoff_sender.send_batch = lambda: False  # no connection is handed over
@@ -59,10 +59,10 @@
         await asyncio.wait_for(world.serving, 5)
 
 
-@played
+@async_test
 async def test_connection_handed_to_an_ending_process_is_moved(folder, monkeypatch):  # noqa: F811
     async with World(control=True, listen=reserved_address()) as world:
-        first, (client, _) = world.node, await world.standing()
+        first, (client, _) = world.node, await world.establish()
         second, serving = await world.start()
         await world.until(lambda: first.hot_restart.has_successor)
         # As if the timer for `move_rest` had fired already.
@@ -71,10 +71,10 @@
         first.begin_shutdown()
         assert await client.line() == "MOVE"
         client.end("fin")
-        await world.first_ends(serving)
+        await world.wait_for_first_node(serving)
 
 
-@played
+@async_test
 async def test_waiting_connection_is_served_at_once_when_the_predecessor_is_killed(folder, monkeypatch):  # noqa: F811
     monkeypatch.setattr(node, "KNOWN_LIST_WAIT", 60.0)
     async with World(control=True, listen=reserved_address()) as world:
@@ -93,17 +93,17 @@
         server.say("UP 1")
         assert await client.line() == "UP 1"
         first.finished.set()
-        await world.first_ends(serving)
+        await world.wait_for_first_node(serving)
         world.node = second
 
 
 @pytest.mark.parametrize("sent", [b"", b"OPEN 00000000000000a1 7f3a9c21e0b4d655 c=ch"])
-@played
+@async_test
 async def test_hot_restart_does_not_extend_the_deadline_of_an_incomplete_request(folder, monkeypatch, sent):  # noqa: F811
     """STANDING.md: incomplete requests get an error or a close within 3 s, whichever process answers them."""
     monkeypatch.setattr(limits, "FIRST_LINE_SECONDS", 1.0)
     async with World(control=True, listen=reserved_address()) as world:
-        first, _ = world.node, await world.standing()
+        first, _ = world.node, await world.establish()
         client = await world.dial()
         client.writer.write(sent)
         await world.until(lambda: any(one.call is None for one in first.clients))
@@ -114,11 +114,11 @@
         first.begin_shutdown()
         assert (await client.line()).startswith("BUSY") and first.loop.time() < started_at + 1.4
         assert second.counters["taken_over"]
-        await world.first_ends(serving)
+        await world.wait_for_first_node(serving)
         world.node = second
 
 
-@played
+@async_test
 async def test_server_detached_at_a_waiting_process_stays_detached_at_both(folder, monkeypatch):  # noqa: F811
     """A process that waits for its turn accepts operators' orders; they hold at both processes later."""
     turn, await_predecessor = asyncio.Event(), hot_restart.HotRestart.await_predecessor
@@ -147,7 +147,7 @@
 
 @pytest.mark.parametrize("receiver", [0, 1])
 @pytest.mark.parametrize("whole", [False, True])
-@played
+@async_test
 async def test_list_changes_received_by_one_process_hold_at_the_other(folder, receiver, whole):  # noqa: F811
     """The two processes act as one balancer: news that discovery sends to one counts for both."""
     async with World(servers=3, control=True, listen=reserved_address()) as world, world.beside() as second:
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("answer", [b"{", b'{"busy": tr', b'{"version": 1, "list"'])
-@played
+@async_test
 async def test_incomplete_answer_of_a_predecessor_counts_as_busy(folder, answer):  # noqa: F811
     """The predecessor may end in the middle of its answer: then the successor has to ask again."""
     path = sibling.socket_path("n0", ("127.0.0.1", 1))
@@ -195,7 +195,7 @@
             await connecting
 
 
-@played
+@async_test
 async def test_hot_restart_transfers_3200_servers(folder):  # noqa: F811
     """STANDING.md: at most 3,200 servers."""
     async with World(control=True, listen=reserved_address()) as world:
@@ -278,7 +278,7 @@
 
 
 @pytest.mark.parametrize("how", ["hot restart", "kill", "two hot restarts"])
-@played
+@async_test
 async def test_cold_server_gets_the_budget_of_one_balancer_across_restarts(folder, how):  # noqa: F811
     """The window is longer than the test, so all connections of the test are in one window."""
     async with World(control=True, listen=reserved_address(), obligations=COLD) as world:
@@ -305,7 +305,7 @@
             one.cancel()
 
 
-@played
+@async_test
 async def test_predecessor_sends_nothing_to_a_cold_server_while_it_has_a_successor(folder):  # noqa: F811
     async with World(control=True, listen=reserved_address(), obligations=COLD) as world:
         first = world.node
