--- a/bellrack/choice.py
+++ b/bellrack/choice.py
@@ -865,14 +865,14 @@
         state.warm_at = started_at + self.settings.ramp_time
         state.consecutive_failures, state.unhealthy_until, state.failure_weight = 0, 0.0, 1.0
 
-    def on_cordoned(self, server: Server, out: bool) -> None:
-        """Operators cordoned the server (`out`) or uncordoned it. A cordoned one gets nothing new, and its
-        connections are moved. An uncordoned one is cold."""
-        state, now, before, server.cordoned = server.local_state, self.host.now, server.cordoned, out
-        if out and not before:
+    def on_cordoned(self, server: Server, cordoned: bool) -> None:
+        """Operators cordoned the server (`cordoned`) or uncordoned it. A cordoned one gets nothing new, and
+        its connections are moved. An uncordoned one is cold."""
+        state, now, before, server.cordoned = server.local_state, self.host.now, server.cordoned, cordoned
+        if cordoned and not before:
             state.cordoned_at = now
             self.on_timer(server)
-        elif before and not out:
+        elif before and not cordoned:
             state.unused_since_uncordon, state.limit = True, math.inf
             if state.started_at < state.cordoned_at:  # it may have restarted without the list knowing yet
                 self.on_server_start(server, now, now)
--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -3,7 +3,7 @@
 A host makes one `choice.Balancer(settings, seed, host)` per instance and calls it for each event:
 
     on_servers_listed(servers)         these servers are new to the list, or their entries changed
-    on_cordoned(server, out)           operators cordoned this server, or uncordoned it
+    on_cordoned(server, cordoned)      operators cordoned this server, or uncordoned it
     on_discovery_failed(reached)       a call to discovery failed; `reached` unless it could not even connect.
                                        The list stays as it was
     refresh_usable()                   the set of usable servers changed without a new list
--- a/bellrack/net/invariants.py
+++ b/bellrack/net/invariants.py
@@ -101,13 +101,13 @@
     earlier = [other for other in call.legs if other is not leg]
     if any(other.result is None for other in earlier):
         yield Invariant.SECOND_COPY
-    risky = [other for other in earlier if other.result and other.result.kind not in model.NEVER_RAN]
-    if not risky:
+    may_have_run = [other for other in earlier if other.result and other.result.kind not in model.NEVER_RAN]
+    if not may_have_run:
         return
     if call.type.effect == model.ONCE_ONLY:
         yield Invariant.REPEATED_ONCE_ONLY
     if call.type.effect == model.REFERENCED:
-        first = min(risky, key=lambda other: other.sent)
+        first = min(may_have_run, key=lambda other: other.sent)
         if now > first.sent + call.type.key_ttl:
             yield Invariant.REPEATED_LATE
         if not call.type.same_group(first.server, leg.server):
--- a/bellrack/net/ring.py
+++ b/bellrack/net/ring.py
@@ -81,16 +81,16 @@
         if not count:
             return b""
         size, end = self.size, self.start + count
-        out = bytes(self.view[self.start : end])
+        data = bytes(self.view[self.start : end])
         if end > size:
-            out += bytes(self.view[: end - size])
-        return out
+            data += bytes(self.view[: end - size])
+        return data
 
     def take(self, count: int) -> bytes:
         """Removes and returns the first `count` bytes."""
-        out = self.peek(count)
+        data = self.peek(count)
         self.start, self.length = (self.start + count) % self.size, self.length - count
-        return out
+        return data
 
 
 class Connection(asyncio.BufferedProtocol):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -89,7 +89,7 @@
 
     def fleet(self, *zones, **fields) -> list[Server]:
         """Lists a server in each of these zones."""
-        servers = [Server(mark * 77 + 5, zone, **fields) for mark, zone in enumerate(zones)]
+        servers = [Server(index * 77 + 5, zone, **fields) for index, zone in enumerate(zones)]
         self.balancer.on_servers_listed(servers)
         return servers
 
--- a/tests/test_choices.py
+++ b/tests/test_choices.py
@@ -270,7 +270,7 @@
 def test_fixed_seed_makes_the_same_choices_and_sends_no_probes(monkeypatch, peers_unseen, expected):
     monkeypatch.setattr(model.Settings, "peers_unseen", peers_unseen)
     bench = Bench(settings(peers=3, ramp_time=6.0, cold_share=0.12), seed=25)
-    fleet = [Server(mark * 77 + 5, mark % 2, weight=[3.5, 2.0][mark % 3 > 0]) for mark in range(9)]
+    fleet = [Server(index * 77 + 5, index % 2, weight=[3.5, 2.0][index % 3 > 0]) for index in range(9)]
     bench.balancer.on_servers_listed(fleet)
     for number in range(160):
         bench.run(bench.now + 0.11)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -71,7 +71,9 @@
 
     def on_request(self, request):
         self.request_count += 1
-        still_open = [one for one in self.open.get(request.node, ()) if not one.closed] + [request]
+        still_open = [earlier for earlier in self.open.get(request.node, ()) if not earlier.closed] + [
+            request
+        ]
         self.open[request.node] = still_open
         self.max_open = max(self.max_open, len(still_open))
         wait = discovery_retry.CONNECT_TIMEOUT_SECONDS if self.mode == "lost" else 0.001
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -217,7 +217,7 @@
             host.queue(lambda: host.actions.extend((work, (number,)) for number in range(300)))
         await world.until(lambda: len(seen) == 300)
         assert [number for number, _ in seen] == list(range(300))
-        ended = next(number for number, how in seen if how)
+        ended = next(number for number, remote_end in seen if remote_end)
         assert ended <= 10 and list_seen[0] <= 10  # within 0.1 s
 
 
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -11,7 +11,9 @@
 
 def test_live_weights_change_neither_capacities_nor_the_order_of_scores():
     bench = Bench(settings(asks=False, live=True))
-    fleet = [Server(mark * 77 + 5, machine_type=mark % 2, weight=[8.5, 5.0][mark % 2]) for mark in range(6)]
+    fleet = [
+        Server(index * 77 + 5, machine_type=index % 2, weight=[8.5, 5.0][index % 2]) for index in range(6)
+    ]
     bench.balancer.on_servers_listed(fleet)
     call = bench.call(group=9)
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -89,7 +89,7 @@
 @given(steps, st.booleans())
 def test_decisions_keep_the_rules(events, live):
     bench = CheckedBench(settings(types=KINDS, asks=not live, live=live, report=(model.FULLNESS,) * live))
-    fleet = [Server(mark * 31 + 1, mark % 2, mark // 2) for mark in range(6)]
+    fleet = [Server(index * 31 + 1, index % 2, index // 2) for index in range(6)]
     bench.balancer.on_servers_listed(fleet)
     calls = []
     for what, which, how in events:
--- a/tests/test_shapes.py
+++ b/tests/test_shapes.py
@@ -121,12 +121,12 @@
         (server,) = world.node.servers.values()
         listing, _ = await world.discovery_request()
         listing.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n")
-        for number, (weight, seen) in enumerate([(0.4, 0.4), (None, 0.4), (2.5, 2.5)]):
+        for number, (weight, expected) in enumerate([(0.4, 0.4), (None, 0.4), (2.5, 2.5)]):
             entry = world.entries[0] | {"weight": weight}
             text = json.dumps({"generation": 50 + number, "reset": False, "instances": [entry]}) + "\n"
             listing.say(f"{len(text):x}\r\n{text}")
             await world.until(lambda number=number: world.node.server_list.version == 50 + number)
-            assert server.weight == seen
+            assert server.weight == expected
         assert server.capacity == 2.5 and world.node.counters["bad_weights"] == 1
 
 
