--- a/bellrack/model.py
+++ b/bellrack/model.py
@@ -3,7 +3,7 @@
 A host makes one `choice.Balancer(settings, seed, host)` per instance and calls it for each event:
 
     on_servers_listed(servers)         these servers are new to the list, or their entries changed
-    on_cordoned(server, out)           operators cordoned this server, or uncordoned it
+    on_cordoned(server, cordoned)      operators cordoned this server, or uncordoned it
     on_discovery_failed(reached)       a call to discovery failed; `reached` unless it could not even connect.
                                        The list stays as it was
     refresh_usable()                   the set of usable servers changed without a new list
@@ -92,7 +92,7 @@
     number: int = -1  # of this balancer among its peers; negative if unknown
     may_publish: bool = False  # balancers may send one another messages
     drain_grace: float = 1.0  # within which sending to a server has to stop once its drain is reported
-    ask_within: float = 10.0  # how long a list stands without a watch, if the list comes on request
+    ask_within: float = 10.0  # how long a list stays valid without a watch, if the list comes on request
 
     def update_from(self, other: Settings) -> None:
         """Takes over all values of `other`, so every holder of this object has them. Calls keep their
--- a/bellrack/peers/aggregation.py
+++ b/bellrack/peers/aggregation.py
@@ -11,9 +11,9 @@
 short id belongs to a server of the balancer's own list.
 
 A record is three bytes, big-endian: kind (2 bits), short id (14 bits, the low ones of the server's hashed
-identifier) and value (8 bits, logarithmic, one step is about 4%). A datagram is one byte `form` and up to
-MAX_RECORDS records. Two listed servers with the same short id are left out. Datagrams of `membership` begin
-with another byte.
+identifier) and value (8 bits, logarithmic, one step is about 4%). A datagram is one byte, its form (REPORT,
+BROADCAST, ...), and up to MAX_RECORDS records or MAX_PAIRS pairs. Two listed servers with the same short id
+are left out. Datagrams of `membership` begin with another byte.
 """
 
 from __future__ import annotations
@@ -30,19 +30,21 @@
 MAX_PAIRS = 63  # of server and group, in a datagram
 MAX_PLACEMENTS = 20000  # pairs of server and group that are kept
 PLACEMENT_TTL_SECONDS = 60.0
-PLACEMENT_REPEAT_BROADCASTS = 50  # in which each placement is published once, changed or not
-MIN_HOLDERS = 2  # balancers with a connection of a group at a server that make it the group's
+PLACEMENT_REPEAT_BROADCASTS = 50  # each placement is published once in so many broadcasts, changed or not
+# A pair of server and group is a placement if so many balancers have a connection of the group there.
+MIN_HOLDERS = 2
 # The kind of a record. Its value is, in this order: the milliseconds of a set-up; the connections that the
-# sender holds at the server; those that all hold; the lateness, a share of the shortest message aim.
+# sender holds at the server; those that all balancers hold there; the lateness, a share of the shortest
+# message aim.
 SETUP_TIME, HELD, TOTAL, LATENESS = range(4)
 SHORT_ID_MASK = (1 << 14) - 1
 MAX_RECORDS = 85  # in a datagram, which then has 256 bytes
-STEPS_PER_DOUBLING = 16  # of a record's value
-REPORT_INTERVAL_SECONDS = 4.0  # until an unchanged report is repeated
+STEPS_PER_DOUBLING = 16  # steps of a record's value, which is logarithmic, from n to 2n
+REPORT_INTERVAL_SECONDS = 4.0  # interval at which an unchanged report is repeated
 REPORT_TTL_SECONDS = 9.0
 BROADCAST_INTERVAL_SECONDS = 0.5
 BROADCAST_TTL_SECONDS = 5.0  # without a broadcast for so long, totals are unknown
-TOTAL_REPEAT_SECONDS = 8.0  # until an unchanged total is published again
+TOTAL_REPEAT_SECONDS = 8.0  # interval at which an unchanged total is repeated
 TOTAL_TTL_SECONDS = 20.0
 TOTAL_CHANGE_SHARE = 0.25  # a total is published at once if it has changed by more than this share
 TOTAL_CHANGE_CONNECTIONS = 3.0  # and by more than so many connections
@@ -105,10 +107,10 @@
     """
 
     id_mask = SHORT_ID_MASK  # of the hashed identifiers of servers
-    cache_seconds = 0.0  # for which a computed fleet load may be used again
+    cache_seconds = 0.0  # how long a computed fleet load may be reused
 
-    def __init__(self, own: int, peers: int, send: Callable[[int | None, bytes], None]):
-        self.own, self.peers, self.send = own, peers, send
+    def __init__(self, own_number: int, tier_size: int, send: Callable[[int | None, bytes], None]):
+        self.own_number, self.tier_size, self.send = own_number, tier_size, send
         self.held: dict[int, int] = {}  # own connections by short id; a 0 is kept until it is reported
         self.pending_records: list[Record] = []  # lateness and durations of set-ups for the next report
         self.changed, self.last_report = False, -math.inf
@@ -150,7 +152,7 @@
 
     def report(self, kind: int, id_hash: int, value: float) -> None:
         """Adds a record to the next report; records that no longer fit are dropped."""
-        if len(self.pending_records) < MAX_RECORDS and self.aggregator != self.own:
+        if len(self.pending_records) < MAX_RECORDS and self.aggregator != self.own_number:
             self.pending_records.append((kind, id_hash & SHORT_ID_MASK, value))
 
     def relay_overload(self, id_hash: int, lateness: float) -> None:
@@ -162,7 +164,7 @@
         return self.aggregator is not None and now - self.last_broadcast <= BROADCAST_TTL_SECONDS
 
     def total(self, id_hash: int, now: float) -> float | None:
-        """The connections that all balancers hold at the server; None if nobody publishes."""
+        """The connections that all balancers hold at the server; None if no aggregator publishes."""
         if not self.has_broadcasts(now) or not self.totals:
             return None
         total, when = self.totals.get(id_hash & SHORT_ID_MASK, (0.0, now))
@@ -177,11 +179,11 @@
         if self.last_broadcast == -math.inf:
             self.last_broadcast = now  # the time without a broadcast starts now
         if (
-            self.own < AGGREGATOR_CANDIDATES
-            and self.aggregator != self.own
-            and (now - self.last_broadcast > TAKEOVER_SECONDS + TAKEOVER_STEP_SECONDS * self.own)
+            self.own_number < AGGREGATOR_CANDIDATES
+            and self.aggregator != self.own_number
+            and (now - self.last_broadcast > TAKEOVER_SECONDS + TAKEOVER_STEP_SECONDS * self.own_number)
         ):
-            self.aggregator, self.last_published = self.own, -math.inf
+            self.aggregator, self.last_published = self.own_number, -math.inf
             self.reports, self.pending_lateness, self.totals, self.reported_pairs, self.placements = (
                 {},
                 {},
@@ -189,7 +191,7 @@
                 {},
                 {},
             )
-        if self.aggregator == self.own:
+        if self.aggregator == self.own_number:
             self.publish(now, baseline)
         elif self.aggregator is not None and (
             self.changed or self.pending_records or now - self.last_report > REPORT_INTERVAL_SECONDS
@@ -216,7 +218,7 @@
         self.last_published = self.last_broadcast = now
         records: list[Record] = []
         for short_id, count in self.held.items():
-            self.reports.setdefault(short_id, {})[self.own] = count, now
+            self.reports.setdefault(short_id, {})[self.own_number] = count, now
         self.held = {short_id: count for short_id, count in self.held.items() if count}
         for short_id, reports in list(self.reports.items()):
             fresh = {peer: report for peer, report in reports.items() if now - report[1] < REPORT_TTL_SECONDS}
@@ -231,7 +233,7 @@
                 del self.reports[short_id]
         late = [(LATENESS, short_id, lateness) for short_id, lateness in self.pending_lateness.items()]
         self.pending_records, self.pending_lateness = [], {}
-        self.reported_pairs[self.own] = now, set(self.own_pairs)
+        self.reported_pairs[self.own_number] = now, set(self.own_pairs)
         fresh = [pairs for when, pairs in self.reported_pairs.values() if now - when < REPORT_TTL_SECONDS]
         counts = Counter(pair for pairs in fresh for pair in pairs)
         placed = {pair for pair, count in counts.items() if count >= MIN_HOLDERS}
@@ -252,11 +254,11 @@
         These are lateness and, for the aggregator, durations of set-ups. `listed` has the listed servers by
         short id; records of other servers are ignored.
         """
-        if peer != self.own and data[:1] in (bytes([GROUPS]), bytes([PLACEMENTS])):
+        if peer != self.own_number and data[:1] in (bytes([GROUPS]), bytes([PLACEMENTS])):
             self.on_pairs(now, peer, data)
             return []
         form, records = unpack(data)
-        if peer == self.own or not form or form == REPORT and self.aggregator != self.own:
+        if peer == self.own_number or not form or form == REPORT and self.aggregator != self.own_number:
             return []
         if form == BROADCAST:
             fresh = self.aggregator is not None and now - self.last_broadcast < TAKEOVER_SECONDS
@@ -284,12 +286,12 @@
     def on_pairs(self, now: float, peer: int, data: bytes) -> None:
         """Takes a datagram with pairs: reported ones as the aggregator, else the aggregator's placements."""
         pairs = unpack_pairs(data)
-        if data[0] == GROUPS and self.aggregator == self.own:
+        if data[0] == GROUPS and self.aggregator == self.own_number:
             if peer not in self.reported_pairs and self.placements:  # the peer has started or returned
                 for reply in pack_pairs(PLACEMENTS, self.placements, [1] * len(self.placements)):
                     self.send(peer, reply)
             self.reported_pairs[peer] = now, {pair for _, pair in pairs}
-        elif data[0] == PLACEMENTS and peer == self.aggregator != self.own:
+        elif data[0] == PLACEMENTS and peer == self.aggregator != self.own_number:
             for flag, pair in pairs:
                 if len(self.placements) >= MAX_PLACEMENTS:
                     fresh = {
--- a/bellrack/peers/gossip.py
+++ b/bellrack/peers/gossip.py
@@ -38,19 +38,20 @@
 HEADER = struct.Struct(">BBIBB")
 RECORD = struct.Struct(">I")
 MAX_RECORDS = (256 - HEADER.size) // RECORD.size  # in a datagram
-MAX_LATENESS_RECORDS = 8  # of them
+MAX_LATENESS_RECORDS = 8  # lateness records among them
 ID_MASK = (1 << 24) - 1  # of hashed identifiers; of 6,000 servers about two share one and are left out
 SEND_INTERVAL_SECONDS = 0.45  # minimum between own datagrams; `on_period` is called each 0.5 s
 SAMPLED_PEERS = 32  # peers of the zone that are remembered
 FEW_SAMPLED_PEERS = 8  # with fewer, more datagrams go to any peer of the tier
 PEER_TTL_SECONDS = 120.0  # a peer is forgotten so long after its last datagram
-EXPLORE_SHARE = 0.25  # of the datagrams go to any peer of the tier; so the peers of a zone find each other
+EXPLORE_SHARE = 0.25  # of the datagrams go to any peer of the tier, so that peers of a zone find each other
 MAX_DATAGRAMS_PER_PERIOD = 16  # read between two calls of `on_period`; limits the effect of a flood
-SILENCE_SECONDS = 10.0  # without a datagram from the zone for so long, nothing is known
-MAX_VOTES = 6  # of peers, kept for each server
+SILENCE_SECONDS = 10.0  # without a datagram from the zone for so long, the load of the zone is unknown
+MAX_VOTES = 6  # votes of peers that are kept for each server
 MIN_VOTES = 3  # including the own one; with fewer, only the own one counts
 VOTE_TTL_SECONDS = 60.0
-MIN_VOTER_CONNECTIONS = 16  # of a voter, per server; the chance error of a median of seven votes is then 12%
+# Mean connections per server that a voter must hold. A median of seven votes then has a random error of 12%.
+MIN_VOTER_CONNECTIONS = 16
 LATENESS_REPEATS = 4  # datagrams in which a lateness is sent
 AGREEMENT_SECONDS = 4.0  # within which two peers have to report the same server as late
 MIN_LATENESS = 0.5  # share of the shortest message aim that counts as late
@@ -107,31 +108,38 @@
     """
 
     id_mask = ID_MASK  # of the hashed identifiers of servers
-    cache_seconds = 1.0  # for which a computed fleet load may be used again
+    cache_seconds = 1.0  # how long a computed fleet load may be reused
     aggregator = published_baseline = None  # a large tier has none
 
     def __init__(
         self,
-        own: int,
-        peers: int,
+        own_number: int,
+        tier_size: int,
         send: Callable[[int | None, bytes], None],
         draw: Callable[[], float],
         setup_wait: float,
     ):
-        self.own, self.peers, self.send, self.draw, self.setup_wait = own, peers, send, draw, setup_wait
+        self.own_number, self.tier_size, self.send, self.draw, self.setup_wait = (
+            own_number,
+            tier_size,
+            send,
+            draw,
+            setup_wait,
+        )
         self.zone_servers: dict[int, float] = {}  # servers of the own zone, and when each last started
         self.poll_order: list[int] = []
         self.poll_position = int(draw() * ID_MASK)  # the next datagram starts with the server after this one
         self.held: dict[int, int] = {}  # own connections by short id
         self.held_in_zone = 0  # own connections at the servers of the zone
         self.new_peer: int | None = None  # gets the next datagram, so that both peers know each other
-        self.sampled_peers: dict[int, tuple[float, int]] = {}  # last datagram, what it holds; latest last
+        # By peer, the latest last: the time of its last datagram, and the connections that it holds.
+        self.sampled_peers: dict[int, tuple[float, int]] = {}
         self.votes: dict[int, dict[int, tuple[float, float]]] = {}  # by short id and peer: share, when
         self.own_lateness: dict[int, tuple[float, int]] = {}  # by short id: seen here, sends left
         self.peer_lateness: dict[int, tuple[float, float, int]] = {}  # received: mean, when, last peer
         self.own_baseline = math.inf
         self.last_sent = self.last_received = -math.inf
-        self.received = 0  # datagrams in this period
+        self.received_datagrams = 0  # in this period
         self.cached_typical: tuple[float, float] = -math.inf, 0.0  # when computed, and the result
 
     def on_servers_listed(self, servers: dict[int, Any], zone: int) -> None:
@@ -201,11 +209,11 @@
             share for share, when in self.votes.get(short_id, {}).values() if now - when <= VOTE_TTL_SECONDS
         ]
         if self.held_in_zone >= least:
-            own = self.held.get(short_id, 0) / self.held_in_zone
-            shares = [own] if len(shares) + 1 < MIN_VOTES else [*shares, own]
+            own_share = self.held.get(short_id, 0) / self.held_in_zone
+            shares = [own_share] if len(shares) + 1 < MIN_VOTES else [*shares, own_share]
         elif len(shares) < MIN_VOTES:
             return None
-        return median(shares) * self.typical_held(now) * self.peers
+        return median(shares) * self.typical_held(now) * self.tier_size
 
     def typical_held(self, now: float) -> float:
         """The median of the connections that this balancer and the sampled peers hold in the zone."""
@@ -225,7 +233,7 @@
         `baseline` is the duration of a set-up at a server that is not late, in seconds, as far as this
         balancer knows.
         """
-        self.own_baseline, self.received = baseline, 0
+        self.own_baseline, self.received_datagrams = baseline, 0
         if now - self.last_sent < SEND_INTERVAL_SECONDS or not self.poll_order:
             return
         self.last_sent = now
@@ -251,7 +259,8 @@
             )
 
     def choose_peer(self, now: float) -> int | None:
-        """The receiver of the next datagram: a new peer, else a sampled one, at times any of the tier."""
+        """Returns the receiver of the next datagram: a new peer if there is one, else a sampled peer or, with
+        a probability of at least EXPLORE_SHARE, any peer of the tier. None if the tier has no other."""
         new_peer, self.new_peer = self.new_peer, None
         if new_peer is not None:
             return new_peer
@@ -259,8 +268,8 @@
             peer: seen for peer, seen in self.sampled_peers.items() if now - seen[0] <= PEER_TTL_SECONDS
         }
         if self.draw() < max(EXPLORE_SHARE, 1 - len(self.sampled_peers) / FEW_SAMPLED_PEERS):
-            peer = int(self.draw() * (self.peers - 1))
-            return peer + (peer >= self.own) if self.peers > 1 else None
+            peer = int(self.draw() * (self.tier_size - 1))
+            return peer + (peer >= self.own_number) if self.tier_size > 1 else None
         return list(self.sampled_peers)[int(self.draw() * len(self.sampled_peers))]
 
     def on_datagram(
@@ -274,12 +283,12 @@
         poll = unpack(data)
         if (
             poll is None
-            or peer == self.own
-            or not 0 <= peer < self.peers
-            or self.received >= MAX_DATAGRAMS_PER_PERIOD
+            or peer == self.own_number
+            or not 0 <= peer < self.tier_size
+            or self.received_datagrams >= MAX_DATAGRAMS_PER_PERIOD
         ):
             return []
-        self.received += 1
+        self.received_datagrams += 1
         held, late, polled = poll
         known = [(short_id, count) for short_id, count in polled if short_id in self.zone_servers]
         if polled and 2 * len(known) >= len(polled):
@@ -311,7 +320,7 @@
 
     def agreed_lateness(self, short_id: int, peer: int, lateness: float, now: float) -> float:
         """The mean lateness of the server if another peer has reported it recently too, else 0."""
-        previous, when, reporter = self.peer_lateness.get(short_id, (0.0, -math.inf, self.own))
+        previous, when, reporter = self.peer_lateness.get(short_id, (0.0, -math.inf, self.own_number))
         agree = now - when < AGREEMENT_SECONDS
         if agree and reporter == peer:
             return 0.0
--- a/tests/test_lab_live.py
+++ b/tests/test_lab_live.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from helpers import played
+from helpers import async_test
 from test_lab import raw
 
 from bellrack.lab import live
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -11,7 +11,9 @@
 
 def test_live_weights_change_neither_capacities_nor_the_order_of_scores():
     bench = Bench(settings(asks=False, live=True))
-    fleet = [Server(mark * 77 + 5, machine_type=mark % 2, weight=[8.5, 5.0][mark % 2]) for mark in range(6)]
+    fleet = [
+        Server(index * 77 + 5, machine_type=index % 2, weight=[8.5, 5.0][index % 2]) for index in range(6)
+    ]
     bench.balancer.on_servers_listed(fleet)
     call = bench.call(group=9)
 
@@ -36,13 +38,12 @@
 
 
 def call_with_reports(bench, *loads) -> list[Server]:
-    """Places a call whose candidates are probed in turn and report these loads. Returns the
-    probed servers."""
+    """Places a call whose candidates are probed in turn and report these loads; returns these servers."""
     bench.call(group=9)
     servers, before = [], len(bench.sent)
     for load in loads:
         (server,) = bench.probes
-        assert len(bench.sent) == before  # it waits
+        assert len(bench.sent) == before  # the call waits for the report
         bench.answer_probe(server, 0.5, load)
         servers.append(server)
     return servers
