--- a/tests/test_lab_live.py
+++ b/tests/test_lab_live.py
@@ -11,7 +11,6 @@
 from pathlib import Path
 
 import pytest
-from helpers import async_test
 from test_lab import raw
 
 from bellrack.lab import live
