--- a/tests/test_lab_live.py
+++ b/tests/test_lab_live.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 
 import pytest
+from helpers import async_test
 from test_lab import raw
 
 from bellrack.lab import live
@@ -170,7 +171,7 @@
         live.run(parse_scenario(raw(**changes)), 1, quiet=True)
 
 
-@played
+@async_test
 async def test_port_accepts_drops_or_refuses_connections():
     loop, port = asyncio.get_running_loop(), Port()
 
