--- a/bellrack/net/limits.py
+++ b/bellrack/net/limits.py
@@ -1,7 +1,7 @@
-"""What outsiders may make grow or last, and how room is made again.
+"""Limits on what clients and operators can make the process hold: descriptors, connections, request ids.
 
-Owns the count of descriptors, the connections to which nothing is owed, oldest first, and the ids that
-are open. It never looks into lines, and never ends a connection that has a call.
+Counts file descriptors, keeps part of them in reserve, and makes room by ending connections that have no
+unanswered call, oldest first; connections with one are never ended here. Also keeps the request ids in use.
 """
 
 from __future__ import annotations
@@ -11,105 +11,130 @@
 from collections.abc import Callable
 from typing import Any
 
-BACKLOG = 1024  # connections that the kernel takes in ahead of us: a rush must not wait for its retries
-ACCEPTS = 16  # of them accepted at one go
-FAILED_LOOKS = 10  # at who waits in the door as it closes for good; each 0.05 s
-PAUSE = 0.02  # seconds until accepting is tried again, when there was no descriptor to spare
-RESERVE = 48  # descriptors kept free, or 3/8 of few: half for clients that are told so, half for control
-FIRST_LINE = 2.75  # seconds from connecting for a whole first line: some write for 2; an end is owed within 3
-PINGS = 8  # on one connection
-YOUNG = 0.1  # seconds for which a connection without a word stays even if room is needed
-SLOW_FIRST_LINE = 5.0  # seconds of the same while resumed connections are expected: some of them write late
-LONGEST_WAIT = 60.0  # seconds that a client may say it waits: its call is kept as long
-SEEN = 1024  # ids remembered beside the open ones
-CONNECTING = 2  # descriptors free for an attempt: it counts twice for the instant at which it comes up
-PROBES = 32  # that are out at once: more are not sent, and what they were for goes on without
-PROBES_PART = 12  # of the reserve, one in so many is for probes when there is nothing but the reserve
-CONTROL = 6  # descriptors beside: two watches and a fetch of the list, three of a hand-off
-AT_START = 8  # descriptors of a process that starts: the standard ones and those of the loop
-CALLERS = 32  # operators' calls that are under way at once
-CALL = 6.0  # seconds from connecting in which an operator's call must be whole
+LISTEN_BACKLOG = 1024  # connections; clients beyond it in a burst wait until their SYN is sent again
+ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the event loop
+FINAL_ACCEPT_RETRIES = 10  # for connections still queued when the listener closes for good, 0.05 s apart
+ACCEPT_RETRY_SECONDS = 0.02  # delay of the next accept after one failed for lack of descriptors
+# Descriptors kept free, at most 3/8 of the limit: half to answer clients that are refused, half for control.
+RESERVED_DESCRIPTORS = 48
+# From connecting to a whole first line. Some clients take 2 s to write it; an answer is due within 3 s.
+FIRST_LINE_SECONDS = 2.75
+MAX_PINGS = 8  # on one connection
+SILENT_GRACE_SECONDS = 0.1  # a silent connection is kept for so long even if its descriptor is needed
+RESUMED_GRACE_SECONDS = 5.0  # the same while resumed connections are expected, some of which write late
+MAX_WAIT_SECONDS = 60.0  # the longest wait that a client may announce; its call is kept for as long
+MAX_RECENT_IDS = 1024  # ids of ended calls that are remembered
+# Free descriptors needed for an attempt: one is counted twice at the moment at which its connection comes up.
+DESCRIPTORS_PER_ATTEMPT = 2
+MAX_PROBES = 32  # in flight at once; further ones are skipped, and the decisions do without their result
+PROBE_RESERVE_DIVISOR = 12  # with only the reserve left, 1/12 of it may be used for probes
+CONTROL_DESCRIPTORS = 6  # further use of the reserve: two watches, a fetch of the list, three of a hand-off
+DESCRIPTORS_AT_START = 8  # of a new process: the standard streams and those of the event loop
+MAX_ADMIN_CONNECTIONS = 32  # requests of operators in progress at once
+ADMIN_REQUEST_SECONDS = 6.0  # from connecting until an operator's request must be complete
 
 
 def open_descriptors() -> int:
-    """Of this process; as many as it has at a start where the machine has none to read them by."""
+    """The open descriptors of this process; DESCRIPTORS_AT_START where they cannot be listed."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # but the one that it is read by
+        return len(os.listdir("/proc/self/fd")) - 1  # not the one that lists them
     except OSError:
-        return AT_START
+        return DESCRIPTORS_AT_START
 
 
 class Limits:
+    """The limits of one process and what counts towards them. Times are seconds of the node's clock."""
+
     def __init__(self, sockets: int):
-        self.allow(sockets)
-        self.probes = 0  # that are out
-        self.beside = 0  # descriptors of our other process: the two are counted as one
+        """`sockets`: the configured number of descriptors."""
+        self.set_limit(sockets)
+        self.probes_in_flight = 0
+        self.sibling_descriptors = 0  # of the sibling process in a hot restart: both share one limit
         self.descriptors = open_descriptors()
-        self.spare: dict[Any, float] = {}  # links without a call or answered, by when they became so
-        self.writing: dict[Any, float] = {}  # links with a part of a first line, by when they last wrote
-        self.ids: dict[str, Any] = {}  # of calls whose connections are open
-        self.seen: dict[str, None] = {}  # of calls that have ended, oldest first
-        self.expects_resumed: Callable[[], bool] = bool  # may those without a word be resumed connections?
-
-    def allow(self, sockets: int) -> None:
-        hard = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self.limit = min(sockets, hard if hard > 0 else sockets)
-        self.reserve = min(RESERVE, 3 * self.limit // 8)
-
-    def counted(self, by: int) -> None:
+        # Connections without a call or already answered, and the time since which they are; oldest first.
+        self.evictable: dict[Any, float] = {}
+        # Connections with part of a first line, and the time of their last write; oldest first.
+        self.partial_lines: dict[Any, float] = {}
+        self.open_ids: dict[str, Any] = {}  # clients by the id of their call, while its connection is open
+        self.recent_ids: dict[str, None] = {}  # of calls that have ended, oldest first
+        self.expects_resumed: Callable[[], bool] = bool  # whether silent connections may be resumed ones
+
+    def set_limit(self, sockets: int) -> None:
+        """Sets the limit to the configured number of descriptors, or to the process's own limit if lower."""
+        process_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        self.limit = min(sockets, process_limit if process_limit > 0 else sockets)
+        self.reserve = min(RESERVED_DESCRIPTORS, 3 * self.limit // 8)
+
+    def count_descriptors(self, by: int) -> None:
+        """Adds `by`, which may be negative, to the open descriptors."""
         self.descriptors += by
 
-    def probe(self) -> bool:
-        """May one more probe go out? A few have their part of the reserve."""
-        return self.probes < (self.reserve // PROBES_PART if self.crowded() else PROBES) and not self.spent()
-
-    def known(self, mark: str) -> bool:
-        """An id is new with every connection. Guards against another client's: servers refuse it with
-        what looks like a failure of theirs."""
-        return mark in self.ids or mark in self.seen
-
-    def ended(self, mark: str) -> None:
-        del self.ids[mark]
-        self.seen[mark] = None
-        if len(self.seen) > SEEN:
-            del self.seen[next(iter(self.seen))]
-
-    def crowded(self, part: int = 1) -> bool:
-        """No descriptors but the reserve, or that part of it."""
-        return self.descriptors + self.beside + self.reserve // part >= self.limit
-
-    def full(self, more: int) -> bool:
-        """Not even that many more by the part of the reserve that clients may have."""
-        return self.descriptors + self.beside + more + self.reserve // 2 > self.limit
-
-    def spent(self) -> bool:
-        """No descriptor at all, for whatever it is."""
+    def may_probe(self) -> bool:
+        """Whether one more probe may be sent. A few may use the reserve."""
+        return (
+            self.probes_in_flight
+            < (self.reserve // PROBE_RESERVE_DIVISOR if self.reserve_reached() else MAX_PROBES)
+            and not self.exhausted()
+        )
+
+    def knows_id(self, request_id: str) -> bool:
+        """Whether the id belongs to an open or a recent call. Each connection has a new id; servers refuse a
+        duplicate with what looks like a failure of their own."""
+        return request_id in self.open_ids or request_id in self.recent_ids
+
+    def on_call_ended(self, request_id: str) -> None:
+        """Moves the id of an ended call to the recent ones."""
+        del self.open_ids[request_id]
+        self.recent_ids[request_id] = None
+        if len(self.recent_ids) > MAX_RECENT_IDS:
+            del self.recent_ids[next(iter(self.recent_ids))]
+
+    def reserve_reached(self, part: int = 1) -> bool:
+        """Whether no more than the reserve, or than 1/`part` of it, is left."""
+        return self.descriptors + self.sibling_descriptors + self.reserve // part >= self.limit
+
+    def lacks(self, more: int) -> bool:
+        """Whether `more` further descriptors do not fit, the half of the reserve for clients included."""
+        return self.descriptors + self.sibling_descriptors + more + self.reserve // 2 > self.limit
+
+    def exhausted(self) -> bool:
+        """Whether no descriptor is left, the reserve included."""
         return self.descriptors >= self.limit
 
-    def wrote(self, link: Any, now: float) -> None:
-        """A part of its first line came."""
-        self.spare.pop(link, None)
-        self.writing.pop(link, None)
-        self.writing[link] = now
-
-    def no_longer(self, link: Any) -> None:
-        """It has a call, or is gone."""
-        self.spare.pop(link, None)
-        self.writing.pop(link, None)
-
-    def room(self, now: float, part: int = 1) -> bool:
-        """Is there any? Guards against calls told BUSY for the sake of connections that say nothing, and slow
-        writers let go before those that are silent or write no more."""
-        spared_for = SLOW_FIRST_LINE if self.expects_resumed() else YOUNG
-        for waiting in (self.spare, self.writing):
-            while self.crowded(part) and waiting:
-                link, since = next(iter(waiting.items()))
-                if now - since < spared_for:
+    def on_partial_line(self, connection: Any, now: float) -> None:
+        """A connection has sent part of its first line."""
+        self.evictable.pop(connection, None)
+        self.partial_lines.pop(connection, None)
+        self.partial_lines[connection] = now
+
+    def untrack(self, connection: Any) -> None:
+        """The connection has a call or has ended: it is no longer ended to make room."""
+        self.evictable.pop(connection, None)
+        self.partial_lines.pop(connection, None)
+
+    def make_room(self, now: float, part: int = 1) -> bool:
+        """Ends connections without an unanswered call until more than 1/`part` of the reserve is left, and
+        returns whether it is. Otherwise calls would be rejected with BUSY because of connections that send
+        nothing.
+
+        Silent connections are ended first, then those with part of a line, the longest without a write first.
+        Otherwise slow but active clients would be ended before idle ones."""
+        grace = RESUMED_GRACE_SECONDS if self.expects_resumed() else SILENT_GRACE_SECONDS
+        for waiting in (self.evictable, self.partial_lines):
+            while self.reserve_reached(part) and waiting:
+                connection, since = next(iter(waiting.items()))
+                if now - since < grace:
                     break
-                link.spared()
-        return not self.crowded(part)
+                connection.evict()
+        return not self.reserve_reached(part)
 
     @property
-    def callers(self) -> int:
-        """Operators' calls that may be under way: what is left of the half of the reserve for control."""
-        return max(1, min(CALLERS, self.reserve // 2 - self.reserve // PROBES_PART - CONTROL))
+    def max_admin_connections(self) -> int:
+        """Requests of operators that may be in progress: what is left of the reserve's half for control."""
+        return max(
+            1,
+            min(
+                MAX_ADMIN_CONNECTIONS,
+                self.reserve // 2 - self.reserve // PROBE_RESERVE_DIVISOR - CONTROL_DESCRIPTORS,
+            ),
+        )
--- a/bellrack/net/node.py
+++ b/bellrack/net/node.py
@@ -1,8 +1,8 @@
-"""One balancer on sockets: it hosts the decisions and carries out what they ask for.
+"""One balancer on sockets: hosts the decisions (`choice.Balancer`) and carries out what they order.
 
-Owns the books, the clients' requests on their way to the decisions, and the start and the end of the
-process. It never chooses a server, never lets one faulty connection end the program, and begins no attempt
-for a client that the kernel knows to be gone.
+A node keeps the accounts of calls and legs, passes the clients' requests to the decisions, and starts and
+ends the process. It chooses no server itself. An error with one connection does not end the process, and no
+attempt is begun for a client that the kernel reports as closed.
 """
 
 from __future__ import annotations
@@ -13,145 +13,177 @@
 from typing import Any
 
 from bellrack import model, start_signals
-from bellrack.books import Books
+from bellrack.accounting import Accounting
 from bellrack.model import Call, Leg, Result, Server
-from bellrack.net import figures, limits, lines, log, reload, server_list, startup, transient
-from bellrack.net.clients import Client
+from bellrack.net import limits, lines, log, metrics, reload, server_list, startup, transient
+from bellrack.net.clients import ClientConnection
 from bellrack.net.config import Config
-from bellrack.net.control import Caller
+from bellrack.net.control import AdminConnection
 from bellrack.net.discovery import Discovery
-from bellrack.net.doors import Doors
 from bellrack.net.hot_restart import HotRestart
 from bellrack.net.invariants import Invariant, Invariants
-from bellrack.net.peer_socket import LONGEST_DATAGRAM, PeerSocket
+from bellrack.net.listeners import Listeners
+from bellrack.net.peer_socket import MAX_DATAGRAM_BYTES, PeerSocket
 from bellrack.net.readiness import Readiness
 from bellrack.net.resumed import ResumedConnections
 from bellrack.net.server_watch import ServerWatch
-from bellrack.net.servers import Place, Probe, ServerLink
+from bellrack.net.servers import Endpoint, Probe, ServerConnection
 from bellrack.net.shutdown import Shutdown
 from bellrack.net.turns import TurnLoop
 
-LISTED = 2.0  # seconds after the start for which we wait for a word of discovery if we know a list
+# Seconds after the start to wait for discovery before a list from before the start is used.
+KNOWN_LIST_WAIT = 2.0
 
 
-class Node(TurnLoop, Books):
+class Node(TurnLoop, Accounting):
+    """The process's one balancer with its sockets and timers; the `Host` of the decisions."""
+
     def __init__(self, config: Config, loop: asyncio.AbstractEventLoop):
         TurnLoop.__init__(self, loop, log.Counters())
         self.config, self.names = config, config.names
-        self.clients: dict[Client, None] = {}
-        self.callers: dict[Caller, None] = {}  # operators whose call is not whole, oldest first
+        self.clients: dict[ClientConnection, None] = {}
+        # Operators whose request is not complete, oldest first.
+        self.admin_connections: dict[AdminConnection, None] = {}
         self.peers: PeerSocket | None = None
         self.limits = limits.Limits(config.sockets)
-        self.begun = self.clock()
-        self.resumed = ResumedConnections(self, self.begun, limits.FIRST_LINE)
+        self.started_at = self.clock()
+        self.resumed = ResumedConnections(self, self.started_at, limits.FIRST_LINE_SECONDS)
         self.limits.expects_resumed = self.resumed.expects_more
-        self.takes_requests = True  # but where it listens before it is ready
-        # Where lists are pushed, what the discovery has counts as told from our first moment on.
-        self.readiness, self.changed = Readiness(self.begun, LISTED, config.settings.asks), asyncio.Event()
+        self.takes_requests = True  # False while it listens before it is ready
+        # Where discovery pushes lists (`asks` is off), the list that it has counts as known to this process
+        # from the start, so an older one is not used at once.
+        self.readiness, self.readiness_changed = (
+            Readiness(self.started_at, KNOWN_LIST_WAIT, config.settings.asks),
+            asyncio.Event(),
+        )
         self.shutdown: Shutdown | None = None
-        self.over = asyncio.Event()
+        self.finished = asyncio.Event()
         self.discovery = Discovery(self, config.discovery)
         self.server_list = server_list.ServerList(self)
         self.server_watch = ServerWatch(self)
-        self.doors = Doors(self)
+        self.listeners = Listeners(self)
         self.hot_restart = HotRestart(self)
-        Books.__init__(self, config.settings, config.seed, self.clock())
+        Accounting.__init__(self, config.settings, config.seed, self.clock())
         self.invariants = Invariants(self.counters, config.settings)
 
-    def log_end(self, link: Any, reason: str, figures: dict) -> None:
-        self.counters[f"ended_{link.side}"] += 1
-        log.tell(
-            "ended", side=link.side, reason=reason, connection=link.number, **link.described(), **figures
+    def log_end(self, connection: Any, reason: str, fields: dict) -> None:
+        """Counts and logs the end of a connection."""
+        self.counters[f"ended_{connection.side}"] += 1
+        log.event(
+            "ended",
+            side=connection.side,
+            reason=reason,
+            connection=connection.number,
+            **connection.log_fields(),
+            **fields,
         )
 
-    # What the balancer may do: each is carried out when the module has had the whole batch.
+    # The `Host` of the decisions. Orders are carried out once the decisions have had all events of the turn.
 
     def send(self, call: Call, server: Server, until: float) -> Leg:
-        leg, server.tried, server.unproved = self.begin(call, server), self.now, False
-        self.act(self.connect, leg, until)
+        """Begins an attempt of a call at a server, which must answer before `until`."""
+        leg, server.last_attempted, server.needs_attempt = self.begin_leg(call, server), self.now, False
+        self.queue_action(self.connect, leg, until)
         return leg
 
     def cancel(self, leg: Leg) -> None:
-        self.act(self.cancelled, leg)
+        """Ends a leg that is not established."""
+        self.queue_action(self.cancel_leg, leg)
 
     def reject(self, call: Call, wait: float = 0.0) -> None:
-        self.answer(call, lines.busy(min(wait, self.settings.max_open_wait)), "rejected")
+        """Answers BUSY; `wait`: seconds after which the client should retry, 0 to name none."""
+        self.answer(call, lines.busy_line(min(wait, self.settings.max_open_wait)), "rejected")
 
     def release(self, call: Call) -> None:
+        """Answers ERR, which invites no retry: the request may have run."""
         self.answer(call, b"ERR\r\n", "released")
 
     def move(self, call: Call) -> None:
+        """Moves the client of an established connection, unless the run may not have begun yet."""
         if self.resumed.holds_back_move(call.legs[-1]):
-            self.act(self.may_move_later, call.legs[-1])
+            self.queue_action(self.may_move_later, call.legs[-1])
         else:
-            self.act(call.host.move, "moved")
+            self.queue_action(call.host_record.move, "moved")
 
     def watch(self, on: bool = True) -> None:
-        self.act(self.discovery.watch, on)
+        """Keeps a watch on the list of servers open, or closes it."""
+        self.queue_action(self.discovery.watch, on)
 
-    def fetch(self) -> None:
-        self.act(self.discovery.fetch)
+    def fetch_list(self) -> None:
+        """Asks discovery for the whole list once."""
+        self.queue_action(self.discovery.fetch)
 
     def probe(self, server: Server) -> None:
-        self.act(self.probing, server)
+        """Probes a server; the result goes to `on_probe_result`."""
+        self.queue_action(self.start_probe, server)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
-        if self.peers and len(data) <= LONGEST_DATAGRAM:
-            self.act(self.peers.send, peer, data)
+    def send_datagram(self, peer: int | None, data: bytes) -> None:
+        """Sends a datagram to a peer, or to all if None; one that is too long is dropped."""
+        if self.peers and len(data) <= MAX_DATAGRAM_BYTES:
+            self.queue_action(self.peers.send, peer, data)
 
-    def wake(self, when: float, what: Any) -> None:
-        self.at(when, self.woke, what)
+    def set_timer(self, when: float, token: Any) -> None:
+        """Calls `on_timer(token)` of the decisions at the time `when`."""
+        self.at(when, self.on_timer, token)
 
     def log(self, text: str) -> None:
-        log.tell("mode", text=text)
+        """Logs a change of mode of the decisions."""
+        log.event("mode", text=text)
 
-    def woke(self, what: Any) -> None:
-        self.balancer.woke(what)
+    def on_timer(self, token: Any) -> None:
+        """A timer of the decisions has expired; `token` is what they passed to `set_timer`."""
+        self.balancer.on_timer(token)
 
-    def answer(self, call: Call, line: bytes, how: str) -> None:
+    def answer(self, call: Call, line: bytes, reason: str) -> None:
+        """Ends a call with `line` as its final answer; `reason` is "rejected" or "released"."""
         call.done = True
-        self.counters[how] += 1
-        call.host.counted_as("rejected" if how == "rejected" else "failed")
-        self.act(call.host.answer, line, how)
+        self.counters[reason] += 1
+        call.host_record.count_outcome("rejected" if reason == "rejected" else "failed")
+        self.queue_action(call.host_record.answer, line, reason)
 
-    def connect(self, leg: Leg, until: float) -> None:
-        client: Client = leg.call.host
+    def connect(self, leg: Leg, deadline: float) -> None:
+        """Opens the connection of a leg, unless its client is gone or descriptors are short."""
+        client: ClientConnection = leg.call.host_record
         if not leg.call.done:
-            client.forget_if_closed()
+            client.abandon_if_closed()
         if leg.call.done:
-            self.ended(leg, Result(model.MOOT), True)
-        elif self.limits.full(limits.CONNECTING):  # never sent: that proves it has not run
-            self.ended(leg, Result(model.MOOT), False)
+            self.leg_ended(leg, Result(model.MOOT), True)
+        elif self.limits.lacks(limits.DESCRIPTORS_PER_ATTEMPT):  # nothing was sent, so it cannot have run
+            self.leg_ended(leg, Result(model.MOOT), False)
         else:
             self.counters["legs"] += 1
-            ServerLink(self, leg, client, until)
+            ServerConnection(self, leg, client, deadline)
 
-    def probing(self, server: Server) -> None:
-        if server.host and self.limits.probe():
+    def start_probe(self, server: Server) -> None:
+        """Sends a probe, unless too many are in flight."""
+        if server.host_record and self.limits.may_probe():
             self.counters["probes"] += 1
             Probe(self, server)
         else:
             self.counters["probes_held_back"] += 1
 
-    def cancelled(self, leg: Leg) -> None:
-        if leg.host and not leg.standing:
-            leg.host.end(model.CANCELLED, "cancelled")
+    def cancel_leg(self, leg: Leg) -> None:
+        """Ends a leg that is not established."""
+        if leg.host_record and not leg.established:
+            leg.host_record.end(model.CANCELLED, "cancelled")
 
-    # What happens to it.
+    # Events of connections.
 
-    def arrive(self, client: Client) -> None:
-        """A first line that is well formed."""
+    def on_request_line(self, client: ClientConnection) -> None:
+        """Creates the call of a well-formed request line and passes it to the decisions.
+
+        Raises LineError with a reason code if its fields do not fit the settings or the state."""
         request_line = client.request_line
         values, wait = request_line.values, request_line.number("d")
         kind = self.names.types.get(values.get("c", ""))
         if kind is None:
             raise lines.LineError("unknown-type")
-        wait = self.names.guards[kind] if wait is None else wait / 1000
+        wait = self.names.default_timeouts[kind] if wait is None else wait / 1000
         resumes = "at" in values
-        if not resumes and wait > limits.LONGEST_WAIT:  # resumed ones say that they wait for an hour
+        if not resumes and wait > limits.MAX_WAIT_SECONDS:  # resumed connections ask to wait for an hour
             raise lines.LineError("bad-d")
-        # A resumed connection whose first try failed comes again as what it was at its server.
-        taken = request_line.id in self.limits.ids if resumes else self.limits.known(request_line.id)
+        # A resumed connection keeps its id on a retry, so for it only open ids count as taken.
+        taken = request_line.id in self.limits.open_ids if resumes else self.limits.knows_id(request_line.id)
         if taken:
             raise lines.LineError("id-known")
         if resumes and not self.resumed.window.admits(self.now):
@@ -159,7 +191,7 @@
         tenant = self.names.tenants.get(values.get("t", ""), 0)
         if "t" in values and self.names.tenants and values["t"] not in self.names.tenants:
             raise lines.LineError("unknown-tenant")
-        call = self.book(
+        call = self.new_call(
             kind,
             wait,
             key=request_line.key,
@@ -169,108 +201,113 @@
             returned=values.get("again") == "1",
         )
         self.counters["calls"] += 1
-        call.host, client.call = client, call
-        self.limits.ids[request_line.id] = client
-        self.limits.no_longer(client)
-        client.lasts(None)
+        call.host_record, client.call = client, call
+        self.limits.open_ids[request_line.id] = client
+        self.limits.untrack(client)
+        client.expire_after(None)
         if resumes:
             self.resumed.admit(client, wait if "d" in values else None)
             return
         self.resumed.window.on_request()
-        if not self.takes_requests or self.shutdown and not self.shutdown.still_places:
-            # Nothing was sent, so trying again is harmless; the front deals it to another balancer.
+        if not self.takes_requests or self.shutdown and not self.shutdown.admits_requests:
+            # Nothing was sent, so a retry is safe; the load balancer in front sends it to another balancer.
             call.refusal = "not-ready" if not self.takes_requests else "shutdown"
             self.reject(call)
         else:
             if not self.readiness.may_open(self.now):
                 self.invariants.violated(Invariant.SERVED_UNREADY, request_line.id)
-            self.balancer.arrived(call)
+            self.balancer.on_call(call)
 
-    def stands(self, leg: Leg, resumes: bool) -> None:
+    def on_connection_established(self, leg: Leg, resumed: bool) -> None:
+        """The server has accepted the request of a leg; `resumed`: of a resumed connection."""
         self.counters["stood"] += 1
-        if resumes:
-            self.resumed.on_established(leg.call.host)
+        if resumed:
+            self.resumed.on_established(leg.call.host_record)
             leg.call.legs.append(leg)
-            self.resume(leg)
+            self.resume_leg(leg)
         else:
-            leg.call.host.counted_as("completed")
-            leg.server.proved = max(leg.server.proved, leg.sent)
-            self.stand(leg)
-        if self.shutdown and not self.hot_restart.giver:
-            self.act(leg.call.host.move, "moved")
-
-    def leg_over(self, link: ServerLink, kind: str) -> None:
-        leg = link.leg
+            leg.call.host_record.count_outcome("completed")
+            leg.server.last_accepted = max(leg.server.last_accepted, leg.sent)
+            self.leg_established(leg)
+        if self.shutdown and not self.hot_restart.handoff_sender:
+            self.queue_action(leg.call.host_record.move, "moved")
+
+    def on_leg_over(self, connection: ServerConnection, kind: str) -> None:
+        """The leg of `connection` has ended with the result `kind`."""
+        leg = connection.leg
         self.counters[f"leg_{kind.replace(' ', '_')}"] += 1
-        if link.resumes and not leg.standing:
-            self.resumed.on_attempt_ended(link, kind)
+        if connection.resumed and not leg.established:
+            self.resumed.on_attempt_ended(connection, kind)
         else:
-            self.ended(leg, Result(kind, self.now - leg.sent), leg.standing or kind == model.COMPLETED)
+            self.leg_ended(leg, Result(kind, self.now - leg.sent), leg.established or kind == model.COMPLETED)
         if kind == model.COMPLETED:
-            link.client.finish("completed")
+            connection.client.finish("completed")
 
-    def told(self, leg: Leg, figure: str) -> None:
-        """A LOAD line: where delays are told and no loads, the milliseconds a message takes; else a load.
+    def on_load_line(self, leg: Leg, text: str) -> None:
+        """Handles a LOAD line: a delay in milliseconds if servers report delays and no loads, else a load.
 
-        Measured: the latter come once a second on one connection a server while over a third of the shortest
-        aim and once when back under, while lines are answered within 3 ms all the time."""
-        value = lines.figure(figure)
+        Delays come once a second, on one connection per server, while they are over a third of the shortest
+        message aim, and once more when they are below it. Lines are answered within 3 ms all that time, so
+        timing them does not show the delay."""
+        value = lines.parse_number(text)
         if value is None:
-            return  # it says nothing of the server
-        place: Place = leg.server.host
-        if self.names.tells_delay and not self.names.tells_load:
-            place.told = self.now
+            return  # malformed; this says nothing about the server
+        endpoint: Endpoint = leg.server.host_record
+        if self.names.reports_delay and not self.names.reports_load:
+            endpoint.delay_reported_at = self.now
             self.counters["late_notices"] += 1
-            self.balancer.delayed(leg, value / 1000)
+            self.balancer.on_delay_reported(leg, value / 1000)
         else:
             leg.load = value
 
-    # Its beginning and its end.
+    # Start and end of the process.
 
     async def serve(self) -> None:
+        """Runs the balancer from its start to the end of its shutdown."""
         server_list.load_known(self)
         if not self.settings.asks:
             self.watch()
-        self.queue(self.server_watch.look)
-        self.queue(self.discovery.look)
+        self.queue(self.server_watch.check)
+        self.queue(self.discovery.check_watch)
         if self.config.peer_listen:
-            self.peers = await transient.retried(lambda: PeerSocket.open(self))
+            self.peers = await transient.retry(lambda: PeerSocket.open(self))
         self.handle_signals()
-        await transient.retried(self.doors.open_desk)
+        await transient.retry(self.listeners.open_admin)
         predecessor = await self.hot_restart.find_predecessor()
         await startup.wait_until_ready(self, alone=predecessor is None)
-        if not self.shutdown:  # guards against a door that is opened only to be closed on who comes
-            await self.take_requests(predecessor.door if predecessor else None)
-        await self.over.wait()
+        if not self.shutdown:  # otherwise clients would be accepted only to be turned away
+            await self.take_requests(predecessor.listening_socket if predecessor else None)
+        await self.finished.wait()
         self.invariants.check_exit(self.clients)
-        self.doors.close()
+        self.listeners.close()
         self.hot_restart.close()
-        self.show()
+        self.log_counters()
         self.stop()
 
     def handle_signals(self) -> None:
+        """Installs the signal handlers, and handles signals that came before them."""
         for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.queue, self.leave)
+            self.loop.add_signal_handler(number, self.queue, self.begin_shutdown)
         self.loop.add_signal_handler(signal.SIGHUP, self.queue, reload.reload, self)
-        self.loop.add_signal_handler(signal.SIGUSR1, self.queue, self.show)
-        if start_signals.take(signal.SIGHUP):
+        self.loop.add_signal_handler(signal.SIGUSR1, self.queue, self.log_counters)
+        if start_signals.claim(signal.SIGHUP):
             self.queue(reload.reload, self)
-        if start_signals.take(signal.SIGUSR1):
-            self.queue(self.show)
+        if start_signals.claim(signal.SIGUSR1):
+            self.queue(self.log_counters)
 
     async def take_requests(self, listening: socket.socket | None) -> None:
-        """Be ready; `listening`: the socket of the process that served before."""
-        if not self.doors.listener:
-            await transient.retried(lambda: self.doors.open(listening))
+        """Opens the clients' listener, on a predecessor's socket `listening` if there is one."""
+        if not self.listeners.listener:
+            await transient.retry(lambda: self.listeners.open(listening))
         self.takes_requests = True
         if listening:
-            self.balancer.cold.withhold(False)  # what was issued until now is the predecessor's
+            self.balancer.slow_start.suspend(False)  # the predecessor has issued what was due until now
         self.hot_restart.publish(took=True)
-        self.address = self.doors.socket.getsockname()
-        log.tell(
+        self.address = self.listeners.socket.getsockname()
+        log.event(
             "serving",
             name=self.config.name,
-            listen=lines.written(self.address),
+            listen=lines.format_address(self.address),
             servers=len(self.servers),
             weights="live" if self.settings.live else "nominal",
             report=",".join(self.settings.report) or "none",
@@ -278,32 +315,33 @@
         )
 
     def can_serve(self) -> bool:
-        """It takes calls and has a list, by discovery or, if that is late, from before."""
-        listening = self.takes_requests and self.doors.listener is not None
-        return listening and self.readiness.listed(self.clock()) and not self.shutdown
+        """Whether it accepts requests and has a list: from discovery or, if that is late, from before."""
+        listening = self.takes_requests and self.listeners.listener is not None
+        return listening and self.readiness.has_usable_list(self.clock()) and not self.shutdown
 
-    def show(self) -> None:
-        """What operators are told at their door, as one line."""
-        log.tell("counters", **figures.told(self), longest_turn_us=int(1e6 * self.longest_turn))
+    def log_counters(self) -> None:
+        """Logs the counters that operators get from the admin address, as one line."""
+        log.event("counters", **metrics.collect(self), longest_turn_us=int(1e6 * self.longest_turn))
 
-    def leave(self) -> None:
-        """Asked to end: move what stands, spread over the time there is, and go once empty."""
+    def begin_shutdown(self) -> None:
+        """Begins to shut down: moves connections, spread over the time limit, and ends once none is left."""
         self.shutdown = self.shutdown or Shutdown(self)
-        self.changed.set()
+        self.readiness_changed.set()
 
 
 def run(config: Config) -> None:
-    log.start()
+    """Runs a balancer with this configuration until it has shut down."""
+    log.configure()
     start_signals.install()
 
     async def main() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(
-            lambda _, said: log.tell(
-                "loop", what=said.get("message", ""), error=repr(said.get("exception", ""))
+            lambda _, context: log.event(
+                "loop", what=context.get("message", ""), error=repr(context.get("exception", ""))
             )
         )
         await Node(config, loop).serve()
-        start_signals.hold_back()
+        start_signals.block()
 
     asyncio.run(main())
--- a/bellrack/net/resumed.py
+++ b/bellrack/net/resumed.py
@@ -1,7 +1,8 @@
 """Resumed connections of one process: carries out on sockets what `resumption.py` decides.
 
-Owns those that are not up yet. An attempt is an ordinary server connection; it ends here and not at the
-decisions, which hear of a resumed connection only once it is up.
+See there for what a resumed connection is, and when the run (the ordinary traffic) begins. This module keeps
+the connections that are not established yet. An attempt is an ordinary server connection, but its end is
+handled here: a resumed connection is reported to the decisions only once it is established.
 """
 
 from __future__ import annotations
@@ -12,84 +13,91 @@
 from bellrack.model import Leg
 from bellrack.net import limits, lines
 from bellrack.net.resumption import Attempt, Expire, Resumption, StartupWindow, Wait
-from bellrack.net.servers import ServerLink
+from bellrack.net.servers import ServerConnection
 
 
 class ResumedConnections:
-    """Those that are not up yet, by the connection of their client."""
+    """The resumed connections that are not established yet, by their client's connection."""
 
     def __init__(self, node: Any, started: float, evidence: float):
+        """`started`: when the process started; `evidence`: see StartupWindow. Both in seconds."""
         self.node = node
         self.window = StartupWindow(started, evidence)
         self.pending: dict[Any, Resumption] = {}
 
     def expects_more(self) -> bool:
+        """Whether further resumed connections are to be expected."""
         return self.window.expects_more(self.node.now, len(self.pending))
 
     def may_precede_run(self) -> bool:
+        """Whether the run may not have begun yet, so that silent connections may be resumed ones."""
         return self.window.may_precede_run(self.node.now, len(self.pending))
 
     def holds_back_move(self, leg: Leg) -> bool:
-        """May the run not have begun? It begins when all resumed connections are up at once, and one that is
-        moved before would hold it up. What operators ordered by hand is carried out."""
+        """Whether the leg must not be moved yet. The run begins when all resumed connections are established
+        at once, and moving one before would delay it. Legs at cordoned servers are moved all the same."""
         held_back = self.window.holds_back_moves(self.node.now, len(self.pending))
-        return held_back and not leg.server.out
+        return held_back and not leg.server.cordoned
 
     def admit(self, client: Any, client_waits: float | None) -> None:
-        """A first line with `at=` has come. `client_waits`: for how many seconds, as it says."""
+        """A first line with `at=` has come. `client_waits`: for how many seconds the client says it waits."""
         self.window.on_resumed(self.node.now)
-        resumption = Resumption(self.node.now, lines.mark(client.request_line.id), client_waits)
+        resumption = Resumption(self.node.now, lines.id_hash(client.request_line.id), client_waits)
         self.pending[client] = resumption
         self.node.counters["resumed"] += 1
         self.proceed(client, resumption)
 
     def proceed(self, client: Any, resumption: Resumption) -> None:
+        """Carries out the next action of a resumption, unless it is over."""
         if not resumption.pending:
             return
-        client.forget_if_closed()
+        client.abandon_if_closed()
         if client.call.done:
             return
-        server = self.node.servers.get(lines.mark(client.request_line.values["at"]))
-        known = server is not None and server.host is not None
+        server = self.node.servers.get(lines.id_hash(client.request_line.values["at"]))
+        known = server is not None and server.host_record is not None
         match resumption.next_action(self.node.now, known, self.descriptors_free()):
             case Attempt(give_up_at):
                 leg = Leg(client.call, server, self.node.now)
-                ServerLink(self.node, leg, client, give_up_at, resumes=True)
+                ServerConnection(self.node, leg, client, give_up_at, resumed=True)
             case Wait(until):
                 self.node.at(until, self.proceed, client, resumption)
             case Expire():
                 self.node.release(client.call)
 
     def descriptors_free(self) -> bool:
-        """Connections that have said nothing make room, as for any request."""
-        self.node.limits.room(self.node.now)
-        return not self.node.limits.full(limits.CONNECTING)
-
-    def on_attempt_ended(self, link: ServerLink, kind: str) -> None:
-        """An attempt ended before it was up; `kind` is a result of `model`."""
-        client = link.client
+        """Whether there are descriptors for an attempt. Silent connections are ended for it if necessary, as
+        for any request."""
+        self.node.limits.make_room(self.node.now)
+        return not self.node.limits.lacks(limits.DESCRIPTORS_PER_ATTEMPT)
+
+    def on_attempt_ended(self, connection: ServerConnection, kind: str) -> None:
+        """An attempt ended before it was established. `kind`: a result of `model`."""
+        client = connection.client
         resumption = self.pending.get(client)
         if resumption is None:
-            return  # its client has left
-        if kind == model.COMPLETED:  # its server has served it to its end and said so: that was its answer
+            return  # the client has left
+        if kind == model.COMPLETED:  # the server has served it to the end, and has answered it by saying so
             client.call.done = True
             return
         resumption.on_attempt_failed(self.node.now, kind == model.TIMEOUT, kind not in model.NEVER_RAN)
         self.proceed(client, resumption)
 
     def on_established(self, client: Any) -> None:
+        """The client's resumed connection is established, if it was one."""
         if resumption := self.pending.pop(client, None):
             resumption.on_established()
 
     def discard(self, client: Any) -> None:
-        """Nothing is owed to it any more."""
+        """The client has its answer, has left, or was handed to another process."""
         if resumption := self.pending.pop(client, None):
             resumption.on_closed()
 
     def answer_all(self) -> None:
-        """The process ends: trying again is harmless where no server can have heard of it."""
+        """Answers all clients at shutdown. A call is rejected, which invites a retry, only if no server can
+        have received it; others are released."""
         for client, resumption in list(self.pending.items()):
-            if resumption.may_have_run or client.leg and client.leg.written:
+            if resumption.may_have_run or client.server_connection and client.server_connection.request_sent:
                 self.node.release(client.call)
             else:
                 self.node.reject(client.call)
--- a/bellrack/net/startup.py
+++ b/bellrack/net/startup.py
@@ -1,4 +1,4 @@
-"""The start of a process: when it listens, and when it takes requests."""
+"""The start of a process: when it listens, and when it accepts requests."""
 
 from __future__ import annotations
 
@@ -11,25 +11,26 @@
 
 
 async def wait_until_ready(node: Any, alone: bool) -> None:
-    """Until there is a list that may be used, however late it comes, or the process is asked to end.
+    """Wait until there is a usable server list, however late it comes, or the process is asked to end.
 
-    `alone`: no other process listens for it, so it does for resumed connections once their clients come."""
-    if not node.readiness.known:
-        log.tell("no-list", waits=lines.written(node.discovery.address))
-    listen_at = node.begun + resumption.LISTEN_AFTER if alone else math.inf
+    `alone`: there is no predecessor that listens. Then the process listens before it is ready, once clients
+    with resumed connections are due."""
+    if not node.readiness.has_known_list:
+        log.event("no-list", waits=lines.format_address(node.discovery.address))
+    listen_at = node.started_at + resumption.LISTEN_AFTER_SECONDS if alone else math.inf
     while not node.shutdown and not node.readiness.may_open(now := node.clock()):
         if now >= listen_at:
             await listen_unready(node)
             listen_at = math.inf
-        node.changed.clear()
-        look_again = min(node.readiness.look_again() or math.inf, listen_at)
-        wait = max(0.0, look_again - now) if look_again < math.inf else None
+        node.readiness_changed.clear()
+        next_check = min(node.readiness.next_check() or math.inf, listen_at)
+        wait = max(0.0, next_check - now) if next_check < math.inf else None
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(node.changed.wait(), wait)
+            await asyncio.wait_for(node.readiness_changed.wait(), wait)
 
 
 async def listen_unready(node: Any) -> None:
-    """Resumed connections are admitted from now on; whoever else comes is turned away."""
+    """Listen for resumed connections only; all other requests are rejected. Raises OSError."""
     node.takes_requests = False
-    await transient.retried(lambda: node.doors.open(None))
-    log.tell("listening", address=lines.written(node.doors.socket.getsockname()), ready=False)
+    await transient.retry(lambda: node.listeners.open(None))
+    log.event("listening", address=lines.format_address(node.listeners.socket.getsockname()), ready=False)
--- a/bellrack/net/transient.py
+++ b/bellrack/net/transient.py
@@ -1,7 +1,6 @@
-"""Errors of the machine that pass: what to try again, and for how long.
+"""Transient errors of the local machine: which operations to retry, and for how long.
 
-A socket or a file that cannot be had for a moment says nothing of a server, a client or a configuration.
-Times are seconds.
+That a socket or a file is unavailable for a moment is not the fault of a server, a client or a configuration.
 """
 
 from __future__ import annotations
@@ -11,10 +10,10 @@
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
 
-Made = TypeVar("Made")
+T = TypeVar("T")
 
-# The machine has no descriptor, buffer, port or route at present, or a call was interrupted.
-LOCAL = frozenset(
+# The machine has no descriptor, buffer, port or route at present, or a system call was interrupted.
+LOCAL_ERRNOS = frozenset(
     (
         errno.EINTR,
         errno.EMFILE,
@@ -26,32 +25,33 @@
         errno.ECONNABORTED,
     )
 )
-DISK = frozenset((errno.EIO, errno.ENOSPC, errno.EDQUOT))
+DISK_ERRNOS = frozenset((errno.EIO, errno.ENOSPC, errno.EDQUOT))
 
-AGAIN = 0.02  # from a failure to the next try
-CONNECT_FOR = 0.25  # for which a connection is tried again: a request has other servers to go to
-START_FOR = 5.0  # for which a start is: nine in ten restarted balancers are ready within 10 s
-FOLDER_AGAIN = 0.25  # from a failure of a folder to the next try
+RETRY_INTERVAL_SECONDS = 0.02  # from a failure to the next attempt
+CONNECT_RETRY_SECONDS = 0.25  # how long connecting is retried; a request can go to other servers
+START_RETRY_SECONDS = 5.0  # how long starting is retried; nine in ten restarts must be ready within 10 s
+FOLDER_RETRY_INTERVAL_SECONDS = 0.25  # the same for operations on a directory
 
 
-def passes(error: OSError) -> bool:
-    """May the same call succeed in a moment?"""
-    return error.errno in LOCAL or error.errno in DISK
+def is_transient(error: OSError) -> bool:
+    """Whether the same operation may succeed in a moment."""
+    return error.errno in LOCAL_ERRNOS or error.errno in DISK_ERRNOS
 
 
 def is_local(error: OSError) -> bool:
-    """Is it our machine's, and no word of the other side?"""
-    return error.errno in LOCAL
+    """Whether the error comes from the local machine and tells nothing about the remote side."""
+    return error.errno in LOCAL_ERRNOS
 
 
-async def retried(make: Callable[[], Awaitable[Made]], seconds: float = START_FOR) -> Made:
-    """What `make` returns, tried again while it fails for what passes. Raises its OSError after that time."""
+async def retry(operation: Callable[[], Awaitable[T]], seconds: float = START_RETRY_SECONDS) -> T:
+    """Returns the result of `operation`, which is retried for `seconds` while it fails with transient errors.
+    Raises its OSError after that, or at once if it is not transient."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     while True:
         try:
-            return await make()
+            return await operation()
         except OSError as error:
-            if not passes(error) or loop.time() >= end:
+            if not is_transient(error) or loop.time() >= end:
                 raise
-        await asyncio.sleep(AGAIN)
+        await asyncio.sleep(RETRY_INTERVAL_SECONDS)
--- a/bellrack/peers/wire.py
+++ b/bellrack/peers/wire.py
@@ -1,10 +1,11 @@
-"""The datagrams between balancers: bytes <-> plain values, version 1.
+"""Packs and unpacks the datagrams of the membership protocol, version 1.
 
-Owns the packing. It keeps no state and believes nothing: what the values mean is membership's to judge. All
-numbers are big-endian; a datagram is at most 256 bytes, whatever the size of the tier.
+The module keeps no state and does not interpret the values; `membership` does. All numbers are big-endian. A
+datagram has at most 256 bytes, whatever the size of the tier.
 
-    head:    version u8, kind u8, sender u16, life u32, incarnation u32, sequence u32, target u16, count u8
-    rumour:  seat u16, status u8, life u32, incarnation u32      (count times)
+    header:  version u8, kind u8, sender u16, start_id u32, incarnation u32, sequence u32, target u16,
+             count u8
+    update:  member u16, status u8, start_id u32, incarnation u32      (count times)
 """
 
 from __future__ import annotations
@@ -13,70 +14,77 @@
 from dataclasses import dataclass, field
 
 VERSION = 1
-MOST = 256  # bytes of a datagram
-PING, ACK, ASK, LEAVE = 1, 2, 3, 4  # a question; its answer; "ping the target for me"; "I go"
+MAX_BYTES = 256  # of a datagram
+# Kinds of datagrams: a probe; its answer; a request to the receiver to ping the target; the sender leaves.
+PING, ACK, INDIRECT_PROBE, LEAVE = 1, 2, 3, 4
 ALIVE, SUSPECT, DEAD, LEFT = 0, 1, 2, 3
-NOBODY = 0xFFFF  # as target: nobody but the receiver
-HEAD, RUMOUR = struct.Struct(">BBHIIIHB"), struct.Struct(">HBII")
-RUMOURS = (MOST - HEAD.size) // RUMOUR.size  # that a datagram has room for
+NOBODY = 0xFFFF  # as the target: the receiver itself
+HEADER = struct.Struct(">BBHIIIHB")
+UPDATE = struct.Struct(">HBII")
+MAX_UPDATES = (MAX_BYTES - HEADER.size) // UPDATE.size  # in a datagram
 
 
 class DatagramError(ValueError):
-    """Bytes that are no datagram of ours; the text is a reason code."""
+    """Raised for bytes that are no valid datagram; the text is a reason code."""
 
 
 @dataclass(frozen=True)
-class Rumour:
-    """What is said of one seat of the tier."""
+class MemberUpdate:
+    """The status of one member, as a datagram reports it."""
 
-    seat: int
+    member: int
     status: int
-    life: int  # drawn anew at each start of a process
+    start_id: int  # drawn at random at each start of a process
     incarnation: int
 
 
 @dataclass(frozen=True)
 class Datagram:
+    """One datagram. `kind`, `target` and the status of updates are the constants of this module."""
+
     kind: int
     sender: int
-    life: int
+    start_id: int
     incarnation: int
     sequence: int = 0
     target: int = NOBODY
-    rumours: tuple[Rumour, ...] = field(default=())
+    updates: tuple[MemberUpdate, ...] = field(default=())
 
 
 def pack(message: Datagram) -> bytes:
-    """Raises ValueError for more rumours than there is room for."""
-    if len(message.rumours) > RUMOURS:
-        raise ValueError(f"{len(message.rumours)} rumours, {RUMOURS} at most")
-    head = HEAD.pack(
+    """Packs a datagram. Raises ValueError if it has more than MAX_UPDATES updates."""
+    if len(message.updates) > MAX_UPDATES:
+        raise ValueError(f"{len(message.updates)} updates, {MAX_UPDATES} at most")
+    header = HEADER.pack(
         VERSION,
         message.kind,
         message.sender,
-        message.life,
+        message.start_id,
         message.incarnation,
         message.sequence,
         message.target,
-        len(message.rumours),
+        len(message.updates),
+    )
+    return header + b"".join(
+        UPDATE.pack(update.member, update.status, update.start_id, update.incarnation)
+        for update in message.updates
     )
-    return head + b"".join(RUMOUR.pack(r.seat, r.status, r.life, r.incarnation) for r in message.rumours)
 
 
 def unpack(data: bytes) -> Datagram:
-    """Strict, as it comes from a network. Raises DatagramError with a reason code."""
-    if len(data) > MOST:
+    """Unpacks a datagram from the network. Raises DatagramError if any field or the length is invalid."""
+    if len(data) > MAX_BYTES:
         raise DatagramError("too-long")
-    if len(data) < HEAD.size:
+    if len(data) < HEADER.size:
         raise DatagramError("too-short")
-    version, kind, sender, life, incarnation, sequence, target, count = HEAD.unpack_from(data)
+    version, kind, sender, start_id, incarnation, sequence, target, count = HEADER.unpack_from(data)
     if version != VERSION:
         raise DatagramError("other-version")
-    if kind not in (PING, ACK, ASK, LEAVE):
+    if kind not in (PING, ACK, INDIRECT_PROBE, LEAVE):
         raise DatagramError("unknown-kind")
-    if len(data) != HEAD.size + count * RUMOUR.size:
+    if len(data) != HEADER.size + count * UPDATE.size:
         raise DatagramError("wrong-length")
-    rumours = tuple(Rumour(*values) for values in RUMOUR.iter_unpack(data[HEAD.size :]))
-    if any(rumour.status > LEFT for rumour in rumours):
+    updates = tuple(MemberUpdate(*values) for values in UPDATE.iter_unpack(data[HEADER.size :]))
+    if any(update.status > LEFT for update in updates):
         raise DatagramError("unknown-status")
-    return Datagram(kind, sender, life, incarnation, sequence, target, rumours)
+    return Datagram(kind, sender, start_id, incarnation, sequence, target, updates)
--- /dev/null
+++ b/bellrack/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""Runs the decisions behind the binary protocol of the simulator, and tools for its recorded runs."""
--- a/bellrack/drill/__main__.py
+++ b/bellrack/simulator/__main__.py
@@ -1,13 +1,13 @@
-"""`python -m bellrack.drill`: the decisions on standard input and output."""
+"""`python -m bellrack.simulator`: runs the decisions on batches from standard input."""
 
 import sys
 
-from bellrack.drill.adapter import Adapter
-from bellrack.drill.wire import WireError, read_batch
+from bellrack.simulator.adapter import Adapter
+from bellrack.simulator.wire import WireError, read_batch
 
 
 def main() -> int:
-    """Answer each batch with one reply until the input ends."""
+    """Answers each batch with one reply until the input ends. Returns 1 after a malformed frame, else 0."""
     adapter = Adapter()
     source, sink = sys.stdin.buffer, sys.stdout.buffer
     try:
