--- a/tests/play_resumed.py
+++ b/tests/play_resumed.py
@@ -29,7 +29,7 @@
     BalancerProcess,
     Client,
     Clients,
-    StandInProcess,
+    StubProcess,
     balancer_settings,
     resumed_line,
     running,
@@ -107,7 +107,7 @@
 
 
 def start(servers):
-    unlisted = StandInProcess(0, number=1)
+    unlisted = StubProcess(0, number=1)
     unlisted.command("discovery", answering=False)
     servers.command("mode", mode="late", servers=servers.names[:1])
     count, standing = START_SIZES
@@ -147,7 +147,7 @@
 
 def main():
     args = docopt(__doc__)
-    servers = StandInProcess(8)
+    servers = StubProcess(8)
     try:
         if args["late"]:
             counts = int(args["--processes"]), int(args["--standing"])
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -132,12 +132,12 @@
                 process.end()
 
 
-class StandInProcess:
-    """A process with discovery and `count` servers (`stand_ins.py`); `number` tells several apart."""
+class StubProcess:
+    """A process with discovery and `count` servers (`stub_services.py`); `number` tells several apart."""
 
     def __init__(self, count: int, number: int = 0):
         self.process = subprocess.Popen(
-            [sys.executable, str(ROOT / "tests" / "stand_ins.py"), str(count), str(number)],
+            [sys.executable, str(ROOT / "tests" / "stub_services.py"), str(count), str(number)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         )
@@ -278,12 +278,12 @@
                 client.sock.close()
 
 
-def balancer_settings(stand_ins: StandInProcess, established: int, **changes: Any) -> dict[str, Any]:
+def balancer_settings(stub_services: StubProcess, established: int, **changes: Any) -> dict[str, Any]:
     """Return a configuration with the specified descriptors, and two more per established connection."""
     return {
         "listen": "127.0.0.1:0",
-        "discovery": stand_ins.discovery,
+        "discovery": stub_services.discovery,
         "limits": {"sockets": 1024 + 2 * established},
         "settings": raw_settings(),
-        "known": {"generation": 0, "reset": True, "instances": stand_ins.entries},
+        "known": {"generation": 0, "reset": True, "instances": stub_services.entries},
     } | changes
--- a/tests/stand_ins.py
+++ b/tests/stub_services.py
@@ -1,7 +1,7 @@
 """A discovery service and servers for tests with real balancer processes.
 
-`stand_ins.py COUNT [PROCESS]` prints one JSON line with the addresses, then reads JSON commands from standard
-input, one per line, and answers each with one JSON line. It exits at the end of its standard input.
+`stub_services.py COUNT [PROCESS]` prints one JSON line with the addresses, then reads JSON commands from
+standard input, one per line, and answers each with one JSON line. It exits at the end of its standard input.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
             self.open[id] -= 1
 
 
-class StandIns:
+class StubServices:
     """The servers, the discovery service that lists them, and the commands of a test."""
 
     def __init__(self, count: int, process: int):
@@ -183,10 +183,10 @@
 
 
 async def main(count: int, process: int) -> None:
-    stand_ins = StandIns(count, process)
-    print(json.dumps(await stand_ins.start()), flush=True)
+    stub_services = StubServices(count, process)
+    print(json.dumps(await stub_services.start()), flush=True)
     while line := await asyncio.to_thread(sys.stdin.readline):
-        print(json.dumps(await stand_ins.command(json.loads(line))), flush=True)
+        print(json.dumps(await stub_services.command(json.loads(line))), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -197,7 +197,12 @@
 @async_test
 async def test_turn_stops_so_that_ends_and_list_changes_are_handled_in_between(monkeypatch, queue):
     async with World() as world:
-        host, client, seen, list_seen = world.node, socket.create_connection(world.node.address), [], []
+        host, client, seen, seen_at_list_change = (
+            world.node,
+            socket.create_connection(world.node.address),
+            [],
+            [],
+        )
         await world.until(lambda: host.clients)
         connection, clock, elapsed = next(iter(host.clients)), host.clock, 0.0
 
@@ -207,7 +212,7 @@
             seen.append((number, connection.remote_end))
             if not number:
                 close_now(world, client, "fin")
-                host.queue(lambda: list_seen.append(len(seen)), first=True)
+                host.queue(lambda: seen_at_list_change.append(len(seen)), first=True)
 
         monkeypatch.setattr(host, "clock", lambda: clock() + elapsed)
         if queue == "events":
@@ -218,7 +223,7 @@
         await world.until(lambda: len(seen) == 300)
         assert [number for number, _ in seen] == list(range(300))
         ended = next(number for number, remote_end in seen if remote_end)
-        assert ended <= 10 and list_seen[0] <= 10  # within 0.1 s
+        assert ended <= 10 and seen_at_list_change[0] <= 10  # within 0.1 s
 
 
 @async_test
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -606,7 +606,7 @@
 
 
 @pytest.mark.parametrize(
-    "arguments, words",
+    "arguments, expected_error",
     [
         (["run", "nowhere.toml"], "nowhere.toml: No such file"),
         (["run", "{file}", "--policy=best"], "policy: no best"),
@@ -624,13 +624,13 @@
         (["speed", "--size=9"], "not of the form 4x8"),
     ],
 )
-def test_usage_errors_print_one_line_and_exit_with_2(tmp_path, capsys, arguments, words):
+def test_usage_errors_print_one_line_and_exit_with_2(tmp_path, capsys, arguments, expected_error):
     file, folder = tmp_path / "small.toml", tmp_path / "empty"
     file.write_text(tomli_w.dumps(raw(length=2.0)))
     folder.mkdir()
     assert cli.main([part.format(file=file, folder=folder) for part in arguments]) == 2
     output = capsys.readouterr()
-    assert output.err.count("\n") == 1 and words in output.err and not output.out
+    assert output.err.count("\n") == 1 and expected_error in output.err and not output.out
 
 
 def test_every_command_prints_its_results_as_json(tmp_path, capsysbinary):
